--- a/sorrelfront/decisions/fleet/__init__.py
+++ b/sorrelfront/decisions/fleet/__init__.py
@@ -1,2 +1,4 @@
-"""What agents decide together. Nothing here does I/O or has a clock of its own; nothing of it runs on the
-platform."""
+"""Decisions that the agents of a fleet make together.
+
+Nothing here does I/O or reads a clock, and none of it runs on the platform.
+"""
--- a/sorrelfront/decisions/fleet/said.py
+++ b/sorrelfront/decisions/fleet/said.py
@@ -1,6 +1,7 @@
-"""The words of a change of policy as bytes, checked before anything is done with them.
+"""Encoding of policy messages, with validation before any use.
 
-A word is a pair of its kind's number and its fields. Numbers are for good: a kind that goes leaves a gap."""
+A message is a pair of its type's number and its fields. Numbers are permanent: a removed type leaves a gap.
+"""
 
 from __future__ import annotations
 
@@ -12,74 +13,80 @@
 from sorrelfront.decisions.fleet.words import Unreadable
 
 POLICY_MOST = 32 * 1024  # bytes of one policy
-TEXT_MOST = 512  # characters of a name, a change's id, a fault
-WHOLE_MOST = 2**53  # above any count, and JSON's safe whole numbers
-ITEMS_MOST = 4_096  # of a list: more leases than members of a large fleet
+MAX_TEXT_LENGTH = 512  # characters of a name, a change's id, an error
+INTEGER_LIMIT = 2**53  # above any counter; JSON's safe integers end here
+MAX_LIST_ITEMS = 4_096  # of a list; there are fewer leases, one a member, even in a large fleet
 
 TYPES: tuple[type[Any], ...] = (
     policy.Prepare, policy.Promise, policy.Accept, policy.Accepted, policy.Reject, policy.Chosen,
     policy.Current, policy.Need, policy.Renew, policy.Grant, policy.Release, policy.Ask, policy.Known,
     policy.Blank, policy.Found, policy.Look, policy.Shown, policy.Check, policy.Checked,
 )  # fmt: skip
-NUMBERS = {kind: number for number, kind in enumerate(TYPES)}
+TYPE_NUMBERS = {kind: number for number, kind in enumerate(TYPES)}
 _decoders = [msgspec.msgpack.Decoder(kind) for kind in TYPES]
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(policy.Record)
-Held = tuple[int, bytes]  # what a member remembers: the version that it served by, and its policy
-_held = msgspec.msgpack.Decoder(Held)
+_record_decoder = msgspec.msgpack.Decoder(policy.Record)
+RememberedPolicy = tuple[int, bytes]  # the version that a member last applied, and its policy
+_remembered_decoder = msgspec.msgpack.Decoder(RememberedPolicy)
 
 
-def pack(word: policy.Word) -> tuple[int, bytes]:
-    return NUMBERS[type(word)], _encode(word)
+def pack(message: policy.Word) -> tuple[int, bytes]:
+    """Encode a policy message as its type's number and its fields."""
+    return TYPE_NUMBERS[type(message)], _encode(message)
 
 
 def unpack(kind: int, data: bytes) -> policy.Word:
-    """Raises Unreadable, and nothing else whatever the bytes are."""
+    """Decode the fields of the message type numbered `kind`.
+
+    Raises MalformedMessage for any bytes that are no valid message, and no other exception.
+    """
     if not 0 <= kind < len(TYPES):
-        raise Unreadable(f"no word has the number {kind}")
-    return _checked(_decoders[kind], data)  # type: ignore[no-any-return]
+        raise Unreadable(f"unknown message type {kind}")
+    return _decode_checked(_decoders[kind], data)  # type: ignore[no-any-return]
 
 
 def pack_record(record: policy.Record) -> bytes:
+    """Encode a voter's record for its file."""
     return _encode(record)
 
 
 def unpack_record(data: bytes) -> policy.Record:
-    """Raises Unreadable."""
-    return _checked(_record, data)  # type: ignore[no-any-return]
+    """Decode a voter's record; raises MalformedMessage."""
+    return _decode_checked(_record_decoder, data)  # type: ignore[no-any-return]
 
 
 def pack_held(version: int, document: bytes) -> bytes:
+    """Encode the version and the policy that a member remembers."""
     return _encode((version, document))
 
 
-def unpack_held(data: bytes) -> Held:
-    """Raises Unreadable."""
-    return _checked(_held, data)  # type: ignore[no-any-return]
+def unpack_held(data: bytes) -> RememberedPolicy:
+    """Decode a remembered version and policy; raises MalformedMessage."""
+    return _decode_checked(_remembered_decoder, data)  # type: ignore[no-any-return]
 
 
-def _checked(decoder: msgspec.msgpack.Decoder[Any], data: bytes) -> Any:
+def _decode_checked(decoder: msgspec.msgpack.Decoder[Any], data: bytes) -> Any:
     try:
-        made = decoder.decode(data)
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise Unreadable(str(fault)) from None
-    _bounded(made)
-    return made
+        value = decoder.decode(data)
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise Unreadable(str(error)) from None
+    _check_bounds(value)
+    return value
 
 
-def _bounded(value: Any) -> None:
-    """Risk: a number near the end of its range, once raised by one, can be written by nobody."""
+def _check_bounds(value: Any) -> None:
+    """Check all bounds; a number near the end of its range could not be encoded once incremented."""
     match value:
         case bool() | None:
             return
-        case int() if not -1 <= value < WHOLE_MOST:
-            raise Unreadable("a number is out of bounds")
-        case str() if len(value) > TEXT_MOST:
+        case int() if not -1 <= value < INTEGER_LIMIT:
+            raise Unreadable("a number is out of range")
+        case str() if len(value) > MAX_TEXT_LENGTH:
             raise Unreadable("a text is too long")
         case bytes() if len(value) > POLICY_MOST:
             raise Unreadable("a policy is too long")
         case tuple():
-            if len(value) > ITEMS_MOST:
+            if len(value) > MAX_LIST_ITEMS:
                 raise Unreadable("a list is too long")
             for item in value:
-                _bounded(item)
+                _check_bounds(item)
--- a/sorrelfront/decisions/fleet/seats.py
+++ b/sorrelfront/decisions/fleet/seats.py
@@ -1,12 +1,13 @@
-"""Where each member's slice of the servers begins, worked out by each from its own view, with no service to
-ask.
+"""The ring position of each member's slice of the servers, computed from its own view without a service.
 
-Members that see the same have the same places, whatever happened before. Of n members up to `MATCHED_MOST`
-each has one of the first n points of the van der Corput sequence, as evenly as seats kept by a coordination
-service (`places`): pairs of a member and a seat are taken by the lowest of a hash of both, so one that joins
-or leaves moves a few others (highest random weight, Thaler and Ravishankar 1998, made one to one). That takes
-n^2 hashes. Larger fleets go by a hash table with linear probing, whose layout depends on the names alone
-(Amble and Knuth, "Ordered hash tables", 1974): it moves fewer still, and its gaps are less even."""
+Members with equal views compute equal positions, whatever the history. Up to `MAX_MATCHED_MEMBERS`, each of
+n members has one of the first n points of the van der Corput sequence, as evenly as slots kept by a
+coordination service (`decisions.places`). Pairs of a member and a slot are taken by the lowest hash of both,
+so a member that joins or leaves moves a few others (highest random weight, Thaler and Ravishankar 1998, made
+one to one). That takes n^2 hashes. Larger fleets use a hash table with linear probing, whose layout depends
+on the names alone (Amble and Knuth, "Ordered hash tables", 1974): it moves even fewer members, and its gaps
+are less even.
+"""
 
 from __future__ import annotations
 
@@ -15,51 +16,53 @@
 
 from sorrelfront.decisions.places import POINTS, point
 
-MATCHED_MOST = 64  # members: 4,096 pairs take some 10 ms, in which an instance does nothing else
-MIX = 0x9E3779B97F4A7C15  # an odd number that spreads bits (Knuth, multiplicative hashing)
-ROOM = 2  # cells for each member, at least: at half full a run is two or three cells long
+MAX_MATCHED_MEMBERS = 64  # 4,096 pairs take some 10 ms, which block the instance
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # odd, mixes the bits (Knuth, multiplicative hashing)
+CELLS_PER_MEMBER = 2  # at least; at half full a run is two or three cells long
 
 
 def _hashes(name: str) -> tuple[int, int]:
-    """Where on the ring, and whose turn comes first."""
+    """Return two hashes of a name: for its position on the ring, and for the order of insertion."""
     digest = hashlib.blake2b(name.encode(), digest_size=16, person=b"sorrelfront-seat").digest()
     return int.from_bytes(digest[:8], "big"), int.from_bytes(digest[8:], "big")
 
 
 def places(names: Collection[str]) -> dict[str, int]:
-    """Each member's point on a ring of `POINTS`, all different. Raises ValueError if there are more members
-    than half the ring has points."""
-    if ROOM * len(names) > POINTS:
+    """Return each member's point on a ring of `POINTS`; all are different.
+
+    Raises ValueError if there are more members than half the ring's points.
+    """
+    if CELLS_PER_MEMBER * len(names) > POINTS:
         raise ValueError(f"{len(names)} members on a ring of {POINTS} points")
-    return _matched(names) if len(names) <= MATCHED_MOST else _probed(names)
+    return _matched(names) if len(names) <= MAX_MATCHED_MEMBERS else _linear_probed(names)
 
 
 def _matched(names: Collection[str]) -> dict[str, int]:
-    """The lowest pair first, then the lowest of those that are left, and so on."""
-    keys = {name: _hashes(name)[0] for name in names}
-    seats = [_hashes(f"seat {seat}")[0] for seat in range(len(names))]
+    """Take the pair with the lowest hash, then the lowest of the remaining ones, and so on."""
+    name_hashes = {name: _hashes(name)[0] for name in names}
+    slot_hashes = [_hashes(f"seat {slot}")[0] for slot in range(len(names))]
     pairs = [
-        ((key ^ mark) * MIX >> 16 & 2**48 - 1, name, seat)
-        for name, key in keys.items()
-        for seat, mark in enumerate(seats)
+        ((name_hash ^ slot_hash) * HASH_MULTIPLIER >> 16 & 2**48 - 1, name, slot)
+        for name, name_hash in name_hashes.items()
+        for slot, slot_hash in enumerate(slot_hashes)
     ]
     pairs.sort()
-    found: dict[str, int] = {}
+    positions: dict[str, int] = {}
     taken: set[int] = set()
-    for _, name, seat in pairs:
-        if name not in found and seat not in taken:
-            found[name] = point(seat)
-            taken.add(seat)
-    return found
+    for _, name, slot in pairs:
+        if name not in positions and slot not in taken:
+            positions[name] = point(slot)
+            taken.add(slot)
+    return positions
 
 
-def _probed(names: Collection[str]) -> dict[str, int]:
-    bits = (ROOM * len(names) - 1).bit_length()
+def _linear_probed(names: Collection[str]) -> dict[str, int]:
+    bits = (CELLS_PER_MEMBER * len(names) - 1).bit_length()
     cells = 1 << bits
     taken: dict[int, str] = {}
     for _, name in sorted((_hashes(name)[1], name) for name in names):
-        at = _hashes(name)[0]
-        cell = at >> (64 - bits)
+        position = _hashes(name)[0]
+        cell = position >> (64 - bits)
         while cell in taken:
             cell = (cell + 1) % cells
         taken[cell] = name
@@ -67,25 +70,29 @@
 
 
 class Seat:
-    """This member's place, taken anew when its view has rested for a while."""
+    """This member's ring position, recomputed once its view has been stable for a while."""
+
+    def __init__(self, name: str, settle_us: int) -> None:
+        """Create it without a position.
 
-    def __init__(self, name: str, rest_us: int) -> None:
-        """`rest_us`: a view that still changes (a storm of joins, a partition that flaps) moves nobody."""
+        `settle_us`: how long the view must be stable; while it changes (many joins, a flapping partition) the
+        position stays.
+        """
         self.point: int | None = None
         self._name = name
-        self._rest_us = rest_us
-        self._seen: frozenset[str] | None = None
-        self._since = 0
+        self._settle_us = settle_us
+        self._members: frozenset[str] | None = None
+        self._stable_since_us = 0
 
     def on_view(self, living: Collection[str], now: int) -> int | None:
-        """Call now and then with who lives. The new point if it is another one, else None."""
-        seen = frozenset(living)
-        if seen != self._seen:
-            self._seen, self._since = seen, now
+        """Check the living members, now and then; return the new point if it changed, else None."""
+        members = frozenset(living)
+        if members != self._members:
+            self._members, self._stable_since_us = members, now
             return None
-        if now - self._since < self._rest_us or self._name not in seen:
+        if now - self._stable_since_us < self._settle_us or self._name not in members:
             return None
-        point = places(seen)[self._name]
+        point = places(members)[self._name]
         if point == self.point:
             return None
         self.point = point
--- a/sorrelfront/decisions/fleet/view.py
+++ b/sorrelfront/decisions/fleet/view.py
@@ -1,12 +1,12 @@
-"""Who is in the fleet: a view kept by the members themselves, without I/O. Words and times in, actions out.
+"""Membership of a fleet by SWIM with Lifeguard, without I/O: messages and times in, actions out.
 
-SWIM (Das, Gupta, Motivala, DSN 2002): probes in random round-robin, indirect probes, suspicion, news on the
-probes' back. Lifeguard (Dadgar, Phillips, Currey, 2018): local health that slows a sick member's probes,
-suspicions whose time shrinks as others confirm them, the suspect told first. What departs from both stands in
-docs/design/view.md.
+SWIM (Das, Gupta, Motivala, DSN 2002): probes in random round-robin order, indirect probes, suspicion, and
+updates piggybacked on the probes. Lifeguard (Dadgar, Phillips, Currey, 2018): local health that slows the
+probes of an unhealthy member, suspicion timeouts that shrink with each confirmation, and suspects that are
+notified first. docs/design/view.md lists the deviations from both.
 
-What is known of a member is the highest of what was heard, by incarnation and then by state: a join of a
-semilattice, so that the order of news does not matter. Only the member itself raises its incarnation.
+The state kept for a member is the highest one received, by incarnation and then by state. This is a join of a
+semilattice, so the order of updates does not matter. Only the member itself raises its incarnation.
 """
 
 from __future__ import annotations
@@ -24,82 +24,90 @@
 import msgspec
 
 from sorrelfront.decisions.fleet.words import (
-    DATAGRAM_MOST,
-    MEMBERS_MOST,
-    NEWS_MOST,
+    MAX_DATAGRAM_BYTES,
+    MAX_MEMBERS,
+    MAX_UPDATES,
     Ack,
     Address,
-    Ask,
-    Clash,
     Gossip,
     Nack,
+    NameConflict,
     News,
     Ping,
+    PingRequest,
     State,
     Whole,
     Word,
-    size,
+    encoded_size,
 )
 
-ENVELOPE_MOST = 64  # bytes of a datagram that are the carrier's: version, hash
-HEALTH_MOST = 8  # Lifeguard's S: probes and time-outs of the sickest take nine times as long
-ASKED_MOST = 256  # pings on behalf of others under way at once; further ones are not made
-CLASHES_MOST = 16
-AHEAD = 64  # incarnations that are reserved on disk in one write
-JOINS_MOST = 64  # addresses that are called on in turn
-WORDS_ROOM = 200  # bytes of a datagram beside its news and names
+MAX_ENVELOPE_BYTES = 64  # bytes of a datagram reserved for the transport: version, hash
+MAX_LOCAL_HEALTH = 8  # Lifeguard's S: at the worst health, probes and timeouts take nine times as long
+MAX_RELAYED_PINGS = 256  # pings in flight on behalf of others; further requests are rejected
+MAX_NAME_CONFLICTS = 16  # name conflicts that are tracked at once
+RESERVED_INCARNATIONS = 64  # incarnations reserved on disk by one write
+MAX_JOIN_ADDRESSES = 64  # addresses to join by; further ones are ignored
+MESSAGE_OVERHEAD_BYTES = 200  # bytes of a datagram besides its updates and names
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Times in microseconds. Defaults are memberlist's for a local network, for the reasons in the note."""
+    """Protocol settings; times are in microseconds.
+
+    The defaults are memberlist's for a local network; docs/design/view.md gives the reasons.
+    """
 
     interval_us: int = 1_000_000  # between two probes
-    timeout_us: int = 500_000  # for a direct answer; indirect ones have the rest of the interval
-    indirect: int = 3  # members that are asked to ping for one
-    suspicion: int = 4  # shortest suspicion, in intervals x max(1, log10 of the fleet's size)
-    suspicion_most: int = 6  # the longest one, as a multiple of the shortest
-    spread: int = 4  # times that news is sent, x log10 of the fleet's size
-    gossip_us: int = 200_000  # between two rounds of news alone, while there is news
-    fanout: int = 3  # members told in such a round
-    exchange_us: int = 30_000_000  # between two full exchanges
-    recall_us: int = 2_000_000  # between two calls on one that is dead or never answered
-    keep_us: int = 3_600_000_000  # for which the dead are remembered, and called on
-    members_most: int = MEMBERS_MOST
-    # Lifeguard's parts; each can be left out to measure what it does.
+    timeout_us: int = 500_000  # for a direct ack; indirect probes have the rest of the interval
+    indirect_probes: int = 3  # helpers that are asked to ping an unresponsive member
+    suspicion_multiplier: int = 4  # shortest timeout: intervals x max(1, log10 of the fleet's size)
+    suspicion_max_multiplier: int = 6  # longest suspicion timeout, as a multiple of the shortest
+    retransmit_multiplier: int = 4  # transmissions of an update, x log10 of the fleet's size
+    gossip_us: int = 200_000  # between two gossip rounds, while updates are queued
+    fanout: int = 3  # members that a gossip round sends to
+    exchange_us: int = 30_000_000  # between two push-pull exchanges
+    recall_us: int = 2_000_000  # between two attempts to reach a dead member or join address
+    keep_us: int = 3_600_000_000  # for which dead members are remembered, and reconnects to them attempted
+    max_members: int = MAX_MEMBERS
+    # Lifeguard's components; each can be switched off to measure its effect.
     health: bool = True
     confirm: bool = True
     buddy: bool = True
 
 
 class Send(NamedTuple):
-    """Send this datagram."""
+    """Send a message as one datagram."""
 
     to: Address
-    word: Word
+    message: Word
 
 
 class Exchange(NamedTuple):
-    """Connect there, send `View.whole()`, and hand over what is answered; a failure needs no word."""
+    """Connect, send `View.full_state()` and pass the answer to `View.on_full_state`.
+
+    A failure need not be reported.
+    """
 
     to: Address
 
 
 class Keep(NamedTuple):
-    """Write to disk: the next life of this member begins above this incarnation."""
+    """Persist an incarnation; the next process of this member starts above it."""
 
     incarnation: int
 
 
 class Told(NamedTuple):
-    """For the log and for whoever follows: a member joined, was suspected, cleared, died or left; `twin`,
-    another process goes by this one's name; `back`, this one stands back for it; `full`, the table has no
-    room."""
+    """A membership event for the log and for subscribers.
+
+    A member joined, was suspected, cleared, died or left; `twin`: another process uses this one's name;
+    `back`: this process yields the name to it; `raised`: only the incarnation rose.
+    """
 
-    what: str
+    kind: str
     name: str
     incarnation: int
-    by: str
+    reporter: str
     address: Address
 
 
@@ -108,20 +116,20 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    began_us: int
-    least_us: int
-    most_us: int
-    expected: int  # confirmations after which it has its shortest time
-    by: set[str]
+    started_us: int
+    min_us: int
+    max_us: int
+    expected_confirmations: int  # confirmations that reduce the timeout to its minimum
+    reporters: set[str]
 
     @property
-    def until_us(self) -> int:
-        """Lifeguard's formula: from the longest to the shortest by the logarithm of the confirmations."""
-        found = len(self.by) - 1
-        if self.expected <= 0:
-            return self.began_us + self.least_us
-        share = math.log(found + 1) / math.log(self.expected + 1)
-        return self.began_us + max(self.least_us, int(self.most_us - share * (self.most_us - self.least_us)))
+    def deadline_us(self) -> int:
+        """The end of the timeout, which falls with the logarithm of the confirmations (Lifeguard)."""
+        found = len(self.reporters) - 1
+        if self.expected_confirmations <= 0:
+            return self.started_us + self.min_us
+        share = math.log(found + 1) / math.log(self.expected_confirmations + 1)
+        return self.started_us + max(self.min_us, int(self.max_us - share * (self.max_us - self.min_us)))
 
 
 @dataclass(slots=True)
@@ -129,23 +137,23 @@
     name: str
     incarnation: int
     seq: int
-    asks_at_us: int
+    indirect_at_us: int
     ends_at_us: int
-    asked: int = 0
+    helpers_asked: int = 0
     nacks: int = 0
-    answered: bool = False
-    indirect: bool = False
+    acked: bool = False
+    indirect_sent: bool = False
 
 
 @dataclass(slots=True)
-class _Rumour:
-    news: News
+class _Broadcast:
+    update: News
     bytes: int
     sent: int = 0
 
 
-class _Favour(NamedTuple):
-    """A ping on behalf of another member."""
+class _RelayedPing(NamedTuple):
+    """A ping sent on behalf of another member."""
 
     to: Address
     seq: int
@@ -154,243 +162,259 @@
 
 
 @dataclass(slots=True)
-class Figures:
-    """Counts since the start."""
+class Counters:
+    """Counters since the start of the process."""
 
     probes: int = 0
     failed_probes: int = 0
     suspicions: int = 0
     deaths: int = 0
-    refuted: int = 0
-    exchanges: int = 0
-    recalls: int = 0
-    refused: int = 0
-    foreign: int = 0  # words meant for another name
+    refutations: int = 0
+    push_pulls: int = 0
+    reconnects: int = 0
+    rejected: int = 0
+    misaddressed: int = 0  # pings addressed to another name
 
 
 @lru_cache(maxsize=65_536)
-def _mark(name: str) -> int:
+def _name_hash(name: str) -> int:
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1
 
 
 @dataclass
 class View:
-    """One member's view. `me` is how it is told to the others: alive, with its address and the incarnation
-    that this process begins with. All times are elapsed ones of this process, in microseconds."""
+    """One member's view of the fleet.
+
+    `me` is the state that the others receive: alive, with its address and the first incarnation of this
+    process. All times are from a monotonic clock, in microseconds.
+    """
 
     me: News
     settings: Settings
     random: Random
     now: int
     join: tuple[Address, ...] = ()
-    figures: Figures = field(default_factory=Figures)
+    counters: Counters = field(default_factory=Counters)
 
     def __post_init__(self) -> None:
-        self.join = self.join[:JOINS_MOST]
+        self.join = self.join[:MAX_JOIN_ADDRESSES]
         self.members: dict[str, News] = {self.me.name: self.me}
-        self.since: dict[str, int] = {}  # of what is otherwise than at the start
-        self.digest = _mark(self.me.name)  # of the living, by the exclusive or of their names' hashes
-        self.heard: dict[str, int] = {}  # the digests of others
-        self.began_us = self.now
+        self.changed_us: dict[str, int] = {}  # time of each member's last change
+        self.digest = _name_hash(self.me.name)  # exclusive or of the living members' name hashes
+        self.peer_digests: dict[str, int] = {}  # last digest received from each member
+        self.started_us = self.now
         self.health = 0
-        self.back = False  # stands back for an older process of its name
+        self.back = False  # has yielded its name to an older process
         self.leaving = False
-        self.reserved = self.me.incarnation  # on disk
+        self.reserved_incarnation = self.me.incarnation  # highest incarnation reserved on disk
         self._seq = self.random.randrange(2**32)
-        self._order: list[str] = []
-        self._at = 0
+        self._probe_order: list[str] = []
+        self._order_index = 0
         self._probe: _Probe | None = None
         self._next_probe_us = self.now + self.random.randrange(self.settings.interval_us)
         self._next_gossip_us = self.now
-        self._next_exchange_us = self.now + self._spread_us(self.settings.exchange_us)
-        # Members that start together do not call on the same address at the same instant.
-        self._next_recall_us = self.now + self.random.randrange(1 + self.settings.recall_us // 4)
+        self._next_push_pull_us = self.now + self._jitter_us(self.settings.exchange_us)
+        # Jitter, so that members started together do not contact one address at the same instant.
+        self._next_reconnect_us = self.now + self.random.randrange(1 + self.settings.recall_us // 4)
         self._next_sweep_us = self.now + self.settings.keep_us // 8
         self._suspicions: dict[str, _Suspicion] = {}
-        self._rumours: OrderedDict[tuple[str, str], _Rumour] = OrderedDict()
-        self._favours: dict[int, _Favour] = {}
-        self._clashes: dict[int, tuple[News, int]] = {}  # by birth: what was heard, and until when to wait
-        self._calls = 0
-        self._twins: set[int] = set()  # that were told of
-        self._out: list[Action] = []
-        self._living = 1
+        self._broadcasts: OrderedDict[tuple[str, str], _Broadcast] = OrderedDict()
+        self._relayed_pings: dict[int, _RelayedPing] = {}
+        self._conflicts: dict[int, tuple[News, int]] = {}  # by process nonce, with the deadline
+        self._reconnect_count = 0
+        self._reported_duplicates: set[int] = set()  # process nonces already reported
+        self._actions: list[Action] = []
+        self._living_count = 1
         self._expected_us = self.now
-        self._reserve()
-        self._rumour(self.me)
+        self._reserve_incarnations()
+        self._queue_broadcast(self.me)
 
-    # What others see
+    # Queries
 
     @property
     def living(self) -> int:
-        """Members that are alive or suspected, this one included."""
-        return self._living
+        """Number of members that are alive or suspected, this one included."""
+        return self._living_count
 
     def alive(self) -> list[str]:
-        return sorted(name for name, news in self.members.items() if news.state <= State.SUSPECT)
+        """Return the sorted names of the members that are alive or suspected, this one included."""
+        return sorted(name for name, update in self.members.items() if update.state <= State.SUSPECT)
 
     def agreeing(self) -> int:
-        """Living members whose view of who lives was like this one when last heard, this one included."""
+        """Count the living members whose last digest equals this one's, this member included."""
         return 1 + sum(
             digest == self.digest
-            for name, digest in self.heard.items()
+            for name, digest in self.peer_digests.items()
             if name != self.me.name and name in self.members and self.members[name].state <= State.SUSPECT
         )
 
     def whole(self, reply: bool = False) -> Whole:
-        # One that stands back is a signpost: who calls here learns of the older process and of the rest.
+        """Return the full state for a push-pull exchange.
+
+        A process that has yielded its name answers too, so that a member that joins by its address learns of
+        the older process and of the rest.
+        """
         return Whole(self.members[self.me.name], list(self.members.values()), reply)
 
     # Time
 
     def next_us(self) -> int:
-        """When to call `on_time` next."""
+        """Return the time at which `on_timer` is due next."""
         if self.back:
             return self.now + 3_600_000_000
-        due = [self._next_probe_us, self._next_exchange_us, self._next_recall_us, self._next_sweep_us]
-        if self._rumours:
+        due = [self._next_probe_us, self._next_push_pull_us, self._next_reconnect_us, self._next_sweep_us]
+        if self._broadcasts:
             due.append(self._next_gossip_us)
         if self._probe is not None:
-            due.append(self._probe.ends_at_us if self._probe.indirect else self._probe.asks_at_us)
+            due.append(self._probe.ends_at_us if self._probe.indirect_sent else self._probe.indirect_at_us)
         if self._suspicions:
-            due.append(min(item.until_us for item in self._suspicions.values()))
-        if self._favours:
-            due.append(min(item.nack_at_us for item in self._favours.values()))
-        if self._clashes:
-            due.append(min(until for _, until in self._clashes.values()))
+            due.append(min(item.deadline_us for item in self._suspicions.values()))
+        if self._relayed_pings:
+            due.append(min(item.nack_at_us for item in self._relayed_pings.values()))
+        if self._conflicts:
+            due.append(min(until for _, until in self._conflicts.values()))
         return min(due)
 
     def on_time(self, now: int) -> list[Action]:
-        """Do what is due."""
-        expected = self.next_us()
+        """Perform everything that is due at `now`."""
+        due = self.next_us()
         self.now = now
         if self.back:
             return self._take()
-        if now - expected > 2 * self.settings.interval_us:
-            self._was_away(now)
-        self._on_probe()
-        for seq in [seq for seq, item in self._favours.items() if item.nack_at_us <= now]:
-            favour = self._favours.pop(seq)
-            self._send(favour.to, Nack(favour.seq, favour.name))
-        for name in [name for name, item in self._suspicions.items() if item.until_us <= now]:
-            self._die(name)
-        for birth in [birth for birth, (_, until) in self._clashes.items() if until <= now]:
-            self._unanswered(birth)
-        if self._rumours and self._next_gossip_us <= now:
+        if now - due > 2 * self.settings.interval_us:
+            self._recover_from_pause(now)
+        self._advance_probe()
+        for seq in [seq for seq, item in self._relayed_pings.items() if item.nack_at_us <= now]:
+            relayed = self._relayed_pings.pop(seq)
+            self._queue_send(relayed.to, Nack(relayed.seq, relayed.name))
+        for name in [name for name, item in self._suspicions.items() if item.deadline_us <= now]:
+            self._declare_dead(name)
+        for process_nonce in [
+            process_nonce for process_nonce, (_, until) in self._conflicts.items() if until <= now
+        ]:
+            self._conflict_unanswered(process_nonce)
+        if self._broadcasts and self._next_gossip_us <= now:
             self._gossip()
-        if self._next_exchange_us <= now:
-            self._next_exchange_us = now + self._spread_us(self.settings.exchange_us)
-            others = self._others(1)
+        if self._next_push_pull_us <= now:
+            self._next_push_pull_us = now + self._jitter_us(self.settings.exchange_us)
+            others = self._random_alive(1)
             if others:
-                self._exchange(self.members[others[0]].address)
-        if self._next_recall_us <= now:
-            self._next_recall_us = now + self._spread_us(self.settings.recall_us)
-            self._recall()
+                self._push_pull(self.members[others[0]].address)
+        if self._next_reconnect_us <= now:
+            self._next_reconnect_us = now + self._jitter_us(self.settings.recall_us)
+            self._reconnect()
         if self._next_sweep_us <= now:
             self._next_sweep_us = now + self.settings.keep_us // 8
-            self._sweep()
+            self._forget_expired()
         return self._take()
 
     def _take(self) -> list[Action]:
-        out, self._out = self._out, []
+        out, self._actions = self._actions, []
         return out
 
-    def _spread_us(self, span: int) -> int:
-        """About so long: members that started together do not act together."""
+    def _jitter_us(self, span: int) -> int:
+        """Return `span` with +-50% jitter, so that members started together do not act in step."""
         return int(span * (0.5 + self.random.random()))
 
-    def _was_away(self, now: int) -> None:
-        """This process was stopped or starved: what it did not hear is its own fault and nobody else's."""
+    def _recover_from_pause(self, now: int) -> None:
+        """Recover after being stopped or starved: missing acks then prove nothing about other members."""
         if not self.settings.health:
             return
         self._probe = None
-        self._next_probe_us = now + self._scaled(self.settings.timeout_us)
-        self.health = HEALTH_MOST
+        self._next_probe_us = now + self._scale_by_health(self.settings.timeout_us)
+        self.health = MAX_LOCAL_HEALTH
         for suspicion in self._suspicions.values():
-            # Their time ran while nobody could have been heard: they begin again.
-            suspicion.began_us = now
-        self._next_exchange_us = now  # what went on meanwhile
+            # The timeout ran while no refutation could be received, so it starts again.
+            suspicion.started_us = now
+        self._next_push_pull_us = now  # fetch what changed meanwhile
 
     # Probes
 
-    def _scaled(self, span: int) -> int:
+    def _scale_by_health(self, span: int) -> int:
         return span * (self.health + 1)
 
-    def _healthier(self, by: int) -> None:
+    def _adjust_health(self, delta: int) -> None:
         if self.settings.health:
-            self.health = min(HEALTH_MOST, max(0, self.health + by))
+            self.health = min(MAX_LOCAL_HEALTH, max(0, self.health + delta))
 
-    def _on_probe(self) -> None:
+    def _advance_probe(self) -> None:
         probe = self._probe
-        if probe is not None and not probe.answered:
-            if not probe.indirect and probe.asks_at_us <= self.now:
-                self._ask(probe)
-            if probe.indirect and probe.ends_at_us <= self.now:
-                self._failed(probe)
+        if probe is not None and not probe.acked:
+            if not probe.indirect_sent and probe.indirect_at_us <= self.now:
+                self._send_ping_requests(probe)
+            if probe.indirect_sent and probe.ends_at_us <= self.now:
+                self._probe_failed(probe)
         elif probe is not None:
             self._probe = None
         if self._next_probe_us <= self.now:
-            self._next_probe_us = self.now + self._scaled(self.settings.interval_us)
+            self._next_probe_us = self.now + self._scale_by_health(self.settings.interval_us)
             if self._probe is None:
-                self._begin()
+                self._start_probe()
 
-    def _begin(self) -> None:
-        name = self._next_name()
+    def _start_probe(self) -> None:
+        name = self._next_probe_target()
         if name is None:
             return
-        news = self.members[name]
+        update = self.members[name]
         self._seq += 1
-        self.figures.probes += 1
-        asks = self.now + self._scaled(self.settings.timeout_us)
-        ends = self.now + self._scaled(self.settings.interval_us)
-        self._probe = _Probe(name, news.incarnation, self._seq, asks, max(ends, asks + 1))
-        self._ping(news, self._seq)
-
-    def _next_name(self) -> str | None:
-        """In random round-robin: everybody's turn comes within two rounds (SWIM 4.3)."""
+        self.counters.probes += 1
+        indirect_at_us = self.now + self._scale_by_health(self.settings.timeout_us)
+        ends_at_us = self.now + self._scale_by_health(self.settings.interval_us)
+        self._probe = _Probe(
+            name, update.incarnation, self._seq, indirect_at_us, max(ends_at_us, indirect_at_us + 1)
+        )
+        self._ping(update, self._seq)
+
+    def _next_probe_target(self) -> str | None:
+        """Return the next target in random round-robin: each has its turn within two rounds (SWIM 4.3)."""
         for _ in range(2):
-            while self._at < len(self._order):
-                name = self._order[self._at]
-                self._at += 1
-                news = self.members.get(name)
-                if news is not None and news.state <= State.SUSPECT and name != self.me.name:
+            while self._order_index < len(self._probe_order):
+                name = self._probe_order[self._order_index]
+                self._order_index += 1
+                update = self.members.get(name)
+                if update is not None and update.state <= State.SUSPECT and name != self.me.name:
                     return name
-            self._order = [name for name, news in self.members.items() if news.state <= State.SUSPECT]
-            self.random.shuffle(self._order)
-            self._at = 0
+            self._probe_order = [
+                name for name, update in self.members.items() if update.state <= State.SUSPECT
+            ]
+            self.random.shuffle(self._probe_order)
+            self._order_index = 0
         return None
 
-    def _ping(self, news: News, seq: int) -> None:
-        # Lifeguard's buddy: a suspect hears of it from whoever probes it, first of all.
-        first = [news] if self.settings.buddy and news.state is not State.ALIVE else []
-        ping = Ping(seq, self.me, news.name, self.digest, self._news(first))
-        self._send(news.address, ping)
+    def _ping(self, update: News, seq: int) -> None:
+        # Lifeguard's buddy system: a ping to a suspect carries the suspicion first, so it can refute it.
+        priority = [update] if self.settings.buddy and update.state is not State.ALIVE else []
+        ping = Ping(seq, self.me, update.name, self.digest, self._piggyback(priority))
+        self._queue_send(update.address, ping)
 
-    def _ask(self, probe: _Probe) -> None:
-        probe.indirect = True
-        news = self.members.get(probe.name)
-        if news is None:
+    def _send_ping_requests(self, probe: _Probe) -> None:
+        probe.indirect_sent = True
+        update = self.members.get(probe.name)
+        if update is None:
             return
-        helpers = [name for name in self._others(self.settings.indirect + 1) if name != probe.name]
-        for name in helpers[: self.settings.indirect]:
-            probe.asked += 1
-            self._send(
+        helpers = [
+            name for name in self._random_alive(self.settings.indirect_probes + 1) if name != probe.name
+        ]
+        for name in helpers[: self.settings.indirect_probes]:
+            probe.helpers_asked += 1
+            self._queue_send(
                 self.members[name].address,
-                Ask(probe.seq, self.me, probe.name, news.ip, news.port, self._news()),
+                PingRequest(probe.seq, self.me, probe.name, update.ip, update.port, self._piggyback()),
             )
 
-    def _failed(self, probe: _Probe) -> None:
+    def _probe_failed(self, probe: _Probe) -> None:
         self._probe = None
-        self.figures.failed_probes += 1
-        # Lifeguard: helpers that did not even say no speak against this member's own health.
-        self._healthier(probe.asked - probe.nacks if probe.asked else 1)
-        news = self.members.get(probe.name)
-        if news is not None and news.incarnation == probe.incarnation and news.state is State.ALIVE:
-            self._hear(msgspec.structs.replace(news, state=State.SUSPECT, by=self.me.name))
-        elif news is not None and news.incarnation == probe.incarnation and news.state is State.SUSPECT:
-            self._confirm(msgspec.structs.replace(news, by=self.me.name))
-
-    def _others(self, count: int) -> list[str]:
-        """So many others at random that are held alive."""
+        self.counters.failed_probes += 1
+        # Lifeguard: helpers that sent not even a nack suggest that this member itself is unhealthy.
+        self._adjust_health(probe.helpers_asked - probe.nacks if probe.helpers_asked else 1)
+        update = self.members.get(probe.name)
+        if update is not None and update.incarnation == probe.incarnation and update.state is State.ALIVE:
+            self._merge(msgspec.structs.replace(update, state=State.SUSPECT, reporter=self.me.name))
+        elif update is not None and update.incarnation == probe.incarnation and update.state is State.SUSPECT:
+            self._confirm_suspicion(msgspec.structs.replace(update, reporter=self.me.name))
+
+    def _random_alive(self, count: int) -> list[str]:
+        """Return up to `count` other members that are alive, at random."""
         names = list(self.members)
         found: list[str] = []
         for _ in range(4 * count + 8):
@@ -405,398 +429,433 @@
             found += self.random.sample(rest, min(len(rest), count - len(found)))
         return found
 
-    # Words
+    # Messages
 
-    def on_word(self, word: Word, now: int) -> list[Action]:
-        """A datagram that has been checked."""
-        late = now - self.next_us()
+    def on_word(self, message: Word, now: int) -> list[Action]:
+        """Handle a decoded datagram."""
+        late_us = now - self.next_us()
         self.now = max(now, self.now)
-        if not self.back and late > 2 * self.settings.interval_us:
-            self._was_away(now)
-        match word:
-            case Clash():
-                self._on_clash(word)
+        if not self.back and late_us > 2 * self.settings.interval_us:
+            self._recover_from_pause(now)
+        match message:
+            case NameConflict():
+                self._on_name_conflict(message)
             case _ if self.back:
-                pass  # it has stood back: another process answers to its name
+                pass  # the name belongs to another process
             case Ping():
-                self._on_ping(word)
+                self._on_ping(message)
             case Ack():
-                self._on_ack(word)
-            case Ask():
-                self._on_ask(word)
+                self._on_ack(message)
+            case PingRequest():
+                self._on_ping_request(message)
             case Nack():
                 probe = self._probe
-                if probe is not None and probe.seq == word.seq and probe.nacks < probe.asked:
+                if probe is not None and probe.seq == message.seq and probe.nacks < probe.helpers_asked:
                     probe.nacks += 1
             case Gossip():
-                self._hear_all(word.news)
+                self._merge_all(message.updates)
         return self._take()
 
     def _on_ping(self, ping: Ping) -> None:
         if ping.to != self.me.name:
-            # Another one had this address before: no answer, so that it is found dead.
-            self.figures.foreign += 1
+            # The member that had this address before is gone: without an ack it is declared dead.
+            self.counters.misaddressed += 1
             return
-        self._hear(ping.sender)
-        self._hear_all(ping.news)
-        self._note(ping.sender.name, ping.digest)
+        self._merge(ping.sender)
+        self._merge_all(ping.updates)
+        self._note_contact(ping.sender.name, ping.digest)
         known = self.members.get(ping.sender.name)
-        first = []
+        priority = []
         if known is not None and known.state is not State.ALIVE and self.settings.buddy:
-            first = [known]  # whoever is held for dead or suspected hears it, and can say no
-        self._send(ping.sender.address, Ack(ping.seq, self.me.name, self.digest, self._news(first)))
+            priority = [known]  # a member taken for dead or suspected is told so, and can refute it
+        self._queue_send(
+            ping.sender.address, Ack(ping.seq, self.me.name, self.digest, self._piggyback(priority))
+        )
 
     def _on_ack(self, ack: Ack) -> None:
-        self._hear_all(ack.news)
-        self._note(ack.name, ack.digest)
-        favour = self._favours.pop(ack.seq, None)
-        if favour is not None and favour.name == ack.name:
-            self._send(favour.to, Ack(favour.seq, ack.name, ack.digest, self._news()))
+        self._merge_all(ack.updates)
+        self._note_contact(ack.name, ack.digest)
+        relayed = self._relayed_pings.pop(ack.seq, None)
+        if relayed is not None and relayed.name == ack.name:
+            self._queue_send(relayed.to, Ack(relayed.seq, ack.name, ack.digest, self._piggyback()))
             return
         probe = self._probe
-        if probe is not None and probe.seq == ack.seq and probe.name == ack.name and not probe.answered:
-            probe.answered = True
+        if probe is not None and probe.seq == ack.seq and probe.name == ack.name and not probe.acked:
+            probe.acked = True
             self._probe = None
-            self._healthier(-1)
-
-    def _on_ask(self, ask: Ask) -> None:
-        self._hear(ask.sender)
-        self._hear_all(ask.news)
-        self._note(ask.sender.name, self.heard.get(ask.sender.name, 0))
-        if len(self._favours) >= ASKED_MOST:
-            self.figures.refused += 1
+            self._adjust_health(-1)
+
+    def _on_ping_request(self, request: PingRequest) -> None:
+        self._merge(request.sender)
+        self._merge_all(request.updates)
+        self._note_contact(request.sender.name, self.peer_digests.get(request.sender.name, 0))
+        if len(self._relayed_pings) >= MAX_RELAYED_PINGS:
+            self.counters.rejected += 1
             return
         self._seq += 1
         at = self.now + self.settings.timeout_us * 4 // 5
-        self._favours[self._seq] = _Favour(ask.sender.address, ask.seq, ask.to, at)
-        known = self.members.get(ask.to)
-        first = [known] if known is not None and known.state is State.SUSPECT and self.settings.buddy else []
-        self._send((ask.ip, ask.port), Ping(self._seq, self.me, ask.to, self.digest, self._news(first)))
+        self._relayed_pings[self._seq] = _RelayedPing(request.sender.address, request.seq, request.to, at)
+        known = self.members.get(request.to)
+        priority = (
+            [known] if known is not None and known.state is State.SUSPECT and self.settings.buddy else []
+        )
+        self._queue_send(
+            (request.ip, request.port),
+            Ping(self._seq, self.me, request.to, self.digest, self._piggyback(priority)),
+        )
 
-    def _note(self, name: str, digest: int) -> None:
-        """A word of this member's own has come."""
+    def _note_contact(self, name: str, digest: int) -> None:
+        """Note that a message came directly from this member."""
         if name in self.members:
-            self.heard[name] = digest
+            self.peer_digests[name] = digest
         suspicion = self._suspicions.get(name)
         if suspicion is not None and self.health:
-            # Risk: a starved member reads refutations seconds late, and declares the well dead. What it hears
-            # from
-            # the suspect itself begins the suspicion anew, as long as its own health is in doubt: a
-            # member that is well still finds one that speaks and does not hear.
-            suspicion.began_us = self.now
-
-    def on_whole(self, whole: Whole, now: int) -> list[Action]:
-        """The other side's knowledge, of an exchange that either side began."""
+            # A starved member reads refutations seconds late and would declare healthy members dead. While
+            # its own health is in doubt, a message from the suspect itself restarts the suspicion. A healthy
+            # member does not restart it, so it still detects a member that sends but does not receive.
+            suspicion.started_us = self.now
+
+    def on_whole(self, remote: Whole, now: int) -> list[Action]:
+        """Merge the peer's full state, from a push-pull exchange that either side started."""
         self.now = max(now, self.now)
         if self.back:
             return []
-        self.figures.exchanges += 1
-        self._hear(whole.sender)
-        for news in whole.members:
-            known = self.members.get(news.name)
-            if news.state is State.DEAD and (known is None or known.state <= State.SUSPECT):
-                # Risk: after a partition each half holds the other for dead, and one exchange would carry
-                # that
-                # to members that know better. As a suspicion it can be answered.
-                news = msgspec.structs.replace(news, state=State.SUSPECT, by=whole.sender.name)
+        self.counters.push_pulls += 1
+        self._merge(remote.sender)
+        for update in remote.members:
+            known = self.members.get(update.name)
+            if update.state is State.DEAD and (known is None or known.state <= State.SUSPECT):
+                # After a partition each half takes the other for dead, and one exchange would spread that to
+                # members that know better. As a suspicion it can be refuted.
+                update = msgspec.structs.replace(update, state=State.SUSPECT, reporter=remote.sender.name)
                 if known is None:
                     continue
-            self._hear(news)
+            self._merge(update)
         return self._take()
 
-    # News
+    # Updates
 
-    def _hear_all(self, items: Iterable[News]) -> None:
-        for news in items:
-            self._hear(news)
+    def _merge_all(self, items: Iterable[News]) -> None:
+        for update in items:
+            self._merge(update)
 
-    def _hear(self, news: News) -> None:
-        if news.name == self.me.name:
-            self._of_me(news)
+    def _merge(self, update: News) -> None:
+        if update.name == self.me.name:
+            self._on_own_update(update)
             return
-        known = self.members.get(news.name)
+        known = self.members.get(update.name)
         if known is None:
-            self._newcomer(news)
+            self._add_member(update)
             return
-        if news.incarnation == known.incarnation and news.state is known.state is State.SUSPECT:
-            self._confirm(news)
+        if update.incarnation == known.incarnation and update.state is known.state is State.SUSPECT:
+            self._confirm_suspicion(update)
             return
-        if (news.incarnation, news.state) <= (known.incarnation, known.state):
+        if (update.incarnation, update.state) <= (known.incarnation, known.state):
             return
-        self._put(known, news)
+        self._apply(known, update)
 
-    def _newcomer(self, news: News) -> None:
-        if len(self.members) >= self.settings.members_most and not self._make_room():
-            self.figures.refused += 1
+    def _add_member(self, update: News) -> None:
+        if len(self.members) >= self.settings.max_members and not self._evict_dead():
+            self.counters.rejected += 1
             return
-        if news.state is State.DEAD:
-            # Never known alive here: remembered, so that old gossip does not bring it in.
-            self.members[news.name] = news
-            self.since[news.name] = self.now
+        if update.state is State.DEAD:
+            # Never known alive here: remembered, so that stale gossip does not add it as alive.
+            self.members[update.name] = update
+            self.changed_us[update.name] = self.now
             return
-        self._put(None, news)
+        self._apply(None, update)
 
-    def _make_room(self) -> bool:
-        """Forget the one that has been dead for longest."""
-        dead = [name for name, news in self.members.items() if news.state >= State.DEAD]
+    def _evict_dead(self) -> bool:
+        """Forget the member that has been dead for longest; return whether there was one."""
+        dead = [name for name, update in self.members.items() if update.state >= State.DEAD]
         if not dead:
             return False
-        self._forget(min(dead, key=lambda name: self.since.get(name, 0)))
+        self._forget(min(dead, key=lambda name: self.changed_us.get(name, 0)))
         return True
 
-    def _put(self, known: News | None, news: News) -> None:
-        """What is heard overrides what is known."""
-        name = news.name
-        lived = known is not None and known.state <= State.SUSPECT
-        lives = news.state <= State.SUSPECT
-        self.members[name] = news
-        self.since[name] = self.now
-        if lives != lived:
-            self.digest ^= _mark(name)
-            self._living += 1 if lives else -1
-        if lives and not lived:
-            self._order.insert(self.random.randrange(self._at, len(self._order) + 1), name)
+    def _apply(self, known: News | None, update: News) -> None:
+        """Replace the known state of a member by the update."""
+        name = update.name
+        was_living = known is not None and known.state <= State.SUSPECT
+        is_living = update.state <= State.SUSPECT
+        self.members[name] = update
+        self.changed_us[name] = self.now
+        if is_living != was_living:
+            self.digest ^= _name_hash(name)
+            self._living_count += 1 if is_living else -1
+        if is_living and not was_living:
+            self._probe_order.insert(
+                self.random.randrange(self._order_index, len(self._probe_order) + 1), name
+            )
         self._suspicions.pop(name, None)
-        if news.state is State.SUSPECT:
-            self._suspect(news)
-        if news.state >= State.DEAD:
-            self.heard.pop(name, None)
-        self._rumour(news)
-        what = {State.ALIVE: "joined" if not lived else "cleared", State.SUSPECT: "suspected",
-                State.DEAD: "died", State.LEFT: "left"}[news.state]  # fmt: skip
-        if what == "cleared" and known is not None and known.state is State.ALIVE:
-            what = "raised"  # its incarnation alone
-        self._tell(what, news)
-
-    def _tell(self, what: str, news: News) -> None:
-        self._out.append(Told(what, news.name, news.incarnation, news.by, news.address))
-
-    def _suspect(self, news: News) -> None:
+        if update.state is State.SUSPECT:
+            self._start_suspicion(update)
+        if update.state >= State.DEAD:
+            self.peer_digests.pop(name, None)
+        self._queue_broadcast(update)
+        kind = {State.ALIVE: "joined" if not was_living else "cleared", State.SUSPECT: "suspected",
+                State.DEAD: "died", State.LEFT: "left"}[update.state]  # fmt: skip
+        if kind == "cleared" and known is not None and known.state is State.ALIVE:
+            kind = "raised"  # only its incarnation rose
+        self._emit_event(kind, update)
+
+    def _emit_event(self, kind: str, update: News) -> None:
+        self._actions.append(Told(kind, update.name, update.incarnation, update.reporter, update.address))
+
+    def _start_suspicion(self, update: News) -> None:
         settings = self.settings
-        self.figures.suspicions += 1
-        scale = max(1.0, math.log10(max(1, self._living)))
-        least = int(settings.suspicion * scale * settings.interval_us)
-        expected = min(settings.suspicion - 2, self._living - 2) if settings.confirm else 0
-        self._suspicions[news.name] = _Suspicion(
-            self.now, least, least * settings.suspicion_most, expected, {news.by}
+        self.counters.suspicions += 1
+        scale = max(1.0, math.log10(max(1, self._living_count)))
+        shortest_us = int(settings.suspicion_multiplier * scale * settings.interval_us)
+        expected_confirmations = (
+            min(settings.suspicion_multiplier - 2, self._living_count - 2) if settings.confirm else 0
+        )
+        self._suspicions[update.name] = _Suspicion(
+            self.now,
+            shortest_us,
+            shortest_us * settings.suspicion_max_multiplier,
+            expected_confirmations,
+            {update.reporter},
         )
 
-    def _confirm(self, news: News) -> None:
-        """Somebody else found the same by itself: the suspicion is shorter, and others hear of it too."""
-        suspicion = self._suspicions.get(news.name)
-        if suspicion is None or news.by in suspicion.by or len(suspicion.by) > suspicion.expected:
+    def _confirm_suspicion(self, update: News) -> None:
+        """Count an independent confirmation: it shortens the suspicion timeout and is gossiped too."""
+        suspicion = self._suspicions.get(update.name)
+        if (
+            suspicion is None
+            or update.reporter in suspicion.reporters
+            or len(suspicion.reporters) > suspicion.expected_confirmations
+        ):
             return
-        suspicion.by.add(news.by)
-        self._rumour(news)
+        suspicion.reporters.add(update.reporter)
+        self._queue_broadcast(update)
 
-    def _die(self, name: str) -> None:
+    def _declare_dead(self, name: str) -> None:
         del self._suspicions[name]
         known = self.members[name]
-        self.figures.deaths += 1
-        self._put(known, msgspec.structs.replace(known, state=State.DEAD, by=self.me.name))
+        self.counters.deaths += 1
+        self._apply(known, msgspec.structs.replace(known, state=State.DEAD, reporter=self.me.name))
 
-    def _of_me(self, news: News) -> None:
-        """What others say of this member."""
+    def _on_own_update(self, update: News) -> None:
+        """Handle an update about this member itself."""
         if self.leaving or self.back:
             return
-        if news.birth == self.me.birth:
-            if news.incarnation >= self.me.incarnation and news.state is not State.ALIVE:
-                self.figures.refuted += 1
-                self._healthier(1)
-                self._raise(news.incarnation)
+        if update.process_nonce == self.me.process_nonce:
+            if update.incarnation >= self.me.incarnation and update.state is not State.ALIVE:
+                self.counters.refutations += 1
+                self._adjust_health(1)
+                self._raise_incarnation(update.incarnation)
             return
-        if (news.incarnation, news.state) < (self.me.incarnation, self.me.state):
+        if (update.incarnation, update.state) < (self.me.incarnation, self.me.state):
             return
-        if news.state is not State.ALIVE or news.address == self.me.address:
-            # A former life of this member; at this address nobody else lives.
-            self._raise(news.incarnation)
-        elif news.birth not in self._clashes and len(self._clashes) < CLASHES_MOST:
-            # A former life at another address, or a twin: only asking tells.
-            until = self.now + 3 * self._scaled(self.settings.timeout_us)
-            self._clashes[news.birth] = (news, until)
-            self._send(news.address, self._clash(answer=False))
-
-    def _raise(self, above: int) -> None:
-        """Alive, with an incarnation that overrides what was heard."""
+        if update.state is not State.ALIVE or update.address == self.me.address:
+            # An earlier process of this member: no other process can have this address.
+            self._raise_incarnation(update.incarnation)
+        elif update.process_nonce not in self._conflicts and len(self._conflicts) < MAX_NAME_CONFLICTS:
+            # An earlier process at another address, or a duplicate name: only a query can tell.
+            until = self.now + 3 * self._scale_by_health(self.settings.timeout_us)
+            self._conflicts[update.process_nonce] = (update, until)
+            self._queue_send(update.address, self._name_conflict(is_reply=False))
+
+    def _raise_incarnation(self, above: int) -> None:
+        """Refute: stay alive with an incarnation above the one received."""
         self.me = msgspec.structs.replace(self.me, incarnation=max(above, self.me.incarnation) + 1)
         self.members[self.me.name] = self.me
-        self._reserve()
-        self._rumour(self.me)
+        self._reserve_incarnations()
+        self._queue_broadcast(self.me)
 
-    def _reserve(self) -> None:
-        if self.me.incarnation >= self.reserved:
-            self.reserved = self.me.incarnation + AHEAD
-            self._out.append(Keep(self.reserved))
+    def _reserve_incarnations(self) -> None:
+        if self.me.incarnation >= self.reserved_incarnation:
+            self.reserved_incarnation = self.me.incarnation + RESERVED_INCARNATIONS
+            self._actions.append(Keep(self.reserved_incarnation))
 
     # Two processes under one name
 
-    def _clash(self, answer: bool) -> Clash:
+    def _name_conflict(self, is_reply: bool) -> NameConflict:
         me = self.me
-        up_ms = max(0, self.now - self.began_us) // 1_000
-        return Clash(me.name, me.ip, me.port, me.birth, up_ms, answer)
+        up_ms = max(0, self.now - self.started_us) // 1_000
+        return NameConflict(me.name, me.ip, me.port, me.process_nonce, up_ms, is_reply)
 
-    def _on_clash(self, clash: Clash) -> None:
-        if clash.name != self.me.name or clash.birth == self.me.birth:
+    def _on_name_conflict(self, conflict: NameConflict) -> None:
+        if conflict.name != self.me.name or conflict.process_nonce == self.me.process_nonce:
             return
-        pending = self._clashes.pop(clash.birth, None)
-        mine = max(0, self.now - self.began_us) // 1_000
-        older = (mine, self.me.birth) > (clash.up_ms, clash.birth)
-        if not clash.answer:
-            self._send((clash.ip, clash.port), self._clash(answer=True))
+        pending = self._conflicts.pop(conflict.process_nonce, None)
+        own_up_ms = max(0, self.now - self.started_us) // 1_000
+        is_older = (own_up_ms, self.me.process_nonce) > (conflict.up_ms, conflict.process_nonce)
+        if not conflict.is_reply:
+            self._queue_send((conflict.ip, conflict.port), self._name_conflict(is_reply=True))
         if self.back:
             return
-        where = msgspec.structs.replace(
-            self.me, ip=clash.ip, port=clash.port, birth=clash.birth, by=self.me.name
+        other_process = msgspec.structs.replace(
+            self.me,
+            ip=conflict.ip,
+            port=conflict.port,
+            process_nonce=conflict.process_nonce,
+            reporter=self.me.name,
         )
-        if clash.birth not in self._twins and len(self._twins) < CLASHES_MOST:
-            self._twins.add(clash.birth)
-            self._tell("twin", where)
-        if older:
-            self._raise(max(self.me.incarnation, pending[0].incarnation if pending else 0))
+        if (
+            conflict.process_nonce not in self._reported_duplicates
+            and len(self._reported_duplicates) < MAX_NAME_CONFLICTS
+        ):
+            self._reported_duplicates.add(conflict.process_nonce)
+            self._emit_event("twin", other_process)
+        if is_older:
+            self._raise_incarnation(max(self.me.incarnation, pending[0].incarnation if pending else 0))
         else:
-            self._stand_back(where)
+            self._yield_name(other_process)
 
-    def _stand_back(self, other: News) -> None:
+    def _yield_name(self, other: News) -> None:
         self.back = True
         self.members[self.me.name] = other
         self._probe = None
-        self._rumours.clear()
+        self._broadcasts.clear()
         self._suspicions.clear()
-        self._favours.clear()
-        self._clashes.clear()
-        self._tell("back", other)
-
-    def _unanswered(self, birth: int) -> None:
-        news, _ = self._clashes.pop(birth)
-        self._raise(news.incarnation)  # nobody is there: a former life
-
-    # Spreading
-
-    def _rumour(self, news: News) -> None:
-        """Have it told. A newer state takes the place of older ones; confirmations stand beside each
-        other."""
-        key = (news.name, news.by if news.state is State.SUSPECT else "")
-        if news.state is not State.SUSPECT:
-            for old in [old for old in self._rumours if old[0] == news.name]:
-                del self._rumours[old]
+        self._relayed_pings.clear()
+        self._conflicts.clear()
+        self._emit_event("back", other)
+
+    def _conflict_unanswered(self, process_nonce: int) -> None:
+        update, _ = self._conflicts.pop(process_nonce)
+        self._raise_incarnation(update.incarnation)  # no answer: it was an earlier process
+
+    # Dissemination
+
+    def _queue_broadcast(self, update: News) -> None:
+        """Queue an update for gossip.
+
+        A newer state replaces older ones; confirmations of a suspicion are queued side by side.
+        """
+        key = (update.name, update.reporter if update.state is State.SUSPECT else "")
+        if update.state is not State.SUSPECT:
+            for old in [old for old in self._broadcasts if old[0] == update.name]:
+                del self._broadcasts[old]
         else:
-            self._rumours.pop((news.name, ""), None)
-        if len(self._rumours) >= 2 * self.settings.members_most:
-            self._rumours.popitem()
-        if not self._rumours:
+            self._broadcasts.pop((update.name, ""), None)
+        if len(self._broadcasts) >= 2 * self.settings.max_members:
+            self._broadcasts.popitem()
+        if not self._broadcasts:
             self._next_gossip_us = max(self._next_gossip_us, self.now)
-        self._rumours[key] = _Rumour(news, size(news))
-        self._rumours.move_to_end(key, last=False)  # the newest first
-
-    def _news(self, first: list[News] | None = None) -> list[News]:
-        """What goes with a datagram: `first`, then what has been told least, as much as there is room for."""
-        chosen = list(first or ())
-        room = DATAGRAM_MOST - ENVELOPE_MOST - WORDS_ROOM - 2 * size(self.me) - sum(map(size, chosen))
-        if not self._rumours:
+        self._broadcasts[key] = _Broadcast(update, encoded_size(update))
+        self._broadcasts.move_to_end(key, last=False)  # the newest first
+
+    def _piggyback(self, priority: list[News] | None = None) -> list[News]:
+        """Choose the updates for one datagram: `priority`, then the least transmitted that fit."""
+        chosen = list(priority or ())
+        remaining_bytes = (
+            MAX_DATAGRAM_BYTES
+            - MAX_ENVELOPE_BYTES
+            - MESSAGE_OVERHEAD_BYTES
+            - 2 * encoded_size(self.me)
+            - sum(map(encoded_size, chosen))
+        )
+        if not self._broadcasts:
             return chosen
-        most = self.settings.spread * math.ceil(math.log10(self._living + 1))
-        over = []
+        max_transmits = self.settings.retransmit_multiplier * math.ceil(math.log10(self._living_count + 1))
+        exhausted = []
         ranked = heapq.nsmallest(
-            NEWS_MOST - len(chosen), self._rumours.items(), key=lambda item: item[1].sent
+            MAX_UPDATES - len(chosen), self._broadcasts.items(), key=lambda item: item[1].sent
         )
-        for key, rumour in ranked:
-            if rumour.bytes > room:
+        for key, broadcast in ranked:
+            if broadcast.bytes > remaining_bytes:
                 continue
-            room -= rumour.bytes
-            chosen.append(rumour.news)
-            rumour.sent += 1
-            if rumour.sent >= most:
-                over.append(key)
-        for key in over:
-            del self._rumours[key]
+            remaining_bytes -= broadcast.bytes
+            chosen.append(broadcast.update)
+            broadcast.sent += 1
+            if broadcast.sent >= max_transmits:
+                exhausted.append(key)
+        for key in exhausted:
+            del self._broadcasts[key]
         return chosen
 
     def _gossip(self) -> None:
         self._next_gossip_us = self.now + self.settings.gossip_us
-        for name in self._others(self.settings.fanout):
-            news = self._news()
-            if not news:
+        for name in self._random_alive(self.settings.fanout):
+            updates = self._piggyback()
+            if not updates:
                 break
-            self._send(self.members[name].address, Gossip(news))
+            self._queue_send(self.members[name].address, Gossip(updates))
 
-    def _send(self, to: Address, word: Word) -> None:
-        self._out.append(Send(to, word))
+    def _queue_send(self, to: Address, message: Word) -> None:
+        self._actions.append(Send(to, message))
 
-    # Far ends
+    # Push-pull and reconnects
 
-    def _exchange(self, to: Address) -> None:
-        self._out.append(Exchange(to))
+    def _push_pull(self, to: Address) -> None:
+        self._actions.append(Exchange(to))
 
-    def _recall(self) -> None:
-        """Call on one that is held for dead, or on an address that was given to join by and nobody living
-        has: two halves of a healed partition find each other so, and a member that knew nobody its fleet."""
-        places = {news.address for news in self.members.values() if news.state is State.ALIVE}
-        lost = [address for address in self.join if address not in places]
-        dead = [news.address for news in self.members.values() if news.state is State.DEAD]
-        dead = [address for address in dead if address not in places]
-        if not lost and not dead:
+    def _reconnect(self) -> None:
+        """Contact a dead member, or a join address that no living member has.
+
+        This reunites the halves of a healed partition, and lets a member that knew nobody find its fleet.
+        """
+        living_addresses = {update.address for update in self.members.values() if update.state is State.ALIVE}
+        unreached = [address for address in self.join if address not in living_addresses]
+        dead = [update.address for update in self.members.values() if update.state is State.DEAD]
+        dead = [address for address in dead if address not in living_addresses]
+        if not unreached and not dead:
             return
-        # In turn from both: a long list of the dead does not hide the way to the fleet.
-        self._calls += 1
-        among = lost if lost and (not dead or self._calls % 2) else dead
-        self.figures.recalls += 1
-        self._exchange(among[self.random.randrange(len(among))])
-
-    def _sweep(self) -> None:
-        """Forget those that have been dead for long enough."""
+        # Alternate between both, so that many dead members do not delay the join addresses.
+        self._reconnect_count += 1
+        candidates = unreached if unreached and (not dead or self._reconnect_count % 2) else dead
+        self.counters.reconnects += 1
+        self._push_pull(candidates[self.random.randrange(len(candidates))])
+
+    def _forget_expired(self) -> None:
+        """Forget members that have been dead for longer than the retention time."""
         limit = self.now - self.settings.keep_us
-        for name in [name for name, news in self.members.items() if news.state >= State.DEAD]:
-            if self.since.get(name, self.began_us) < limit:
+        for name in [name for name, update in self.members.items() if update.state >= State.DEAD]:
+            if self.changed_us.get(name, self.started_us) < limit:
                 self._forget(name)
 
     def _forget(self, name: str) -> None:
         del self.members[name]
-        self.since.pop(name, None)
-        self.heard.pop(name, None)
+        self.changed_us.pop(name, None)
+        self.peer_digests.pop(name, None)
 
-    # Changes from its own side
+    # Local changes
 
     def leave(self, now: int) -> list[Action]:
-        """Go, and say so: the others need not find out."""
+        """Announce that this member leaves for good, so that the others need not detect it."""
         self.now = now
         if self.back or self.leaving:
             return []
         self.leaving = True
-        self.me = msgspec.structs.replace(self.me, state=State.LEFT, by=self.me.name)
+        self.me = msgspec.structs.replace(self.me, state=State.LEFT, reporter=self.me.name)
         self.members[self.me.name] = self.me
-        for name in self._others(2 * self.settings.fanout):
-            self._send(self.members[name].address, Gossip([self.me]))
+        for name in self._random_alive(2 * self.settings.fanout):
+            self._queue_send(self.members[name].address, Gossip([self.me]))
         return self._take()
 
-    def retime(self, settings: Settings, join: tuple[Address, ...]) -> None:
-        """Other times and addresses from here on."""
+    def reconfigure(self, settings: Settings, join: tuple[Address, ...]) -> None:
+        """Replace the settings and the join addresses."""
         self.settings = settings
-        self.join = join[:JOINS_MOST]
+        self.join = join[:MAX_JOIN_ADDRESSES]
 
     def seeded(self, members: Iterable[News]) -> None:
-        """Begin with these known to be alive: for measurements of a fleet that has settled."""
-        for news in members:
-            if news.name not in self.members:
-                self.members[news.name] = news
-                self.digest ^= _mark(news.name)
-                self._living += 1
-        self._order = list(self.members)
-        self.random.shuffle(self._order)
-        self._rumours.clear()
+        """Start with these members known to be alive, for measurements of a converged fleet."""
+        for update in members:
+            if update.name not in self.members:
+                self.members[update.name] = update
+                self.digest ^= _name_hash(update.name)
+                self._living_count += 1
+        self._probe_order = list(self.members)
+        self.random.shuffle(self._probe_order)
+        self._broadcasts.clear()
 
 
 def bound_us(settings: Settings, members: int, awake: bool = True) -> int:
-    """Within which every living member's view is exactly the living ones after the last fault: see the note.
-
-    `awake`: no member's local health is at its worst when it begins; else probes take up to nine times as
-    long."""
-    size_of = max(2, members)
-    slow = 1 if awake else HEALTH_MOST + 1
-    probes = math.ceil(math.log(1e6)) + 1  # so many rounds leave one in a million unprobed by anybody
+    """Return the time after the last fault by which every living member's view is exactly the living members.
+
+    docs/design/view.md derives it. Without `healthy`, members may start at their worst local health, at which
+    probes take nine times as long.
+    """
+    count = max(2, members)
+    slow = 1 if awake else MAX_LOCAL_HEALTH + 1
+    probes = math.ceil(math.log(1e6)) + 1  # after this many rounds one member in a million is unprobed
     detect = probes * settings.interval_us * slow
-    shortest = int(settings.suspicion * max(1.0, math.log10(size_of)) * settings.interval_us)
-    doubt = shortest * settings.suspicion_most  # nobody else may be there to confirm
-    rounds = 2 * settings.spread * math.ceil(math.log10(size_of + 1))
-    spread = rounds * settings.gossip_us + 2 * settings.interval_us * slow
-    found = 8 * int(1.5 * settings.recall_us) * 2  # recalls, half of which may go to join addresses
-    return detect + doubt + spread + found
+    shortest = int(settings.suspicion_multiplier * max(1.0, math.log10(count)) * settings.interval_us)
+    suspect = shortest * settings.suspicion_max_multiplier  # nobody else may be there to confirm
+    rounds = 2 * settings.retransmit_multiplier * math.ceil(math.log10(count + 1))
+    disseminate = rounds * settings.gossip_us + 2 * settings.interval_us * slow
+    reconnect = 8 * int(1.5 * settings.recall_us) * 2  # half of the attempts may go to join addresses
+    return detect + suspect + disseminate + reconnect
--- a/sorrelfront/decisions/fleet/words.py
+++ b/sorrelfront/decisions/fleet/words.py
@@ -1,8 +1,9 @@
-"""What members of a fleet say to each other, and its bounds. Types only; msgspec checks each value when it is
-read.
+"""Messages between members of a fleet, and their bounds.
 
-A word is an array whose first item names its kind. A further version may append fields with defaults: an
-older reader leaves out what it does not know (msgspec, "schema evolution")."""
+Types only; msgspec validates each value when it decodes it. A message is an array whose first item is its
+tag. A later version may append fields with defaults: an older reader ignores items that it does not know
+(msgspec, "schema evolution").
+"""
 
 from __future__ import annotations
 
@@ -16,19 +17,19 @@
 
 Address = tuple[str, int]
 
-DATAGRAM_MOST = 1_400  # bytes with everything: passes an Ethernet frame whole
-NAME_MOST = 128
-NEWS_MOST = 64  # items in one datagram
-MEMBERS_MOST = 8_192  # of a fleet, living and dead
+MAX_DATAGRAM_BYTES = 1_400  # with the envelope; fits one Ethernet frame without fragmentation
+MAX_NAME_LENGTH = 128  # characters
+MAX_UPDATES = 64  # piggybacked on one datagram
+MAX_MEMBERS = 8_192  # of one fleet, living and dead
 
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-Mark = Annotated[int, Meta(ge=0, le=2**63 - 1)]
+Hash = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
 
 
 class State(IntEnum):
-    """Of a member. At one incarnation the higher one overrides the lower."""
+    """State of a member; at one incarnation the higher state overrides the lower."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,9 +38,10 @@
 
 
 class News(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One member's state as somebody tells it.
+    """A member's state as reported by another member or by itself.
 
-    `birth` is drawn anew by each process; `by` is whoever found this state first hand.
+    `process_nonce` is drawn at random by each process; `reporter` is the member that observed this state
+    itself.
     """
 
     name: Name
@@ -47,139 +49,148 @@
     port: Port
     state: State
     incarnation: Count
-    birth: Mark
-    by: Annotated[str, Meta(max_length=NAME_MOST)] = ""
+    process_nonce: Hash
+    reporter: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
     version: Annotated[str, Meta(max_length=32)] = ""
 
     @property
     def address(self) -> Address:
+        """Return the IP address and port that the member listens on."""
         return self.ip, self.port
 
 
-Items = Annotated[list[News], Meta(max_length=NEWS_MOST)]
+Updates = Annotated[list[News], Meta(max_length=MAX_UPDATES)]
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p", gc=False):
-    """Are you there? Answered by an Ack to the sender's own address. `to`: whom it is meant for."""
+    """A probe, answered by an Ack to the sender's own address; `to` is the member it is meant for."""
 
     seq: Count
     sender: News
     to: Name
-    digest: Mark
-    news: Items
+    digest: Hash
+    updates: Updates
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="a", gc=False):
-    """I am; or, from a member that was asked, the one you asked about is."""
+    """The answer to a Ping, or to a PingRequest once the requested member has answered."""
 
     seq: Count
     name: Name
-    digest: Mark
-    news: Items
+    digest: Hash
+    updates: Updates
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="i", gc=False):
-    """Ping this one for me (SWIM's ping-req). Answered by its Ack, or by a Nack."""
+class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag="i", gc=False):
+    """A request to ping `to` on the sender's behalf (SWIM's ping-req), answered by an Ack or a Nack."""
 
     seq: Count
     sender: News
     to: Name
     ip: Annotated[str, Meta(max_length=15)]
     port: Port
-    news: Items
+    updates: Updates
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag="n", gc=False):
-    """I am well, and had no answer from the one you asked about (Lifeguard)."""
+    """The helper is alive but got no answer from the member that it was asked to ping (Lifeguard)."""
 
     seq: Count
     name: Name
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="g", gc=False):
-    """News alone."""
+    """Membership updates alone."""
 
-    news: Items
+    updates: Updates
 
 
-class Clash(msgspec.Struct, frozen=True, array_like=True, tag="c", gc=False):
-    """I go by your name. Whoever has been up for less stands back."""
+class NameConflict(msgspec.Struct, frozen=True, array_like=True, tag="c", gc=False):
+    """Two processes use one name; the one that has been up for less yields it."""
 
     name: Name
     ip: Annotated[str, Meta(max_length=15)]
     port: Port
-    birth: Mark
+    process_nonce: Hash
     up_ms: Count
-    answer: bool
+    is_reply: bool
 
 
-class Said(msgspec.Struct, frozen=True, array_like=True, tag="s", gc=False):
-    """A word about policy (`said.unpack`), in a datagram if it fits and alone on a connection if not.
+class PolicyMessage(msgspec.Struct, frozen=True, array_like=True, tag="s", gc=False):
+    """A policy message, in a datagram if it fits, else alone on a connection.
 
-    `terms` is a digest of who the voters are and how long a lease is. Risk: between two members whose files
-    differ in these, two majorities need have no voter in common."""
+    `terms_digest` covers the set of voters and the length of a lease. Between two members whose files differ
+    in these, two majorities need not share a voter.
+    """
 
     sender: Name
     to: Name
-    terms: Count
+    terms_digest: Count
     kind: Annotated[int, Meta(ge=0, le=255)]
-    word: bytes
+    payload: bytes
 
 
-class Copy(msgspec.Struct, frozen=True, array_like=True, tag="k", gc=False):
-    """A word about copies (`copies.unpack`), carried as `Said` is."""
+class ReplicationMessage(msgspec.Struct, frozen=True, array_like=True, tag="k", gc=False):
+    """A replication message, carried the same way as `PolicyMessage`."""
 
     sender: Name
     to: Name
-    word: bytes
+    payload: bytes
 
 
 class Whole(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """All that a member knows, for an exchange over a connection. `reply`: it is the answer."""
+    """A member's full state, for a push-pull exchange over a connection; `reply` marks the answer."""
 
     sender: News
-    members: Annotated[list[News], Meta(max_length=MEMBERS_MOST)]
+    members: Annotated[list[News], Meta(max_length=MAX_MEMBERS)]
     reply: bool
 
 
-Word = Ping | Ack | Ask | Nack | Gossip | Clash | Said | Copy
-EXCHANGE_MOST = MEMBERS_MOST * (2 * NAME_MOST + 96)  # bytes of a Whole at the most
+Word = Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyMessage | ReplicationMessage
+MAX_STATE_BYTES = MAX_MEMBERS * (2 * MAX_NAME_LENGTH + 96)  # of an encoded full state
 
 
 class Unreadable(SorrelfrontError):
-    """Bytes that are no word, and why."""
+    """Bytes that do not decode to a valid message; the text says why."""
 
     remedy = (
-        "Bring the members to versions of the program that may stand in one fleet; until "
-        "then the word is left out."
+        "Bring the members to versions of the program that are compatible within one fleet; until "
+        "then the message is ignored."
     )
 
 
-_word = msgspec.msgpack.Decoder(Word)
-_whole = msgspec.msgpack.Decoder(Whole | Said | Copy)
+_datagram_decoder = msgspec.msgpack.Decoder(Word)
+_stream_decoder = msgspec.msgpack.Decoder(Whole | PolicyMessage | ReplicationMessage)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def encode(word: Word | Whole) -> bytes:
-    return _encode(word)
+def encode(message: Word | Whole) -> bytes:
+    """Encode a message as MessagePack."""
+    return _encode(message)
 
 
-def size(news: News) -> int:
-    """Bytes that it takes in a datagram."""
-    return len(_encode(news))
+def encoded_size(update: News) -> int:
+    """Return the bytes that an update takes in a datagram."""
+    return len(_encode(update))
 
 
 def decode(data: bytes) -> Word:
-    """Raises Unreadable, and nothing else whatever the bytes are."""
+    """Decode a datagram's payload.
+
+    Raises MalformedMessage for any bytes that are no valid message, and no other exception.
+    """
     try:
-        return _word.decode(data)
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise Unreadable(str(fault)) from None
+        return _datagram_decoder.decode(data)
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise Unreadable(str(error)) from None
 
 
-def decode_whole(data: bytes) -> Whole | Said | Copy:
-    """What came alone on a connection. Raises Unreadable."""
+def decode_stream(data: bytes) -> Whole | PolicyMessage | ReplicationMessage:
+    """Decode a message received on a connection.
+
+    Raises MalformedMessage for any bytes that are no valid message, and no other exception.
+    """
     try:
-        return _whole.decode(data)  # type: ignore[no-any-return]
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise Unreadable(str(fault)) from None
+        return _stream_decoder.decode(data)  # type: ignore[no-any-return]
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise Unreadable(str(error)) from None
--- a/sorrelfront/fleet/__init__.py
+++ b/sorrelfront/fleet/__init__.py
@@ -1,2 +1,4 @@
-"""Between hosts: carries what members of a fleet say to each other. Decides nothing; off unless [fleet] is
-there."""
+"""Transport of messages between the members of a fleet on different hosts.
+
+It makes no decisions, and is off unless the configuration has a [fleet] table.
+"""
--- a/sorrelfront/fleet/carrier.py
+++ b/sorrelfront/fleet/carrier.py
@@ -1,5 +1,7 @@
-"""Carries one member's words: datagrams, exchanges over connections, and time. What to say is the view's to
-decide."""
+"""UDP and TCP transport of one member: datagrams, push-pull exchanges over connections, and timers.
+
+The view decides what is sent.
+"""
 
 from __future__ import annotations
 
@@ -15,123 +17,133 @@
 
 from sorrelfront.decisions.fleet.view import Action, Exchange, Keep, Send, Told, View
 from sorrelfront.decisions.fleet.words import (
-    DATAGRAM_MOST,
-    EXCHANGE_MOST,
+    MAX_DATAGRAM_BYTES,
+    MAX_STATE_BYTES,
     Address,
-    Copy,
-    Said,
+    PolicyMessage,
+    ReplicationMessage,
     State,
     Unreadable,
     Whole,
     Word,
     decode,
-    decode_whole,
+    decode_stream,
     encode,
 )
-from sorrelfront.fleet.envelope import OVERHEAD, Seal
+from sorrelfront.fleet.envelope import ENVELOPE_BYTES, EnvelopeCodec
 from sorrelfront.net.streams import end_stream
 
 log = logging.getLogger("sorrelfront.fleet")
 
-HEAD = struct.Struct(">I")  # length of what follows
-EXCHANGE_S = 2.0  # for a whole exchange
-EXCHANGES_MOST = 4  # of our own at once; further ones wait for the view to ask again
-PEERS_MOST = 16  # exchanges of others at once; further connections are closed
-PARCELS_MOST = 64  # words too long for a datagram, on their way at once; what comes beyond is lost
-WORDS_A_SECOND = 4_000  # datagrams that are looked at; what comes beyond is dropped unread
-EVENTS_MOST = 1_000  # remembered for whoever follows
-BIND_AGAIN_S = 0.1  # while another process, one that is being replaced, has the address
-TURN = 64  # datagrams that are read before others have their turn
-LEVELS = {"suspected": logging.INFO, "died": logging.WARNING, "twin": logging.ERROR, "back": logging.ERROR}
-WORDS = {
-    "joined": "%s is in the fleet", "cleared": "%s is well after all", "suspected": "%s does not answer",
+LENGTH_HEADER = struct.Struct(">I")  # number of bytes that follow
+PUSH_PULL_TIMEOUT_S = 2.0  # for one exchange, from connecting to the answer
+MAX_OUTGOING_PUSH_PULLS = 4  # started by this member; further ones wait until the view asks again
+MAX_INCOMING_CONNECTIONS = 16  # open at once; further connections are closed
+MAX_STREAM_MESSAGES = 64  # messages too long for a datagram, in flight at once; further ones are lost
+MAX_DATAGRAMS_PER_S = 4_000  # token bucket of received datagrams; further ones are dropped unread
+MAX_EVENTS = 1_000  # kept for subscribers
+BIND_RETRY_S = 0.1  # while a process that is being replaced still has the address
+MAX_DATAGRAMS_PER_WAKEUP = 64  # datagrams that are read before the event loop goes on
+LOG_LEVELS = {
+    "suspected": logging.INFO, "died": logging.WARNING, "twin": logging.ERROR, "back": logging.ERROR,
+}  # fmt: skip
+LOG_MESSAGES = {
+    "joined": "%s has joined the fleet", "cleared": "%s is no longer suspected",
+    "suspected": "%s does not answer",
     "died": "%s is held for dead", "left": "%s has left",
     "twin": "another process goes by the name %s", "back": "%s stands back for an older process of this name",
 }  # fmt: skip
 
 
 def now_us() -> int:
+    """Return the monotonic time in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
-class Carrier:
-    """One member on real sockets. UDP and TCP on the same address."""
+class MembershipTransport:
+    """One member's transport on real sockets, with UDP and TCP on the same address."""
+
+    def __init__(
+        self, view: View, envelope: EnvelopeCodec, listen: Address, persist: Callable[[int], None]
+    ) -> None:
+        """Create it without sockets; `start` opens them.
 
-    def __init__(self, view: View, seal: Seal, listen: Address, keep: Callable[[int], None]) -> None:
-        """`keep` is given the incarnation that the next life begins above. Use `start`."""
+        `persist` receives the incarnation above which the next process has to start.
+        """
         self.view = view
-        self.seal = seal
+        self.envelope = envelope
         self.listen = listen
-        self.events: deque[dict[str, Any]] = deque(maxlen=EVENTS_MOST)
-        self.count = 0  # events so far: the number of the latest
-        self.counts = dict.fromkeys(
+        self.events: deque[dict[str, Any]] = deque(maxlen=MAX_EVENTS)
+        self.event_count = 0  # events so far; also the number of the latest
+        self.counters = dict.fromkeys(
             ("sent", "sent_bytes", "heard", "heard_bytes", "strange", "unreadable", "too_many", "unsent"), 0
         )
-        self._keep = keep
+        self._persist = persist
         self._sock: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._due_us = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._peers: set[asyncio.Task[None]] = set()
-        self._ours = 0
-        self._parcels = 0
-        self.on_said: Callable[[Said], None] | None = None  # words about policy, if this member has a part
-        self.on_copy: Callable[[Copy], None] | None = None  # words about copies, if it keeps any
-        self._allowance = float(WORDS_A_SECOND)
-        self._refilled = time.monotonic()
+        self._incoming: set[asyncio.Task[None]] = set()
+        self._outgoing_push_pulls = 0
+        self._stream_messages_in_flight = 0
+        # Handlers of messages, if this member takes part in policy or in replication.
+        self.on_policy_message: Callable[[PolicyMessage], None] | None = None
+        self.on_replication_message: Callable[[ReplicationMessage], None] | None = None
+        self._tokens = float(MAX_DATAGRAMS_PER_S)
+        self._refilled_s = time.monotonic()
         self._closed = False
 
     async def start(self) -> None:
-        """Open the address, once it is free, and begin."""
-        told = False
+        """Bind the address, retrying while another process has it, and start the protocol."""
+        warned = False
         while not self._closed:
             try:
-                self._open()
+                self._bind()
                 break
-            except OSError as fault:
-                if not told:
-                    log.warning("%s:%d cannot be opened yet: %s", *self.listen, fault.strerror)
-                    told = True
-                await asyncio.sleep(BIND_AGAIN_S)
+            except OSError as error:
+                if not warned:
+                    log.warning("%s:%d cannot be bound yet: %s", *self.listen, error.strerror)
+                    warned = True
+                await asyncio.sleep(BIND_RETRY_S)
         if self._closed or self._sock is None:
             return
         self._server = await asyncio.start_server(self._serve, sock=self._tcp, limit=64 * 1024)
-        asyncio.get_running_loop().add_reader(self._sock.fileno(), self._readable)
-        self._do(self.view.on_time(now_us()))
+        asyncio.get_running_loop().add_reader(self._sock.fileno(), self._on_readable)
+        self._perform(self.view.on_time(now_us()))
 
-    def _open(self) -> None:
+    def _bind(self) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         try:
             sock.bind(self.listen)
-            self._tcp = socket.create_server(self.listen, backlog=PEERS_MOST)
+            self._tcp = socket.create_server(self.listen, backlog=MAX_INCOMING_CONNECTIONS)
         except OSError:
             sock.close()
             raise
         self._tcp.setblocking(False)
         self._sock = sock
 
-    def spawn(self, work: Any) -> None:
-        """A task that ends with this carrier."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine as a task that is cancelled when this transport closes."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("the view's carrier failed", exc_info=task.exception())
+            log.error("a task of the membership transport failed", exc_info=task.exception())
 
     def close(self, leave: bool = False) -> None:
-        """Say nothing more; before that, if `leave`, that this member goes for good."""
+        """Close all sockets and tasks; with `leave`, first announce that this member leaves for good."""
         if self._closed:
             return
         if leave and self._sock is not None:
-            self._do(self.view.leave(now_us()))
+            self._perform(self.view.leave(now_us()))
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        for task in [*self._tasks, *self._peers]:
+        for task in [*self._tasks, *self._incoming]:
             task.cancel()
         if self._sock is not None:
             asyncio.get_running_loop().remove_reader(self._sock.fileno())
@@ -140,121 +152,126 @@
         if self._server is not None:
             self._server.close()
 
-    # In
+    # Receiving
 
-    def _readable(self) -> None:
-        for _ in range(TURN):
+    def _on_readable(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             if self._sock is None:
                 return
             try:
-                data, _ = self._sock.recvfrom(DATAGRAM_MOST + 1)
+                data, _ = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
-                continue  # a port that nobody listens at, told by the kernel
-            self._one(data)
+                continue  # an ICMP error for an earlier datagram: the port was closed
+            self._receive_datagram(data)
         self._schedule()
 
-    def _one(self, data: bytes) -> None:
+    def _receive_datagram(self, data: bytes) -> None:
         now = time.monotonic()
-        self._allowance = min(WORDS_A_SECOND, self._allowance + (now - self._refilled) * WORDS_A_SECOND)
-        self._refilled = now
-        if self._allowance < 1:
-            self.counts["too_many"] += 1
+        self._tokens = min(MAX_DATAGRAMS_PER_S, self._tokens + (now - self._refilled_s) * MAX_DATAGRAMS_PER_S)
+        self._refilled_s = now
+        if self._tokens < 1:
+            self.counters["too_many"] += 1
             return
-        self._allowance -= 1
-        payload = self.seal.open(data) if len(data) <= DATAGRAM_MOST else None
+        self._tokens -= 1
+        payload = self.envelope.unwrap(data) if len(data) <= MAX_DATAGRAM_BYTES else None
         if payload is None:
-            self.counts["strange"] += 1
+            self.counters["strange"] += 1
             return
         try:
-            word = decode(payload)
+            message = decode(payload)
         except Unreadable:
-            self.counts["unreadable"] += 1
+            self.counters["unreadable"] += 1
             return
-        self.counts["heard"] += 1
-        self.counts["heard_bytes"] += len(data)
-        self._heard_word(word)
-
-    def _heard_word(self, word: Word) -> None:
-        if isinstance(word, Copy):
-            if self.on_copy is not None and word.to == self.view.me.name and not self.view.back:
-                self.on_copy(word)
-        elif not isinstance(word, Said):
-            self._do(self.view.on_word(word, now_us()))
-        elif self.on_said is not None and word.to == self.view.me.name and not self.view.back:
-            self.on_said(word)
-
-    # Out
-
-    def say(self, said: Said | Copy) -> None:
-        """To the member that it names, wherever the view has it; a word may be lost on the way."""
-        news = self.view.members.get(said.to)
-        if news is None or self._closed or self.view.back:
-            self.counts["unsent"] += 1
+        self.counters["heard"] += 1
+        self.counters["heard_bytes"] += len(data)
+        self._dispatch(message)
+
+    def _dispatch(self, message: Word) -> None:
+        if isinstance(message, ReplicationMessage):
+            if (
+                self.on_replication_message is not None
+                and message.to == self.view.me.name
+                and not self.view.back
+            ):
+                self.on_replication_message(message)
+        elif not isinstance(message, PolicyMessage):
+            self._perform(self.view.on_word(message, now_us()))
+        elif self.on_policy_message is not None and message.to == self.view.me.name and not self.view.back:
+            self.on_policy_message(message)
+
+    # Sending
+
+    def send(self, message: PolicyMessage | ReplicationMessage) -> None:
+        """Send a message to the member that it names, at its address in the view; it may be lost."""
+        member = self.view.members.get(message.to)
+        if member is None or self._closed or self.view.back:
+            self.counters["unsent"] += 1
             return
-        data = self.seal.close(encode(said))
-        if len(data) <= DATAGRAM_MOST:
-            self._send(news.address, data)
-        elif self._parcels < PARCELS_MOST:
-            self._parcels += 1
-            self.spawn(self._parcel(news.address, data))
+        data = self.envelope.wrap(encode(message))
+        if len(data) <= MAX_DATAGRAM_BYTES:
+            self._send_datagram(member.address, data)
+        elif self._stream_messages_in_flight < MAX_STREAM_MESSAGES:
+            self._stream_messages_in_flight += 1
+            self.spawn(self._send_stream(member.address, data))
         else:
-            self.counts["unsent"] += 1
+            self.counters["unsent"] += 1
 
-    async def _parcel(self, to: Address, data: bytes) -> None:
-        """One word alone on a connection."""
+    async def _send_stream(self, to: Address, data: bytes) -> None:
+        """Send one message alone on a connection."""
         try:
-            async with asyncio.timeout(EXCHANGE_S):
+            async with asyncio.timeout(PUSH_PULL_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(*to, local_addr=(self.listen[0], 0))
                 try:
-                    writer.write(HEAD.pack(len(data)) + data)
-                    self.counts["sent_bytes"] += len(data)
+                    writer.write(LENGTH_HEADER.pack(len(data)) + data)
+                    self.counters["sent_bytes"] += len(data)
                     await writer.drain()
                 finally:
                     await end_stream(writer)
         except OSError:
-            self.counts["unsent"] += 1
+            self.counters["unsent"] += 1
         finally:
-            self._parcels -= 1
+            self._stream_messages_in_flight -= 1
 
-    def _do(self, actions: list[Action]) -> None:
+    def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Send(to, word):
-                    self._send(to, self.seal.close(encode(word)))
+                case Send(to, message):
+                    self._send_datagram(to, self.envelope.wrap(encode(message)))
                 case Exchange(to):
-                    if self._ours < EXCHANGES_MOST:
-                        self._ours += 1
-                        self.spawn(self._exchange(to))
+                    if self._outgoing_push_pulls < MAX_OUTGOING_PUSH_PULLS:
+                        self._outgoing_push_pulls += 1
+                        self.spawn(self._push_pull(to))
                 case Keep(incarnation):
-                    self._keep(incarnation)
+                    self._persist(incarnation)
                 case Told():
-                    self._tell(action)
+                    self._record_event(action)
         self._schedule()
 
-    def _send(self, to: Address, data: bytes) -> None:
+    def _send_datagram(self, to: Address, data: bytes) -> None:
         if self._sock is None:
             return
         try:
             self._sock.sendto(data, to)
-            self.counts["sent"] += 1
-            self.counts["sent_bytes"] += len(data)
-        except OSError:  # a full buffer, or nobody there: as good as lost on the way
-            self.counts["unsent"] += 1
+            self.counters["sent"] += 1
+            self.counters["sent_bytes"] += len(data)
+        except OSError:  # a full buffer, or a closed port: the same as a lost datagram
+            self.counters["unsent"] += 1
 
-    def _tell(self, told: Told) -> None:
-        if told.what == "raised":
+    def _record_event(self, event: Told) -> None:
+        if event.kind == "raised":
             return
-        self.count += 1
+        self.event_count += 1
         self.events.append(
             {
-                "number": self.count, "at": time.time(), "what": told.what, "name": told.name,
-                "incarnation": told.incarnation, "by": told.by, "address": "{}:{}".format(*told.address),
+                "number": self.event_count, "at": time.time(), "what": event.kind, "name": event.name,
+                "incarnation": event.incarnation, "by": event.reporter,
+                "address": "{}:{}".format(*event.address),
             }
         )  # fmt: skip
-        about = {"member": told.name, "by": told.by}
-        log.log(LEVELS.get(told.what, logging.INFO), WORDS[told.what], told.name, extra=about)
+        context = {"member": event.name, "by": event.reporter}
+        log.log(LOG_LEVELS.get(event.kind, logging.INFO), LOG_MESSAGES[event.kind], event.name, extra=context)
 
     def _schedule(self) -> None:
         if self._closed or self._sock is None:
@@ -266,17 +283,17 @@
             self._timer.cancel()
         self._due_us = due
         delay = max(0.0, (due - now_us()) / 1e6)
-        self._timer = asyncio.get_running_loop().call_later(delay, self._on_time)
+        self._timer = asyncio.get_running_loop().call_later(delay, self._on_timer)
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._do(self.view.on_time(now_us()))
+        self._perform(self.view.on_time(now_us()))
 
-    # Exchanges
+    # Push-pull exchanges
 
-    async def _exchange(self, to: Address) -> None:
+    async def _push_pull(self, to: Address) -> None:
         try:
-            async with asyncio.timeout(EXCHANGE_S):
+            async with asyncio.timeout(PUSH_PULL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(
                     *to, local_addr=(self.listen[0], 0), limit=64 * 1024
                 )
@@ -286,27 +303,27 @@
                 finally:
                     await end_stream(writer)
             if isinstance(answer, Whole) and answer.reply:
-                self._do(self.view.on_whole(answer, now_us()))
+                self._perform(self.view.on_whole(answer, now_us()))
         except (OSError, asyncio.IncompleteReadError):
-            pass  # nobody there: the view calls again
+            pass  # unreachable: the view tries again
         finally:
-            self._ours -= 1
+            self._outgoing_push_pulls -= 1
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        if len(self._peers) >= PEERS_MOST or self._closed:
-            self.counts["too_many"] += 1
+        if len(self._incoming) >= MAX_INCOMING_CONNECTIONS or self._closed:
+            self.counters["too_many"] += 1
             writer.transport.abort()
             return
-        self._peers.add(task)
+        self._incoming.add(task)
         try:
-            async with asyncio.timeout(EXCHANGE_S):
-                asked = await self._read(reader)
-                if isinstance(asked, Said | Copy):
-                    self._heard_word(asked)
-                elif asked is not None and not asked.reply:
-                    self._do(self.view.on_whole(asked, now_us()))
+            async with asyncio.timeout(PUSH_PULL_TIMEOUT_S):
+                request = await self._read(reader)
+                if isinstance(request, PolicyMessage | ReplicationMessage):
+                    self._dispatch(request)
+                elif request is not None and not request.reply:
+                    self._perform(self.view.on_whole(request, now_us()))
                     self._write(writer, self.view.whole(reply=True))
                     await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -314,65 +331,66 @@
         finally:
             with contextlib.suppress(asyncio.CancelledError):
                 await end_stream(writer)
-            self._peers.discard(task)
+            self._incoming.discard(task)
 
     def _write(self, writer: asyncio.StreamWriter, whole: Whole) -> None:
-        data = self.seal.close(encode(whole))
-        writer.write(HEAD.pack(len(data)) + data)
-        self.counts["sent_bytes"] += len(data)
-
-    async def _read(self, reader: asyncio.StreamReader) -> Whole | Said | Copy | None:
-        """What the other side knows or says; None if it is none of this fleet's."""
-        (length,) = HEAD.unpack(await reader.readexactly(HEAD.size))
-        if not OVERHEAD < length <= EXCHANGE_MOST + OVERHEAD:
-            self.counts["strange"] += 1
+        data = self.envelope.wrap(encode(whole))
+        writer.write(LENGTH_HEADER.pack(len(data)) + data)
+        self.counters["sent_bytes"] += len(data)
+
+    async def _read(self, reader: asyncio.StreamReader) -> Whole | PolicyMessage | ReplicationMessage | None:
+        """Read the peer's message, or None if it is invalid or from another fleet."""
+        (length,) = LENGTH_HEADER.unpack(await reader.readexactly(LENGTH_HEADER.size))
+        if not ENVELOPE_BYTES < length <= MAX_STATE_BYTES + ENVELOPE_BYTES:
+            self.counters["strange"] += 1
             return None
         data = await reader.readexactly(length)
-        payload = self.seal.open(data)
+        payload = self.envelope.unwrap(data)
         if payload is None:
-            self.counts["strange"] += 1
+            self.counters["strange"] += 1
             return None
         try:
-            whole = decode_whole(payload)
+            whole = decode_stream(payload)
         except Unreadable:
-            self.counts["unreadable"] += 1
+            self.counters["unreadable"] += 1
             return None
-        self.counts["heard_bytes"] += len(data)
+        self.counters["heard_bytes"] += len(data)
         return whole
 
-    # Told
+    # Reporting
 
     def members(self) -> list[dict[str, Any]]:
-        """For `ctl members`: every member known, this one's view of it."""
+        """Return a row for each known member, as this member sees it, for `ctl members`."""
         view = self.view
         now = now_us()
         rows = []
         for name in sorted(view.members):
-            news = view.members[name]
-            heard = view.heard.get(name)
-            since = view.since.get(name, view.began_us)
+            member = view.members[name]
+            digest = view.peer_digests.get(name)
+            changed_us = view.changed_us.get(name, view.started_us)
             rows.append(
                 {
                     "name": name, "host": name.rpartition("/")[0] or name,
-                    "address": f"{news.ip}:{news.port}",
-                    "state": State(news.state).name.lower(), "incarnation": news.incarnation,
-                    "for_s": round(max(0, now - since) / 1e6, 3), "version": news.version,
-                    "agrees": name == view.me.name or heard == view.digest,
+                    "address": f"{member.ip}:{member.port}",
+                    "state": State(member.state).name.lower(), "incarnation": member.incarnation,
+                    "for_s": round(max(0, now - changed_us) / 1e6, 3), "version": member.version,
+                    "agrees": name == view.me.name or digest == view.digest,
                 }
             )  # fmt: skip
         return rows
 
     def told(self, after: int) -> list[dict[str, Any]]:
-        """Events since this number."""
+        """Return the events with numbers above `after`."""
         return [event for event in self.events if event["number"] > after]
 
     def figures(self) -> dict[str, Any]:
-        """For status: what it holds and what it refused."""
+        """Return the sizes and counters for the status."""
         view = self.view
         return {
             "members": view.living, "agreeing": view.agreeing(), "known": len(view.members),
             "health": view.health,
             "back": view.back, "incarnation": view.me.incarnation,
-            "tasks": len(self._tasks) + len(self._peers), **self.counts,
-            "refused": view.figures.refused, "deaths": view.figures.deaths, "refuted": view.figures.refuted,
+            "tasks": len(self._tasks) + len(self._incoming), **self.counters,
+            "refused": view.counters.rejected, "deaths": view.counters.deaths,
+            "refuted": view.counters.refutations,
         }  # fmt: skip
--- a/sorrelfront/fleet/envelope.py
+++ b/sorrelfront/fleet/envelope.py
@@ -1,12 +1,12 @@
-"""What is around each word between members: a version, and a hash keyed by the fleet's key and name.
+"""The envelope of each message between members: a version, and a hash keyed by the fleet's key and name.
 
     version  1 byte      1
     hash     16 bytes    BLAKE2b (RFC 7693) of version and payload, keyed
     payload  the rest
 
-The fleet's name goes in as the salt, so members of another fleet are never heard, whatever their key. A
-version that is not known here is left out in silence: members of two versions may stand in one fleet while it
-is replaced."""
+The fleet's name is the salt, so messages of another fleet are never accepted, whatever their key. A message
+of an unknown version is ignored silently: one fleet may have members of two versions during an upgrade.
+"""
 
 from __future__ import annotations
 
@@ -20,76 +20,89 @@
 from sorrelfront.errors import SorrelfrontError
 
 VERSION = 1
-HASH = 16
-OVERHEAD = 1 + HASH
-KEY_LEAST, KEY_MOST = 16, 64  # bytes of a key; BLAKE2b takes 64 at most
-KEYS_MOST = 2  # the one in use, and the one before it
-PERSON = b"sorrelfront-view"
+HASH_BYTES = 16
+ENVELOPE_BYTES = 1 + HASH_BYTES
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # BLAKE2b takes 64 at most
+MAX_KEYS = 2  # the current one and the previous one
+HASH_PERSONALIZATION = b"sorrelfront-view"
 
 
 class BadKey(SorrelfrontError):
-    """A key file that cannot be used, in one line."""
+    """A key file that cannot be used; the text says why in one line."""
 
     remedy = (
-        "Write one or two lines of 16 to 64 bytes into the key file, and make it this "
-        "user's alone with mode 0600."
+        "Write one or two lines of 16 to 64 bytes into the key file, and restrict it to this "
+        "user with mode 0600."
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Seal:
-    """Puts words into envelopes by the first key, and opens those of any."""
+class EnvelopeCodec:
+    """Wraps payloads with the first key, and unwraps envelopes of any key."""
 
     fleet: str
     keys: tuple[bytes, ...] = (b"",)
 
     def _hash(self, key: bytes, version: int, payload: bytes) -> bytes:
         salt = hashlib.blake2b(self.fleet.encode(), digest_size=16).digest()
-        made = hashlib.blake2b(bytes([version]), digest_size=HASH, key=key, salt=salt, person=PERSON)
-        made.update(payload)
-        return made.digest()
-
-    def close(self, payload: bytes) -> bytes:
+        keyed_hash = hashlib.blake2b(
+            bytes([version]), digest_size=HASH_BYTES, key=key, salt=salt, person=HASH_PERSONALIZATION
+        )
+        keyed_hash.update(payload)
+        return keyed_hash.digest()
+
+    def wrap(self, payload: bytes) -> bytes:
+        """Return the payload in an envelope."""
         return bytes([VERSION]) + self._hash(self.keys[0], VERSION, payload) + payload
 
-    def open(self, data: bytes) -> bytes | None:
-        """The payload, or None: cut, spoilt, of another version, another fleet or another key."""
-        if len(data) <= OVERHEAD or data[0] != VERSION:
+    def unwrap(self, data: bytes) -> bytes | None:
+        """Return the payload, or None if the data is cut, corrupt, or of another version, fleet or key."""
+        if len(data) <= ENVELOPE_BYTES or data[0] != VERSION:
             return None
-        told, payload = data[1:OVERHEAD], data[OVERHEAD:]
+        received_hash, payload = data[1:ENVELOPE_BYTES], data[ENVELOPE_BYTES:]
         for key in self.keys:
-            # In constant time: nobody learns a hash byte by byte.
-            if hmac.compare_digest(told, self._hash(key, VERSION, payload)):
+            # In constant time, so that timing does not reveal a hash byte by byte.
+            if hmac.compare_digest(received_hash, self._hash(key, VERSION, payload)):
                 return payload
         return None
 
 
-def keys(path: str) -> tuple[bytes, ...]:
-    """The keys in this file, one a line, the first in use: text of 16 to 64 bytes. Only its owner may read
-    it. Raises BadKey."""
+def read_keys(path: str) -> tuple[bytes, ...]:
+    """Read the keys of a key file: one or two lines of 16 to 64 bytes, the first of which is current.
+
+    An empty path means no key. Raises InvalidKeyFile, also if anybody but the owner may read the file.
+    """
     if not path:
         return (b"",)
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
         with open(descriptor, "rb") as file:
-            told = os.fstat(descriptor)
-            if not stat.S_ISREG(told.st_mode) or told.st_uid not in (0, os.geteuid()) or told.st_mode & 0o077:
+            status = os.fstat(descriptor)
+            if (
+                not stat.S_ISREG(status.st_mode)
+                or status.st_uid not in (0, os.geteuid())
+                or status.st_mode & 0o077
+            ):
                 raise BadKey(
-                    f"{path}: must be a plain file of this user's that nobody else may read (mode 0600)"
+                    f"{path}: must be a regular file of this user that nobody else may read (mode 0600)"
                 )
             lines = [line.strip() for line in file.read(4_096).split(b"\n")]
-    except OSError as fault:
-        raise BadKey(f"{path}: {fault.strerror}") from None
-    found = tuple(line for line in lines if line)
-    if not found or len(found) > KEYS_MOST or any(not KEY_LEAST <= len(key) <= KEY_MOST for key in found):
-        raise BadKey(f"{path}: must hold one or two lines of {KEY_LEAST} to {KEY_MOST} bytes")
-    return found
-
-
-def readable(path: Path) -> str | None:
-    """What is wrong with this key file, or None."""
+    except OSError as error:
+        raise BadKey(f"{path}: {error.strerror}") from None
+    file_keys = tuple(line for line in lines if line)
+    if (
+        not file_keys
+        or len(file_keys) > MAX_KEYS
+        or any(not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in file_keys)
+    ):
+        raise BadKey(f"{path}: must hold one or two lines of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+    return file_keys
+
+
+def key_file_error(path: Path) -> str | None:
+    """Return what is wrong with a key file, or None if it is valid."""
     try:
-        keys(str(path))
-    except BadKey as bad:
-        return str(bad)
+        read_keys(str(path))
+    except BadKey as error:
+        return str(error)
     return None
--- a/sorrelfront/fleet/member.py
+++ b/sorrelfront/fleet/member.py
@@ -1,4 +1,4 @@
-"""One instance's membership in its fleet, put together from the terms that its supervisor gives it."""
+"""One instance's membership in its fleet, built from the settings that its supervisor passes on."""
 
 from __future__ import annotations
 
@@ -13,19 +13,26 @@
 from sorrelfront.decisions.fleet.policy import Word
 from sorrelfront.decisions.fleet.said import pack, unpack
 from sorrelfront.decisions.fleet.view import Settings, View
-from sorrelfront.decisions.fleet.words import Address, Copy, News, Said, State, Unreadable
-from sorrelfront.fleet.carrier import Carrier, now_us
+from sorrelfront.decisions.fleet.words import (
+    Address,
+    News,
+    PolicyMessage,
+    ReplicationMessage,
+    State,
+    Unreadable,
+)
+from sorrelfront.fleet.carrier import MembershipTransport, now_us
 from sorrelfront.fleet.council import Council
-from sorrelfront.fleet.envelope import Seal, keys
+from sorrelfront.fleet.envelope import EnvelopeCodec, read_keys
 from sorrelfront.lists import parse_address
 
 log = logging.getLogger("sorrelfront.fleet")
 
-FIXED = ("name", "listen", "advertise", "member")  # what a member keeps for its life
+IMMUTABLE_SETTINGS = ("name", "listen", "advertise", "member")  # settings that a running member cannot change
 
 
-def settings(table: dict[str, Any]) -> Settings:
-    """The times of the file's [fleet]."""
+def view_settings(table: dict[str, Any]) -> Settings:
+    """Convert the times of the configuration's [fleet] table."""
     return replace(
         Settings(),
         interval_us=int(table["probe_ms"] * 1_000),
@@ -37,74 +44,81 @@
     )
 
 
-def places(table: dict[str, Any]) -> tuple[Address, ...]:
-    """The addresses to join by; its own among them does no harm."""
+def join_addresses(table: dict[str, Any]) -> tuple[Address, ...]:
+    """Return the addresses to join by; they may include this member's own."""
     return tuple(parse_address(item) for item in table["join"])
 
 
 class Member:
-    """This instance in its fleet."""
+    """This instance as a member of its fleet."""
 
     def __init__(
-        self, table: dict[str, Any], incarnation: int, version: str, keep: Callable[[int], None]
+        self, table: dict[str, Any], incarnation: int, version: str, persist: Callable[[int], None]
     ) -> None:
-        """`incarnation`: the one that an earlier life has kept, or 0. Raises envelope.BadKey."""
+        """Create the member; `start` opens its sockets.
+
+        `incarnation`: the one that an earlier process persisted, or 0. Raises envelope.InvalidKeyFile.
+        """
         self.table = table
-        seal = Seal(table["name"], keys(table["key_file"]))
+        envelope = EnvelopeCodec(table["name"], read_keys(table["key_file"]))
         ip, port = parse_address(table["advertise"])
         me = News(
             table["member"], ip, port, State.ALIVE, incarnation + 1, SystemRandom().getrandbits(63),
             version=version[:32],
         )  # fmt: skip
-        random = Random(int.from_bytes(os.urandom(8), "big"))  # no two members act alike
-        view = View(me, settings(table), random, now_us(), places(table))
-        self.carrier = Carrier(view, seal, parse_address(table["listen"]), keep)
+        random = Random(int.from_bytes(os.urandom(8), "big"))  # so that members do not act in step
+        view = View(me, view_settings(table), random, now_us(), join_addresses(table))
+        self.carrier = MembershipTransport(view, envelope, parse_address(table["listen"]), persist)
 
     def start(self) -> None:
+        """Start the transport in the background."""
         self.carrier.spawn(self.carrier.start())
 
     def change(self, table: dict[str, Any]) -> None:
-        """Go by other keys, times and addresses to join by. Raises envelope.BadKey."""
-        seal = Seal(table["name"], keys(table["key_file"]))
-        self.carrier.seal = seal
-        self.carrier.view.retime(settings(table), places(table))
+        """Apply other keys, times and join addresses; raises envelope.InvalidKeyFile."""
+        envelope = EnvelopeCodec(table["name"], read_keys(table["key_file"]))
+        self.carrier.envelope = envelope
+        self.carrier.view.reconfigure(view_settings(table), join_addresses(table))
         self.table = table
 
-    # Copies
+    # Replication
 
-    def keep(self, hear: Callable[[str, bytes], None]) -> Callable[[str, bytes], None]:
-        """Have words about copies handed over; returns by what this member says them."""
-        self.carrier.on_copy = lambda copy: hear(copy.sender, copy.word)
-        return lambda to, data: self.carrier.say(Copy(self.carrier.view.me.name, to, data))
+    def keep(self, receive: Callable[[str, bytes], None]) -> Callable[[str, bytes], None]:
+        """Register the handler of replication messages; return the function that sends them."""
+        self.carrier.on_replication_message = lambda message: receive(message.sender, message.payload)
+        return lambda to, data: self.carrier.send(ReplicationMessage(self.carrier.view.me.name, to, data))
 
     # Policy
 
     def sit(self, council: Council) -> None:
-        """Have this member take part in the fleet's policy."""
-        self._terms = terms_of(council.voters, council.lease_us)
+        """Connect this member with the fleet's policy."""
+        self._terms_digest = terms_digest(council.voters, council.lease_us)
         self._council = council
-        self.strangers = 0
-        self.carrier.on_said = self._said
-
-    def say(self, to: str, word: Word) -> None:
-        kind, data = pack(word)
-        self.carrier.say(Said(self.carrier.view.me.name, to, self._terms, kind, data))
-
-    def _said(self, said: Said) -> None:
-        if said.terms != self._terms:
-            self.strangers += 1
-            if self.strangers == 1:
-                log.error("%s has other voters or another lease_ms in its file; it is not heard", said.sender)
+        self.mismatches = 0
+        self.carrier.on_policy_message = self._on_policy_message
+
+    def say(self, to: str, message: Word) -> None:
+        """Send a policy message to a member; it may be lost."""
+        kind, data = pack(message)
+        self.carrier.send(PolicyMessage(self.carrier.view.me.name, to, self._terms_digest, kind, data))
+
+    def _on_policy_message(self, message: PolicyMessage) -> None:
+        if message.terms_digest != self._terms_digest:
+            self.mismatches += 1
+            if self.mismatches == 1:
+                log.error(
+                    "%s has other voters or another lease_ms in its file; it is not heard", message.sender
+                )
             return
         try:
-            word = unpack(said.kind, said.word)
+            decoded = unpack(message.kind, message.payload)
         except Unreadable:
-            self.carrier.counts["unreadable"] += 1
+            self.carrier.counters["unreadable"] += 1
             return
-        self._council.hear(said.sender, word)
+        self._council.hear(message.sender, decoded)
 
 
-def terms_of(voters: tuple[str, ...], lease_us: int) -> int:
-    """A digest of what all members have to agree on before they agree on anything."""
-    told = "\n".join([str(lease_us), *sorted(voters)])
-    return int.from_bytes(blake2b(told.encode(), digest_size=6).digest(), "big")
+def terms_digest(voters: tuple[str, ...], lease_us: int) -> int:
+    """Return a digest of the settings that all members must share for agreement to be safe."""
+    text = "\n".join([str(lease_us), *sorted(voters)])
+    return int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
--- a/tests/fleet/test_seats.py
+++ b/tests/fleet/test_seats.py
@@ -1,4 +1,4 @@
-"""Places by the view: the same for all who see the same, few moves, and none while the view still changes."""
+"""Ring positions from the view: equal for equal views, with few moves, and none while the view changes."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 NAMES = [f"h{host}/i{number}" for host in range(40) for number in range(4)]
 
 
-def test_places_depend_on_the_names_alone_and_are_all_different() -> None:
+def test_positions_depend_on_the_names_alone_and_are_distinct() -> None:
     for count in (1, 2, 3, 64, 65, 160):
         names = NAMES[:count]
-        found = places(names)
-        assert found == places(Random(count).sample(names, count))
-        assert len(set(found.values())) == count
-        assert all(0 <= point < POINTS for point in found.values())
+        positions = places(names)
+        assert positions == places(Random(count).sample(names, count))
+        assert len(set(positions.values())) == count
+        assert all(0 <= point < POINTS for point in positions.values())
 
 
-def moved(before: int, after: int) -> int:
-    one, other = places(NAMES[:before]), places(NAMES[:after])
-    return sum(one[name] != other[name] for name in NAMES[: min(before, after)])
+def count_moved(before: int, after: int) -> int:
+    old, new = places(NAMES[:before]), places(NAMES[:after])
+    return sum(old[name] != new[name] for name in NAMES[: min(before, after)])
 
 
-def test_one_that_joins_or_leaves_moves_a_few() -> None:
+def test_join_or_leave_moves_few_members() -> None:
     for step in (1, -1):
-        moves = [moved(count, count + step) for count in range(20, 64)]
+        moves = [count_moved(count, count + step) for count in range(20, 64)]
         assert sum(moves) / len(moves) <= 5
         assert max(moves) <= 20
-    far = [moved(count, count + 1) for count in range(130, 150)]
-    assert sum(far) / len(far) <= 2
+    large = [count_moved(count, count + 1) for count in range(130, 150)]
+    assert sum(large) / len(large) <= 2
 
 
-def test_gaps_are_as_even_as_those_of_seats_that_a_service_keeps() -> None:
+def test_gaps_are_as_even_as_those_of_a_coordination_service() -> None:
     for count in (3, 50, 64):
         points = sorted(places(NAMES[:count]).values())
         gaps = [b - a for a, b in pairwise([*points, points[0] + POINTS])]
         assert max(gaps) <= 2 * min(gaps)
 
 
-def test_more_members_than_the_ring_has_room_for_are_refused() -> None:
+def test_more_members_than_the_ring_can_hold_are_refused() -> None:
     with pytest.raises(ValueError, match="members on a ring"):
         places([str(number) for number in range(POINTS // 2 + 1)])
 
 
-def test_a_seat_is_taken_once_the_view_has_rested() -> None:
-    seat = Seat("h0/i0", rest_us=100)
+def test_position_is_taken_once_the_view_is_stable() -> None:
+    seat = Seat("h0/i0", settle_us=100)
     assert seat.on_view(NAMES[:4], 0) is None
-    assert seat.on_view(NAMES[:5], 90) is None  # it changed: the rest begins anew
+    assert seat.on_view(NAMES[:5], 90) is None  # the view changed: the wait starts again
     assert seat.on_view(NAMES[:5], 150) is None
     assert seat.on_view(NAMES[:5], 190) == places(NAMES[:5])["h0/i0"]
-    assert seat.on_view(NAMES[:5], 900) is None  # nothing new
+    assert seat.on_view(NAMES[:5], 900) is None  # unchanged
     assert seat.on_view(NAMES[1:5], 1_000) is None
-    assert seat.on_view(NAMES[1:5], 2_000) is None  # it does not see itself: it stands back, and stays
+    assert seat.on_view(NAMES[1:5], 2_000) is None  # not in its own view: it keeps its position
