--- a/sorrelfront/decisions/fleet/view.py
+++ b/sorrelfront/decisions/fleet/view.py
@@ -125,10 +125,10 @@
     @property
     def deadline_us(self) -> int:
         """The end of the timeout, which falls with the logarithm of the confirmations (Lifeguard)."""
-        found = len(self.reporters) - 1
+        confirmations = len(self.reporters) - 1
         if self.expected_confirmations <= 0:
             return self.started_us + self.min_us
-        share = math.log(found + 1) / math.log(self.expected_confirmations + 1)
+        share = math.log(confirmations + 1) / math.log(self.expected_confirmations + 1)
         return self.started_us + max(self.min_us, int(self.max_us - share * (self.max_us - self.min_us)))
 
 
@@ -216,7 +216,7 @@
         self._next_push_pull_us = self.now + self._jitter_us(self.settings.exchange_us)
         # Jitter, so that members started together do not contact one address at the same instant.
         self._next_reconnect_us = self.now + self.random.randrange(1 + self.settings.recall_us // 4)
-        self._next_sweep_us = self.now + self.settings.keep_us // 8
+        self._next_expiry_us = self.now + self.settings.keep_us // 8
         self._suspicions: dict[str, _Suspicion] = {}
         self._broadcasts: OrderedDict[tuple[str, str], _Broadcast] = OrderedDict()
         self._relayed_pings: dict[int, _RelayedPing] = {}
@@ -262,7 +262,7 @@
         """Return the time at which `on_timer` is due next."""
         if self.back:
             return self.now + 3_600_000_000
-        due = [self._next_probe_us, self._next_push_pull_us, self._next_reconnect_us, self._next_sweep_us]
+        due = [self._next_probe_us, self._next_push_pull_us, self._next_reconnect_us, self._next_expiry_us]
         if self._broadcasts:
             due.append(self._next_gossip_us)
         if self._probe is not None:
@@ -289,10 +289,8 @@
             self._queue_send(relayed.to, Nack(relayed.seq, relayed.name))
         for name in [name for name, item in self._suspicions.items() if item.deadline_us <= now]:
             self._declare_dead(name)
-        for process_nonce in [
-            process_nonce for process_nonce, (_, until) in self._conflicts.items() if until <= now
-        ]:
-            self._conflict_unanswered(process_nonce)
+        for nonce in [nonce for nonce, (_, until) in self._conflicts.items() if until <= now]:
+            self._conflict_unanswered(nonce)
         if self._broadcasts and self._next_gossip_us <= now:
             self._gossip()
         if self._next_push_pull_us <= now:
@@ -303,8 +301,8 @@
         if self._next_reconnect_us <= now:
             self._next_reconnect_us = now + self._jitter_us(self.settings.recall_us)
             self._reconnect()
-        if self._next_sweep_us <= now:
-            self._next_sweep_us = now + self.settings.keep_us // 8
+        if self._next_expiry_us <= now:
+            self._next_expiry_us = now + self.settings.keep_us // 8
             self._forget_expired()
         return self._take()
 
--- a/sorrelfront/decisions/fleet/words.py
+++ b/sorrelfront/decisions/fleet/words.py
@@ -73,7 +73,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="a", gc=False):
-    """The answer to a Ping, or to a PingRequest once the requested member has answered."""
+    """The answer to a Ping, or to a PingRequest once the member in question has answered."""
 
     seq: Count
     name: Name
@@ -116,8 +116,8 @@
     is_reply: bool
 
 
-class PolicyMessage(msgspec.Struct, frozen=True, array_like=True, tag="s", gc=False):
-    """A policy message, in a datagram if it fits, else alone on a connection.
+class PolicyFrame(msgspec.Struct, frozen=True, array_like=True, tag="s", gc=False):
+    """Carries an encoded policy message, in a datagram if it fits, else alone on a connection.
 
     `terms_digest` covers the set of voters and the length of a lease. Between two members whose files differ
     in these, two majorities need not share a voter.
@@ -130,8 +130,8 @@
     payload: bytes
 
 
-class ReplicationMessage(msgspec.Struct, frozen=True, array_like=True, tag="k", gc=False):
-    """A replication message, carried the same way as `PolicyMessage`."""
+class ReplicationFrame(msgspec.Struct, frozen=True, array_like=True, tag="k", gc=False):
+    """Carries an encoded replication message, sent the same way as `PolicyFrame`."""
 
     sender: Name
     to: Name
@@ -146,8 +146,8 @@
     reply: bool
 
 
-Word = Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyMessage | ReplicationMessage
-MAX_STATE_BYTES = MAX_MEMBERS * (2 * MAX_NAME_LENGTH + 96)  # of an encoded full state
+Word = Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyFrame | ReplicationFrame
+MAX_STATE_BYTES = MAX_MEMBERS * (2 * MAX_NAME_LENGTH + 96)  # size limit of an encoded full state
 
 
 class Unreadable(SorrelfrontError):
@@ -160,7 +160,7 @@
 
 
 _datagram_decoder = msgspec.msgpack.Decoder(Word)
-_stream_decoder = msgspec.msgpack.Decoder(Whole | PolicyMessage | ReplicationMessage)
+_stream_decoder = msgspec.msgpack.Decoder(Whole | PolicyFrame | ReplicationFrame)
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -185,7 +185,7 @@
         raise Unreadable(str(error)) from None
 
 
-def decode_stream(data: bytes) -> Whole | PolicyMessage | ReplicationMessage:
+def decode_stream(data: bytes) -> Whole | PolicyFrame | ReplicationFrame:
     """Decode a message received on a connection.
 
     Raises MalformedMessage for any bytes that are no valid message, and no other exception.
--- a/sorrelfront/fleet/carrier.py
+++ b/sorrelfront/fleet/carrier.py
@@ -20,8 +20,8 @@
     MAX_DATAGRAM_BYTES,
     MAX_STATE_BYTES,
     Address,
-    PolicyMessage,
-    ReplicationMessage,
+    PolicyFrame,
+    ReplicationFrame,
     State,
     Unreadable,
     Whole,
@@ -88,8 +88,8 @@
         self._outgoing_push_pulls = 0
         self._stream_messages_in_flight = 0
         # Handlers of messages, if this member takes part in policy or in replication.
-        self.on_policy_message: Callable[[PolicyMessage], None] | None = None
-        self.on_replication_message: Callable[[ReplicationMessage], None] | None = None
+        self.on_policy_message: Callable[[PolicyFrame], None] | None = None
+        self.on_replication_message: Callable[[ReplicationFrame], None] | None = None
         self._tokens = float(MAX_DATAGRAMS_PER_S)
         self._refilled_s = time.monotonic()
         self._closed = False
@@ -189,21 +189,21 @@
         self._dispatch(message)
 
     def _dispatch(self, message: Word) -> None:
-        if isinstance(message, ReplicationMessage):
+        if isinstance(message, ReplicationFrame):
             if (
                 self.on_replication_message is not None
                 and message.to == self.view.me.name
                 and not self.view.back
             ):
                 self.on_replication_message(message)
-        elif not isinstance(message, PolicyMessage):
+        elif not isinstance(message, PolicyFrame):
             self._perform(self.view.on_word(message, now_us()))
         elif self.on_policy_message is not None and message.to == self.view.me.name and not self.view.back:
             self.on_policy_message(message)
 
     # Sending
 
-    def send(self, message: PolicyMessage | ReplicationMessage) -> None:
+    def send(self, message: PolicyFrame | ReplicationFrame) -> None:
         """Send a message to the member that it names, at its address in the view; it may be lost."""
         member = self.view.members.get(message.to)
         if member is None or self._closed or self.view.back:
@@ -320,7 +320,7 @@
         try:
             async with asyncio.timeout(PUSH_PULL_TIMEOUT_S):
                 request = await self._read(reader)
-                if isinstance(request, PolicyMessage | ReplicationMessage):
+                if isinstance(request, PolicyFrame | ReplicationFrame):
                     self._dispatch(request)
                 elif request is not None and not request.reply:
                     self._perform(self.view.on_whole(request, now_us()))
@@ -333,12 +333,12 @@
                 await end_stream(writer)
             self._incoming.discard(task)
 
-    def _write(self, writer: asyncio.StreamWriter, whole: Whole) -> None:
-        data = self.envelope.wrap(encode(whole))
+    def _write(self, writer: asyncio.StreamWriter, state: Whole) -> None:
+        data = self.envelope.wrap(encode(state))
         writer.write(LENGTH_HEADER.pack(len(data)) + data)
         self.counters["sent_bytes"] += len(data)
 
-    async def _read(self, reader: asyncio.StreamReader) -> Whole | PolicyMessage | ReplicationMessage | None:
+    async def _read(self, reader: asyncio.StreamReader) -> Whole | PolicyFrame | ReplicationFrame | None:
         """Read the peer's message, or None if it is invalid or from another fleet."""
         (length,) = LENGTH_HEADER.unpack(await reader.readexactly(LENGTH_HEADER.size))
         if not ENVELOPE_BYTES < length <= MAX_STATE_BYTES + ENVELOPE_BYTES:
@@ -350,12 +350,12 @@
             self.counters["strange"] += 1
             return None
         try:
-            whole = decode_stream(payload)
+            message = decode_stream(payload)
         except Unreadable:
             self.counters["unreadable"] += 1
             return None
         self.counters["heard_bytes"] += len(data)
-        return whole
+        return message
 
     # Reporting
 
--- a/sorrelfront/fleet/member.py
+++ b/sorrelfront/fleet/member.py
@@ -16,8 +16,8 @@
 from sorrelfront.decisions.fleet.words import (
     Address,
     News,
-    PolicyMessage,
-    ReplicationMessage,
+    PolicyFrame,
+    ReplicationFrame,
     State,
     Unreadable,
 )
@@ -86,7 +86,7 @@
     def keep(self, receive: Callable[[str, bytes], None]) -> Callable[[str, bytes], None]:
         """Register the handler of replication messages; return the function that sends them."""
         self.carrier.on_replication_message = lambda message: receive(message.sender, message.payload)
-        return lambda to, data: self.carrier.send(ReplicationMessage(self.carrier.view.me.name, to, data))
+        return lambda to, data: self.carrier.send(ReplicationFrame(self.carrier.view.me.name, to, data))
 
     # Policy
 
@@ -100,9 +100,9 @@
     def say(self, to: str, message: Word) -> None:
         """Send a policy message to a member; it may be lost."""
         kind, data = pack(message)
-        self.carrier.send(PolicyMessage(self.carrier.view.me.name, to, self._terms_digest, kind, data))
+        self.carrier.send(PolicyFrame(self.carrier.view.me.name, to, self._terms_digest, kind, data))
 
-    def _on_policy_message(self, message: PolicyMessage) -> None:
+    def _on_policy_message(self, message: PolicyFrame) -> None:
         if message.terms_digest != self._terms_digest:
             self.mismatches += 1
             if self.mismatches == 1:
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -13,16 +13,16 @@
     NameConflict,
     Ping,
     PingRequest,
-    PolicyMessage,
-    ReplicationMessage,
+    PolicyFrame,
+    ReplicationFrame,
     Unreadable,
 )
 
 
 def test_older_version_rejects_replication_messages(monkeypatch: pytest.MonkeyPatch) -> None:
-    older = msgspec.msgpack.Decoder(Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyMessage)
-    data = words.encode(ReplicationMessage("a/i0", "b/i0", b"word"))
-    assert words.decode(data) == ReplicationMessage("a/i0", "b/i0", b"word")
+    older = msgspec.msgpack.Decoder(Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyFrame)
+    data = words.encode(ReplicationFrame("a/i0", "b/i0", b"word"))
+    assert words.decode(data) == ReplicationFrame("a/i0", "b/i0", b"word")
     monkeypatch.setattr(words, "_datagram_decoder", older)
     with pytest.raises(Unreadable):
         words.decode(data)
@@ -31,4 +31,4 @@
 def test_appended_fields_of_a_newer_version_are_ignored() -> None:
     kind, sender, to, payload = "k", "a/i0", "b/i0", b"word"
     data = msgspec.msgpack.encode([kind, sender, to, payload, "more", 7])
-    assert words.decode(data) == ReplicationMessage(sender, to, payload)
+    assert words.decode(data) == ReplicationFrame(sender, to, payload)
