--- a/sorrelfront/decisions/sites/__init__.py
+++ b/sorrelfront/decisions/sites/__init__.py
@@ -1,2 +1,4 @@
-"""What partner sites decide of each other: under which terms one lends to another, and which routes follow.
-No I/O, no clock, no keys: signatures are made and checked by functions that are handed in."""
+"""Routing between partner sites: the terms under which one lends to another, and the resulting routes.
+
+No I/O, clocks or keys: signatures are made and verified by functions that are passed in.
+"""
--- a/sorrelfront/decisions/sites/offers.py
+++ b/sorrelfront/decisions/sites/offers.py
@@ -1,9 +1,11 @@
-"""Signed offers of sites, the chain of those who passed one on, and what is wrong with a chain. No I/O.
+"""Signed offers of sites, the chains of hops that re-advertise them, and the validation of chains. No I/O.
 
-An offer is its owner's word. Whoever passes it on signs a hop: to whom, under which terms, in which relation
-to the one before and the one after, over the digest of all that stands before (as path attestations do, RFC
-8205). So nobody can claim another's name, a way that was not taken or terms that were not given; what a
-hostile site can do is to withhold, and to pass on what it has no right to, which its own signature shows."""
+An offer is signed by its owner. Each site that re-advertises it signs a hop: the next site, the terms and
+its relations to the previous and the next site, over a digest of everything before (as BGPsec path
+attestations do, RFC 8205). So no site can forge another's name, a path that was not taken or terms that were
+not given. A hostile site can only withhold offers, or re-advertise what it must not, which its own signature
+proves.
+"""
 
 from __future__ import annotations
 
@@ -15,28 +17,30 @@
 import msgspec
 from msgspec import Meta
 
-from sorrelfront.decisions.sites.terms import NAME_MOST, RATE_MOST, SiteName, Terms, canonical, within
+from sorrelfront.decisions.sites.terms import MAX_NAME_LENGTH, MAX_RATE, SiteName, Terms, canonical, within
 
-HOPS_MOST = 7  # sites that passed an offer on; with its owner and its reader a way has nine
-COST_MOST = 1_000_000
-COUNT_MOST = 2**63 - 1
-CHAINS_MOST = 4_096  # in one Tell; one with more is refused whole
-FORGED_MOST = 16  # of one answer, that are looked at
-SIGNATURE = 64  # bytes (Ed25519, RFC 8032)
+MAX_HOPS = 7  # sites that re-advertised an offer; a path has nine with its owner and its reader
+MAX_COST = 1_000_000
+MAX_COUNT = 2**63 - 1
+CHAINS_MOST = 4_096  # chains in one advertisement; one with more is refused whole
+MAX_FORGED = 16  # bad signatures in one advertisement before the rest is rejected unverified
+SIGNATURE_BYTES = 64  # bytes (Ed25519, RFC 8032)
 
-Count = Annotated[int, Meta(ge=0, le=COUNT_MOST)]
-Text = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-Cost = Annotated[int, Meta(ge=1, le=COST_MOST)]  # at least one: a longer way is always dearer
-Signature = Annotated[bytes, Meta(max_length=SIGNATURE)]
-Place = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]  # host:port
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+Text = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Cost = Annotated[int, Meta(ge=1, le=MAX_COST)]  # at least one: a longer path always costs more
+Signature = Annotated[bytes, Meta(max_length=SIGNATURE_BYTES)]
+HostPort = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]  # host:port
 
 Sign = Callable[[bytes], bytes]
-Verify = Callable[[str, bytes, bytes], bool]  # site, signature, what it signed
+Verify = Callable[[str, bytes, bytes], bool]  # site, signature, signed data
 
 
 class Relation(IntEnum):
-    """What a site is to another (Gao and Rexford 2001; roles of RFC 9234), in the order of preference: one's
-    customers are lent to, and what they offer is passed on to everybody; peers and providers lend."""
+    """What a site is to another (Gao and Rexford 2001; roles of RFC 9234), in order of preference.
+
+    A site lends to its customers and re-advertises their offers to everybody; peers and providers lend to it.
+    """
 
     CUSTOMER = 0
     PEER = 1
@@ -44,19 +48,25 @@
 
     @property
     def other_way(self) -> Relation:
+        """The same relation as the other site sees it."""
         return Relation(2 - self)
 
 
 class OfferId(NamedTuple):
+    """Identifies an offer: its owner, the gateway that makes it, and its name there."""
+
     owner: str
     gateway: str
     name: str
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What one gateway of a site lends. `epoch` and `birth` are those of the gateway's life, `version` grows
-    with each change of what it offers, `stamp_ms` counts elapsed time in its life. `group`: who drops repeats
-    of a key there; empty for nobody."""
+    """What one gateway of a site lends.
+
+    `epoch` and `birth` (its boot id) identify the gateway's incarnation, `version` grows with each change of
+    its offers, and `stamp_ms` is the time since the incarnation started. `group` is the scope in which
+    repeated idempotency keys are dropped there; empty for none.
+    """
 
     owner: SiteName
     gateway: Text
@@ -66,57 +76,61 @@
     version: Count
     stamp_ms: Count
     cost: Cost
-    capacity: Annotated[int, Meta(ge=1, le=RATE_MOST)]
-    group: Annotated[str, Meta(max_length=NAME_MOST)]
+    capacity: Annotated[int, Meta(ge=1, le=MAX_RATE)]
+    group: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
     terms: Terms
     signature: Signature = b""
 
     @property
     def id(self) -> OfferId:
+        """The id under which all versions of this offer are known."""
         return OfferId(self.owner, self.gateway, self.name)
 
     @property
     def age(self) -> tuple[int, int]:
-        """Of two states of one offer the one that is higher in this is newer."""
+        """Epoch and version: of two states of one offer, the one with the higher pair is newer."""
         return self.epoch, self.version
 
 
 class Hop(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One that passed an offer on to `next`. `learnt`: what the one before is to it; `told`: what `next` is
-    to it."""
+    """A site that re-advertised an offer to `next`.
+
+    `import_relation` is what the previous site is to it, `export_relation` what `next` is to it.
+    """
 
     site: SiteName
     next: SiteName
-    learnt: Relation
-    told: Relation
+    import_relation: Relation
+    export_relation: Relation
     cost: Cost
     terms: Terms
     signature: Signature = b""
 
 
 class Chain(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """An offer, by the way on which it came."""
+    """An offer with the hops by which it was received, in order from the owner."""
 
     offer: Offer
-    hops: Annotated[tuple[Hop, ...], Meta(max_length=HOPS_MOST)] = ()
+    hops: Annotated[tuple[Hop, ...], Meta(max_length=MAX_HOPS)] = ()
 
     @property
     def terms(self) -> Terms:
-        """What is left of the owner's."""
+        """The terms after the last hop: the owner's, as narrowed on the path."""
         return self.hops[-1].terms if self.hops else self.offer.terms
 
     @property
     def sites(self) -> tuple[str, ...]:
-        """From the one that told it to the owner."""
+        """The path from the site that advertised it to the owner."""
         return (*(hop.site for hop in reversed(self.hops)), self.offer.owner)
 
     @property
     def cost(self) -> int:
+        """The offer's cost plus that of each hop."""
         return self.offer.cost + sum(hop.cost for hop in self.hops)
 
 
 class Why(Enum):
-    """Why a chain is not used. Each has a remedy for operators in `REMEDY`."""
+    """Why a chain is not used. `REMEDY` has what an operator can do about each."""
 
     UNKNOWN_SITE = "a site on its way has no key here"
     SIGNATURE = "a signature on its way is not that of the site it names"
@@ -172,44 +186,49 @@
 
 
 def signed(offer: Offer, sign: Sign) -> Offer:
+    """Return the offer with its owner's signature."""
     return msgspec.structs.replace(offer, signature=sign(_offer_bytes(offer)))
 
 
 def passed_on(chain: Chain, hop: Hop, sign: Sign) -> Chain:
-    """The chain with a hop more, signed. Says nothing of whether that is allowed."""
+    """Return the chain with one more signed hop; whether that is allowed is not checked."""
     data = _hop_bytes(_encode(chain), hop)
     return Chain(chain.offer, (*chain.hops, msgspec.structs.replace(hop, signature=sign(data))))
 
 
-def content(offer: Offer) -> bytes:
-    """A digest of all that two words of one state must agree in."""
+def content_digest(offer: Offer) -> bytes:
+    """Digest everything that two copies of one state must agree in: all but the stamp and the signature."""
     plain = msgspec.structs.replace(offer, signature=b"", stamp_ms=0)
     return hashlib.blake2b(_encode(plain), digest_size=8).digest()
 
 
-def digest(chain: Chain) -> bytes:
+def chain_digest(chain: Chain) -> bytes:
+    """Digest a chain with all its signatures."""
     return hashlib.blake2b(_encode(chain), digest_size=16).digest()
 
 
 def prove(
     chains: Iterable[Chain], verify: Verify, known: Callable[[str], bool], good: Container[bytes]
 ) -> list[Why | None]:
-    """`authentic` of each. This is what costs, and may be done in a thread: it changes nothing. `good`:
-    digests of chains that were found authentic before. After FORGED_MOST bad signatures the rest is held to
-    be as bad without a look. Risk: a site that sends thousands of forged chains has them all checked."""
+    """Return the `signature_fault` of each chain.
+
+    This is the expensive part of validation. It changes no state, so it may run in a thread. `good` has the
+    digests of chains verified before. After MAX_FORGED bad signatures the remaining chains are rejected
+    unverified, so that a site cannot use up CPU time by sending thousands of forged chains.
+    """
     found: list[Why | None] = []
     forged = 0
     for chain in chains:
         why = None
-        if digest(chain) not in good:
-            why = Why.SIGNATURE if forged >= FORGED_MOST else authentic(chain, verify, known)
+        if chain_digest(chain) not in good:
+            why = Why.SIGNATURE if forged >= MAX_FORGED else signature_fault(chain, verify, known)
             forged += why is Why.SIGNATURE
         found.append(why)
     return found
 
 
-def authentic(chain: Chain, verify: Verify, known: Callable[[str], bool]) -> Why | None:
-    """What is wrong with its signatures. This costs; `fault` says the rest."""
+def signature_fault(chain: Chain, verify: Verify, known: Callable[[str], bool]) -> Why | None:
+    """Return what is wrong with the chain's signatures; expensive. `fault` checks everything else."""
     if not all(known(site) for site in chain.sites):
         return Why.UNKNOWN_SITE
     offer = chain.offer
@@ -224,8 +243,14 @@
 
 
 def fault(chain: Chain, me: str, teller: str, relation: Relation) -> Why | None:
-    """What the chain's own words show to be against the rules, whoever says so. `relation`: what the teller
-    is to this site."""
+    """Return which rule the chain's contents break, apart from its signatures.
+
+    Args:
+        chain: The chain to check.
+        me: This site.
+        teller: The site that advertised the chain.
+        relation: What the advertising site is to this one.
+    """
     sites = chain.sites
     if sites[0] != teller or (chain.hops and chain.hops[-1].next != me):
         return Why.ADDRESSEE
@@ -243,23 +268,28 @@
             return Why.NOT_PASSED_ON
         if not within(hop.terms, allowed):
             return Why.WIDENED
-        if not may_tell(hop.learnt, hop.told):
+        if not may_tell(hop.import_relation, hop.export_relation):
             return Why.VALLEY
         allowed, learnt_by = hop.terms, hop.next
-    if chain.hops and chain.hops[-1].told != relation.other_way:
+    if chain.hops and chain.hops[-1].export_relation != relation.other_way:
         return Why.ROLE
     return Why.EMPTY if allowed.empty else None
 
 
 def may_tell(learnt: Relation, told: Relation) -> bool:
-    """Gao and Rexford's rule for passing on: what customers offer goes to everybody, all else to customers.
-    Under it, with customers preferred and no circle of providers, every order of events settles."""
+    """Whether an offer learned from one relation may be advertised to another (Gao-Rexford export rule).
+
+    Customers' offers go to everybody, all others to customers only. With customers preferred and no cycle of
+    providers, routing then converges for every order of events.
+    """
     return learnt is Relation.CUSTOMER or told is Relation.CUSTOMER
 
 
 def circle(providers: dict[str, frozenset[str]]) -> list[str]:
-    """Sites of which each has the next one for a provider, and the last one the first; empty if there is no
-    such circle. The first found in the order of names."""
+    """Return a cycle of sites in which each one's provider is the next; empty if there is none.
+
+    Of several cycles the first in the order of names is returned.
+    """
     done: set[str] = set()
     for start in sorted(providers):
         way: list[str] = []
--- a/sorrelfront/decisions/sites/passage.py
+++ b/sorrelfront/decisions/sites/passage.py
@@ -1,7 +1,8 @@
-"""Whether a request from a partner is let in at a gateway, and by what. No I/O.
+"""Admission of requests from partners at a gateway. No I/O.
 
-The gateway of the owner has the last word: whatever others believe of an offer, and for however long, a
-request is served by the terms that the owner's file has now. One that is turned away here never ran."""
+The owner's gateway decides: whatever other sites believe about an offer, and for however long, a request is
+admitted by the terms that the owner's file has now. A request that is rejected here has not been executed.
+"""
 
 from __future__ import annotations
 
@@ -12,18 +13,18 @@
 from enum import Enum
 from typing import NamedTuple
 
-from sorrelfront.decisions.sites.routes import PATH_MOST, Lent, Partner
-from sorrelfront.decisions.sites.terms import NAME_MOST, RATE_MOST
+from sorrelfront.decisions.sites.routes import MAX_PATH_SITES, Lent, Partner
+from sorrelfront.decisions.sites.terms import MAX_NAME_LENGTH, MAX_RATE
 
-PATH = re.compile(r"[a-z0-9][a-z0-9-]*(,[a-z0-9][a-z0-9-]*)*")
+PATH_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]*(,[a-z0-9][a-z0-9-]*)*")
 SECOND_US = 1_000_000
-BURST = 0.2  # of an offer's rate, that may come at once; the rest comes evenly
-FULL_US = 500_000  # when a gateway is full: about how long until it is worth another try
-NEVER_US = 30_000_000  # what terms forbid may be allowed after a change of them, which takes a person
+BURST_SHARE = 0.2  # fraction of an offer's rate that may arrive as a burst; the rest is spread evenly
+FULL_US = 500_000  # retry delay when a gateway is full: about when a slot should be free
+FORBIDDEN_RETRY_US = 30_000_000  # retry delay when the terms forbid a request: an operator has to change them
 
 
-class Turned(Enum):
-    """Why a request from a partner was turned away."""
+class Rejection(Enum):
+    """Why a request from a partner was rejected."""
 
     PATH = "its path cannot be read"
     STRANGER = "it does not come from a partner that was told so"
@@ -34,42 +35,42 @@
 
 
 class Away(NamedTuple):
-    """Turned away: nothing has run. Worth another try after this time."""
+    """Rejected without having been executed; may be retried after `retry_after_us`."""
 
-    why: Turned
+    why: Rejection
     retry_after_us: int
 
 
 class In(NamedTuple):
-    """Let in, by this offer of this gateway's; None: on its way to another site's."""
+    """Admitted under this offer of the gateway; None if it is to be forwarded to another site."""
 
     offer: str | None
 
 
 @dataclass(slots=True)
 class _Bucket:
-    """Of an offer's rate (a token bucket; Turner 1986)."""
+    """Token bucket for the rate of one offer (Turner 1986)."""
 
     tokens: float
     at_us: int
 
 
 def parse_path(text: str) -> tuple[str, ...] | None:
-    """The sites that a request has come through, where it began first; None if that cannot be read."""
-    if len(text) > PATH_MOST * (NAME_MOST + 1) or PATH.fullmatch(text) is None:
+    """Return the sites that a request has passed, its origin first; None if the text is malformed."""
+    if len(text) > MAX_PATH_SITES * (MAX_NAME_LENGTH + 1) or PATH_PATTERN.fullmatch(text) is None:
         return None
     sites = tuple(text.split(","))
-    good = len(sites) <= PATH_MOST and len(set(sites)) == len(sites)
-    return sites if good and all(len(site) <= NAME_MOST for site in sites) else None
+    good = len(sites) <= MAX_PATH_SITES and len(set(sites)) == len(sites)
+    return sites if good and all(len(site) <= MAX_NAME_LENGTH for site in sites) else None
 
 
 class Passage:
-    """Lets requests in, one by one, and counts those that are inside."""
+    """Admits requests one by one and counts those in flight."""
 
     def __init__(self, site: str) -> None:
         self.site = site
-        self.inside: dict[str, int] = {}  # by offer
-        self.counts = dict.fromkeys((item.name.lower() for item in Turned), 0) | {"own": 0, "through": 0}
+        self.inside: dict[str, int] = {}  # requests in flight by offer
+        self.counts = dict.fromkeys((item.name.lower() for item in Rejection), 0) | {"own": 0, "through": 0}
         self._buckets: dict[str, _Bucket] = {}
 
     def judge(
@@ -82,8 +83,19 @@
         through: bool,
         now: int,
     ) -> In | Away:
-        """`partner`: whose ticket it bears, if that is a good one. `path`: where it has come through.
-        `through`: there are routes by which it may go on. What is let in has to be told as `left`."""
+        """Admit or reject a request.
+
+        Call `left` for every request admitted under an offer once it is answered.
+
+        Args:
+            partner: The partner whose valid ticket the request carries; None if it carries none.
+            path: The sites that the request has passed; None if that was malformed.
+            cls: The request class.
+            partners: All partners by name.
+            lent: The offers of this gateway by name.
+            through: Whether there are routes by which the request may be forwarded.
+            now: Microseconds.
+        """
         found = self._judge(partner, path, cls, partners, lent, through, now)
         if isinstance(found, Away):
             self.counts[found.why.name.lower()] += 1
@@ -105,33 +117,35 @@
         now: int,
     ) -> In | Away:
         if path is None:
-            return Away(Turned.PATH, NEVER_US)
+            return Away(Rejection.PATH, FORBIDDEN_RETRY_US)
         if partner is None or partner not in partners or path[-1] != partner:
-            return Away(Turned.STRANGER, NEVER_US)
+            return Away(Rejection.STRANGER, FORBIDDEN_RETRY_US)
         if self.site in path:
-            return Away(Turned.LOOP, NEVER_US)
+            return Away(Rejection.LOOP, FORBIDDEN_RETRY_US)
         allowed = [item for _, item in sorted(lent.items()) if _allows(item, path, cls)]
         if not allowed:
-            return In(None) if through else Away(Turned.FORBIDDEN, NEVER_US)
+            return In(None) if through else Away(Rejection.FORBIDDEN, FORBIDDEN_RETRY_US)
         wait = math.inf
         for item in allowed:
             if self.inside.get(item.name, 0) >= item.capacity:
                 continue
-            wait = min(wait, self._spend(item, now))
+            wait = min(wait, self._take_token(item, now))
             if not wait:
                 return In(item.name)
         if through:
             return In(None)
         if wait == math.inf:
-            return Away(Turned.FULL, FULL_US)
-        return Away(Turned.RATE, int(wait))
+            return Away(Rejection.FULL, FULL_US)
+        return Away(Rejection.RATE, int(wait))
 
-    def _spend(self, item: Lent, now: int) -> int:
-        """Take one request of the offer's rate; or how many microseconds until there is one. What may come at
-        once and what is gained in a second are together no more than the rate: no second has more."""
-        if item.terms.rate >= RATE_MOST:
+    def _take_token(self, item: Lent, now: int) -> int:
+        """Take one token of the offer's rate; return 0, or the microseconds until there is one.
+
+        Burst and refill of one second together are no more than the rate, so no second admits more than that.
+        """
+        if item.terms.rate >= MAX_RATE:
             return 0
-        most = max(1.0, item.terms.rate * BURST)
+        most = max(1.0, item.terms.rate * BURST_SHARE)
         rate = max(item.terms.rate - most, item.terms.rate / 2)
         bucket = self._buckets.setdefault(item.name, _Bucket(most, now))
         gained = max(0, now - bucket.at_us) * rate / SECOND_US
@@ -142,7 +156,7 @@
         return max(1, int((1.0 - bucket.tokens) * SECOND_US / rate))
 
     def left(self, offer: str) -> None:
-        """A request that was let in by this offer has its answer."""
+        """Record that a request admitted under this offer has been answered."""
         count = self.inside.get(offer, 0) - 1
         if count > 0:
             self.inside[offer] = count
@@ -150,11 +164,11 @@
             self.inside.pop(offer, None)
 
     def keep(self, lent: Mapping[str, Lent]) -> None:
-        """Offers that are not among these are gone."""
+        """Drop the token buckets of offers that are not among these."""
         for name in [name for name in self._buckets if name not in lent]:
             del self._buckets[name]
 
 
 def _allows(item: Lent, path: tuple[str, ...], cls: str) -> bool:
-    """Whether the offer is for the site where the request began, and each site after it may carry it on."""
+    """Whether the offer is for the request's origin site and each later site may forward the request."""
     return item.terms.lends(path[0], cls) and all(item.terms.carries(site) for site in path[1:])
--- a/sorrelfront/decisions/sites/routes.py
+++ b/sorrelfront/decisions/sites/routes.py
@@ -1,15 +1,17 @@
-"""One agent's border with partner sites: what it offers them, what it believes of what they offer, and the
-routes that follow. No I/O: words and times come in, words and a table come out.
+"""One agent's border with partner sites: its own offers, the offers it accepts, and its routing table.
 
-Every agent that has a border asks each gateway of each partner for itself, with a number that the answer has
-to name, and counts the lifetime of what the owner tells from the moment in which it asked: elapsed time, its
-own, with a bound on drift. So no clock is compared with another's, and an answer that was held up on its way
-holds for less and never for more. What comes by way of others is counted from when its owner's stamp was
-first heard of, and from no later than the owner's own clock can have shown it, as the freshest of its words
-told: an old word that is told again, or was kept back to be told late, is no new one.
+No I/O: messages and times come in, messages and a table come out.
 
-The table is a function of what is held and of this site's own preferences; `settle` has no memory. What does
-have one (which state of an offer is the newest, what changes too often) is kept apart and handed to it."""
+Each border agent queries every gateway of every partner, with a number that the advertisement has to repeat.
+The lifetime of an offer that its owner advertises starts when the query was sent, in this agent's elapsed
+time and with a margin for clock drift. So no two clocks are compared, and a delayed advertisement is valid
+for less time, never for more. The lifetime of a re-advertised offer starts when its owner's stamp was first
+seen, or at the latest time at which the owner's clock can have shown that stamp, judged by its freshest
+stamp, if that is earlier. So a message that is replayed or was held back gains no new lifetime.
+
+The table depends only on the chains held and on this site's own preferences; `settle` has no state. Stateful
+inputs (which state of an offer is the newest, which routes flap) are kept separately and passed to it.
+"""
 
 from __future__ import annotations
 
@@ -24,49 +26,52 @@
 
 from sorrelfront.decisions.sites.offers import (
     CHAINS_MOST,
-    COST_MOST,
+    MAX_COST,
     Chain,
     Count,
     Hop,
+    HostPort,
     Offer,
     OfferId,
-    Place,
     Relation,
     Sign,
     Text,
     Verify,
     Why,
+    chain_digest,
     circle,
-    content,
-    digest,
+    content_digest,
     fault,
     may_tell,
     passed_on,
     prove,
     signed,
 )
-from sorrelfront.decisions.sites.terms import LEFT_MOST_MS, SiteName, Terms
+from sorrelfront.decisions.sites.terms import MAX_LIFETIME_MS, SiteName, Terms
 
 MS = 1_000  # microseconds
-OUTLIVE_EVERY_US = 2_000_000
-STAMP_PART = 4
-# Of the time between two asks, that a lifetime has at least: over five hops an offer then comes in time.
+EPOCH_RAISE_INTERVAL_US = 2_000_000
+RESTAMP_DIVISOR = 4
+# Minimum lifetime in query intervals: enough for an offer to pass five hops before it expires.
 LIFETIME_LEAST = 8
-OWN_MOST = 256  # offers of one gateway
-IDS_MOST = 4_096  # of one owner, whose newest state is remembered
-CHECKED_MOST = 8_192  # chains whose signatures were found good
-LANES_MOST = 256  # answers of `ways` that are kept until the table changes
-PATH_MOST = 8  # sites that a request has come through
-# Clocks of two machines differ by up to so much (parts in a million): twice what quartz is sold with.
+MAX_OWN_OFFERS = 256  # offers by one gateway
+IDS_MOST = 4_096  # offers of one owner whose newest state is remembered
+MAX_VERIFIED_CHAINS = 8_192  # chains whose signatures have been verified
+MAX_CACHED_ROUTES = 256  # results of `ways` that are cached until the table changes
+MAX_PATH_SITES = 8  # sites that a request has passed
+# Maximum difference in rate between two machines' clocks, in parts per million: twice that sold with quartz.
 DRIFT_PPM = 400
-# A change that comes back this often in its half-life keeps an offer out (RFC 2439's figures, faster).
-DAMP_AT, DAMP_UNTIL, DAMP_MOST = 3.0, 1.0, 8.0
-DAMP_HALF_US = 8_000_000
+# Route flap damping: penalties of one per flap, with the ratios of RFC 2439 and a shorter half-life.
+DAMP_SUPPRESS_AT, DAMP_REUSE_BELOW, DAMP_MAX_PENALTY = 3.0, 1.0, 8.0
+DAMP_HALF_LIFE_US = 8_000_000
 
 
 class Ask(msgspec.Struct, frozen=True, array_like=True, tag="a", gc=False):
-    """What do you lend me? `number` comes back with the answer. `have`: a digest of what I was told last.
-    `known`: the highest life of your gateway that I have heard of."""
+    """Query for the offers that a gateway makes and re-advertises to the sender.
+
+    `number` is repeated in the answer. `have` is the digest of the last advertisement received, `known` the
+    highest incarnation of the receiving gateway that the sender has seen.
+    """
 
     site: SiteName
     to: SiteName
@@ -78,13 +83,16 @@
 
 
 class Tell(msgspec.Struct, frozen=True, array_like=True, tag="t", gc=False):
-    """All that I lend you, or pass on to you. `chains` is None if it is what you have. `ages_ms`: of each,
-    how long ago its owner's stamp was heard here at the latest."""
+    """Advertisement of all offers that a gateway makes or re-advertises to one partner.
+
+    `chains` is None if they are the same as the receiver has by its digest. `ages_ms` has for each chain how
+    long ago its owner's stamp was first seen by the sender.
+    """
 
     site: SiteName
     to: SiteName
     gateway: Text
-    place: Place
+    place: HostPort
     number: Count
     epoch: Count
     birth: Count
@@ -98,43 +106,45 @@
 
 
 class News(msgspec.Struct, frozen=True, array_like=True, tag="n", gc=False):
-    """Something has changed: ask again."""
+    """Notice that the sender's advertisement has changed and should be queried again."""
 
     site: SiteName
 
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """What this site holds of another. `cost` is added to all that comes from it."""
+    """This site's configuration of another site. `cost` is added to every route from it."""
 
     name: str
     relation: Relation
     cost: int = 1
     providers: frozenset[str] = frozenset()
-    neighbour: bool = True  # it is asked and told; else its key is known, for what others pass on
+    neighbour: bool = True  # queries are exchanged with it; otherwise only its key is known, to verify hops
 
 
 @dataclass(frozen=True, slots=True)
 class Lent:
-    """An offer of this gateway's, as its file has it."""
+    """An offer of this gateway as configured."""
 
     name: str
     terms: Terms
     cost: int = 1
     capacity: int = 100
     group: str = ""
-    until_us: int | None = None  # when it ends, on the border's clock
+    until_us: int | None = None  # end time on the border's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    renew_us: int = 1_000_000  # between two asks of one gateway
-    stale_us: int = 5_000_000  # for how long one that does not answer is shown, and used if there is no other
+    """Timing of a border's queries."""
+
+    renew_us: int = 1_000_000  # interval between queries to one gateway
+    stale_us: int = 5_000_000  # how long routes of a gateway that does not answer are kept as a last resort
 
 
 @dataclass(slots=True)
 class Held:
-    """One chain as one gateway has told it."""
+    """One chain as advertised by one gateway."""
 
     chain: Chain
     peer: str
@@ -146,7 +156,7 @@
 
 @dataclass(slots=True)
 class Peer:
-    """One gateway of a partner's that this agent asks. `held` by offer."""
+    """The state of one partner gateway that this agent queries. `held` has its chains by offer."""
 
     partner: str
     number: int = 0
@@ -157,25 +167,28 @@
     life: tuple[int, int] = (0, 0)
     ticket: bytes = b""
     silent_since: int | None = None
-    agrees: bool = True  # on what the one is to the other
+    agrees: bool = True  # whether both sites configure the same relation
     held: dict[OfferId, Held] = field(default_factory=dict)
-    refused: dict[str, int] = field(default_factory=dict)  # why -> chains of its last answer
-    way_us: int = 0  # there and back, as measured by asking
+    refused: dict[str, int] = field(default_factory=dict)  # reason -> chains refused in its last answer
+    way_us: int = 0  # round-trip time, as measured by queries
 
 
 class Newest(NamedTuple):
-    """The newest state of an offer that is known of, and the life that it is of. `sum`: of its content; empty
-    if it was withdrawn."""
+    """The newest known state of an offer and the boot id of the incarnation that made it.
+
+    `content` is the digest of its content, empty if the offer was withdrawn. `forked` says that two different
+    contents were seen under this state.
+    """
 
     epoch: int
     version: int
-    sum: bytes
+    content: bytes
     birth: int
     forked: bool = False
 
 
 class Route(NamedTuple):
-    """A way to an offer. `rank` says which is preferred: lower is better."""
+    """A path to an offer. Routes with a lower `rank` are preferred."""
 
     id: OfferId
     peer: str
@@ -186,29 +199,29 @@
     rank: tuple[int, int, int]
     capacity: int
     group: str
-    state: Why | None  # None: good
+    state: Why | None  # why it is not usable; None if it is
 
 
 @dataclass(slots=True)
 class _Flap:
     penalty: float
     at_us: int
-    out: bool = False
+    suppressed: bool = False
 
-    def now(self, now: int) -> float:
-        return float(self.penalty * 0.5 ** ((now - self.at_us) / DAMP_HALF_US))
+    def penalty_at(self, now: int) -> float:
+        return float(self.penalty * 0.5 ** ((now - self.at_us) / DAMP_HALF_LIFE_US))
 
 
 def settle(held: Iterable[Held], partners: Mapping[str, Partner], states: Mapping[tuple[str, OfferId], Why]
            ) -> tuple[Route, ...]:  # fmt: skip
-    """The table: all routes, the preferred first. The same for the same arguments, whatever their order."""
+    """Build the table: all routes, preferred ones first. The order of the arguments has no effect."""
     found = []
     for item in held:
         partner = partners.get(item.partner)
         if partner is None:
             continue
         chain = item.chain
-        rank = (int(partner.relation), min(COST_MOST, chain.cost + partner.cost), len(chain.hops))
+        rank = (int(partner.relation), min(MAX_COST, chain.cost + partner.cost), len(chain.hops))
         found.append(
             Route(
                 chain.offer.id, item.peer, item.partner, item.place, chain.sites, chain.terms, rank,
@@ -219,8 +232,10 @@
 
 
 class Border:
-    """What one agent knows of partners, and tells them. `peers` are named by whoever carries words: one for
-    each gateway of a partner's that is asked."""
+    """What one agent knows of its partners' offers, and what it advertises to them.
+
+    `peers` has one entry for each partner gateway that is queried, under a name that the transport chooses.
+    """
 
     def __init__(
         self,
@@ -233,7 +248,11 @@
         now: int,
         settings: Settings = Settings(),
     ) -> None:
-        """`life`: epoch and birth of this process; the epoch is above every earlier one of its name."""
+        """Create the border of one gateway.
+
+        `life` is the incarnation of this process: its epoch, which is above every earlier one of this
+        gateway, and its boot id.
+        """
         self.site, self.gateway, self.place = site, gateway, place
         self.settings = settings
         self.now = now
@@ -245,55 +264,65 @@
             ("asked", "told", "refused", "overdue", "withdrawn", "forked", "damped", "outlived", "unheard"), 0
         )
         self.table: tuple[Route, ...] = ()
-        self.circle: list[str] = []  # of providers, as partners tell; empty for none
-        self.changed = 0  # counts states of the table
-        self.told = 0  # counts states of what this gateway tells
-        self.marks: dict[OfferId, Newest] = {}  # heard first hand and not yet taken by the carrier of copies
+        self.circle: list[str] = []  # a cycle of providers, as reported by partners; empty for none
+        self.changed = 0  # version of the table
+        self.told = 0  # version of this gateway's own offers
+        # States received from partners and not yet replicated to the other members of this site.
+        self.marks: dict[OfferId, Newest] = {}
         self._sign, self._verify = sign, verify
         self._began_us = now
-        self._outlived_us = now - OUTLIVE_EVERY_US
+        self._epoch_raised_us = now - EPOCH_RAISE_INTERVAL_US
         self._version = 0
         self._own: dict[str, tuple[Lent, Offer]] = {}
-        # (owner, gateway) -> the state that it told itself last, and the offers that it told then.
-        self._floors: OrderedDict[tuple[str, str], tuple[tuple[int, int], frozenset[str]]] = OrderedDict()
-        # Two contents under one state -> until when the last word of each holds.
+        # (owner, gateway) -> the (epoch, version) that it last advertised itself, and its offers then.
+        self._self_advertised: OrderedDict[tuple[str, str], tuple[tuple[int, int], frozenset[str]]] = (
+            OrderedDict()
+        )
+        # Forked offers: content digest -> when the last copy of that content expires.
         self._forked: dict[OfferId, dict[bytes, int]] = {}
-        self._ids: dict[str, int] = {}  # owner -> offers remembered
-        self._heard: OrderedDict[tuple[OfferId, int, int, int], int] = OrderedDict()  # a stamp -> since when
-        # (owner, gateway, epoch, birth) -> when that life began at the latest, and when that was found
-        self._born: OrderedDict[tuple[str, str, int, int], tuple[int, int]] = OrderedDict()
-        self.good: OrderedDict[bytes, None] = OrderedDict()  # digests of chains with good signatures
+        self._id_counts: dict[str, int] = {}  # owner -> number of offers remembered
+        self._heard: OrderedDict[tuple[OfferId, int, int, int], int] = OrderedDict()  # stamp -> first seen
+        # (owner, gateway, epoch, birth) -> latest possible start of that incarnation, and when computed
+        self._started: OrderedDict[tuple[str, str, int, int], tuple[int, int]] = OrderedDict()
+        self.good: OrderedDict[bytes, None] = OrderedDict()  # digests of chains with valid signatures
         self._flaps: dict[tuple[str, OfferId], _Flap] = {}
-        self._passed: dict[tuple[bytes, str], Chain] = {}
+        self._reexports: dict[tuple[bytes, str], Chain] = {}
         self._exports: dict[str, tuple[tuple[int, int], tuple[Chain, ...], bytes]] = {}
-        self._takings = 0  # counts what changed in what is held, stamps among it
-        self._lanes: OrderedDict[tuple[str, tuple[str, ...]], tuple[Route, ...]] = OrderedDict()
-        self._lanes_of = -1
-        self._provided: dict[str, frozenset[str]] = {}  # partner -> its providers, as it tells
+        self._held_version = 0  # version of the chains held, with their stamps
+        self._route_cache: OrderedDict[tuple[str, tuple[str, ...]], tuple[Route, ...]] = OrderedDict()
+        self._route_cache_version = -1
+        self._told_providers: dict[str, frozenset[str]] = {}  # partner -> its providers, as it reports them
 
-    # What this site goes by
+    # Configuration
 
     def configure(self, partners: Iterable[Partner], lent: Iterable[Lent], now: int) -> None:
-        """Go by another file. An offer that is not in it is withdrawn; one whose terms changed counts as
-        changed from now on, for requests that come from now on."""
+        """Apply a new configuration.
+
+        Offers that are not in it are withdrawn. Changed terms apply to requests that arrive from now on.
+
+        Raises:
+            ValueError: If there are more than MAX_OWN_OFFERS offers.
+        """
         self.now = max(now, self.now)
         self.partners = {item.name: item for item in partners}
         for name in [name for name, peer in self.peers.items() if peer.partner not in self.partners]:
             del self.peers[name]
         wanted = {item.name: item for item in lent}
-        if len(wanted) > OWN_MOST:
-            raise ValueError(f"{len(wanted)} offers; a gateway has {OWN_MOST} at most")
+        if len(wanted) > MAX_OWN_OFFERS:
+            raise ValueError(f"{len(wanted)} offers; a gateway has {MAX_OWN_OFFERS} at most")
         before = {name: item for name, (item, _) in self._own.items()}
         if before != wanted:
             self._version += 1
             self._own = {
-                name: self._own[name] if before.get(name) == item else (item, self._made(item, self._version))
+                name: self._own[name]
+                if before.get(name) == item
+                else (item, self._sign_own(item, self._version))
                 for name, item in wanted.items()
             }
             self.told += 1
-        self._settle()
+        self._rebuild_table()
 
-    def _made(self, item: Lent, version: int) -> Offer:
+    def _sign_own(self, item: Lent, version: int) -> Offer:
         epoch, birth = self.life
         stamp_ms = (self.now - self._began_us) // MS
         return signed(
@@ -305,32 +334,34 @@
         )  # fmt: skip
 
     def _terms(self, item: Lent) -> Terms:
-        """As they are told now: nobody who hears them now may believe them for longer than they hold."""
+        """Return the terms to advertise now: their lifetime ends no later than the offer itself."""
         if item.until_us is None:
             return item.terms
         left_ms = max(0, item.until_us - self.now) // MS
         return msgspec.structs.replace(item.terms, left_ms=min(item.terms.left_ms, left_ms))
 
-    def _stamp(self, name: str, item: Lent, offer: Offer) -> None:
-        """Have it say anew that it holds. One whose end is near says so in another state of it."""
+    def _restamp(self, name: str, item: Lent, offer: Offer) -> None:
+        """Renew the stamp of an offer; one whose end is near gets a new version with a shorter lifetime."""
         version = offer.version
         if self._terms(item) != offer.terms:
             self._version += 1
             self.told += 1
             version = self._version
-        self._own[name] = (item, self._made(item, version))
-        self._takings += 1
+        self._own[name] = (item, self._sign_own(item, version))
+        self._held_version += 1
 
     def live(self, life: tuple[int, int], now: int) -> None:
-        """Go on as another life: somebody remembers a later one of this gateway's name."""
+        """Continue as another incarnation, as a partner remembers a later one of this gateway."""
         self.now = max(now, self.now)
         self.life = life
-        self._outlived_us = now
-        self._own = {name: (item, self._made(item, self._version)) for name, (item, _) in self._own.items()}
+        self._epoch_raised_us = now
+        self._own = {
+            name: (item, self._sign_own(item, self._version)) for name, (item, _) in self._own.items()
+        }
         self.told += 1
 
     def offers(self, now: int) -> dict[str, Lent]:
-        """What is lent at this moment, by the file."""
+        """Return the configured offers that have not ended."""
         return {
             name: item
             for name, (item, _) in self._own.items()
@@ -339,22 +370,23 @@
 
     @property
     def heard_itself(self) -> Container[tuple[str, str]]:
-        """Gateways, as (owner, gateway), that have told their offers themselves in this life."""
-        return self._floors.keys()
+        """Gateways, as (owner, gateway), that advertised their own offers to this incarnation."""
+        return self._self_advertised.keys()
 
-    # Asking
+    # Queries
 
     def peer(self, name: str, partner: str, first: int = 0) -> None:
-        """There is such a gateway. `first`: the number of the first ask, drawn by who can."""
+        """Add a partner gateway to query; `first` precedes the number of the first query."""
         if partner in self.partners:
             self.peers.setdefault(name, Peer(partner, first))
 
     def drop(self, name: str) -> None:
+        """Remove a partner gateway and its routes."""
         if self.peers.pop(name, None) is not None:
-            self._settle()
+            self._rebuild_table()
 
     def ask(self, name: str, now: int) -> Ask:
-        """To be sent at once: what is answered counts from now."""
+        """Return the next query to a gateway; send it at once, as lifetimes in its answer start now."""
         self.now = max(now, self.now)
         peer = self.peers[name]
         peer.number += 1
@@ -365,21 +397,25 @@
 
     @property
     def providers(self) -> tuple[str, ...]:
+        """The partners configured as providers, at most 64, sorted."""
         found = sorted(name for name, item in self.partners.items() if item.relation is Relation.PROVIDER)
         return tuple(found[:64])
 
     def silent(self, name: str, now: int) -> None:
-        """This gateway did not answer, or its connection broke."""
+        """Record that a gateway did not answer or its connection failed."""
         self.now = max(now, self.now)
         peer = self.peers.get(name)
         if peer is not None and peer.silent_since is None:
             peer.silent_since = now
             peer.have = b""
-            self._settle()
+            self._rebuild_table()
 
     def on_tell(self, name: str, tell: Tell, now: int, proven: Sequence[Why | None] | None = None) -> bool:
-        """What it answers. `proven`: of each chain, what `prove` has found; left out, it is found here. False
-        if it is no answer to what was asked last."""
+        """Process an advertisement.
+
+        `proven` is the result of `prove` for its chains; if it is left out, the signatures are verified here.
+        Returns False if this does not answer the last query.
+        """
         self.now = max(now, self.now)
         peer = self.peers.get(name)
         if peer is None or (tell.site, tell.to) != (peer.partner, self.site) or tell.number != peer.number:
@@ -391,36 +427,36 @@
             return False
         self.counts["told"] += 1
         peer.silent_since = None
-        way = now - asked
-        peer.way_us = way if not peer.way_us else min(way, peer.way_us + way // 8)
+        elapsed = now - asked
+        peer.way_us = elapsed if not peer.way_us else min(elapsed, peer.way_us + elapsed // 8)
         peer.place, peer.gateway, peer.ticket = tell.place, tell.gateway, tell.ticket
         peer.life = max(peer.life, (tell.epoch, tell.birth)) if tell.epoch >= peer.life[0] else peer.life
         peer.agrees = tell.role == self.partners[peer.partner].relation.other_way
-        self._on_providers(peer.partner, tell.providers)
+        self._update_providers(peer.partner, tell.providers)
         if tell.chains is None:
             for held in peer.held.values():
                 if not held.chain.hops:
-                    held.expires_us = self._until(held.chain.terms, asked)
+                    held.expires_us = self._expiry(held.chain.terms, asked)
         else:
             if proven is None:
                 proven = prove(tell.chains, self._verify, self._known, self.good)
-            self._take(name, peer, tell, asked, proven)
+            self._import(name, peer, tell, asked, proven)
             peer.have = tell.have
-        self._settle()
+        self._rebuild_table()
         return True
 
-    def _take(self, name: str, peer: Peer, tell: Tell, asked: int, proven: Sequence[Why | None]) -> None:
+    def _import(self, name: str, peer: Peer, tell: Tell, asked: int, proven: Sequence[Why | None]) -> None:
         before, peer.held = peer.held, {}
         peer.refused = {}
-        self._takings += 1
+        self._held_version += 1
         for chain, age_ms, found in zip(tell.chains or (), tell.ages_ms, proven, strict=True):
-            why = self._believe(peer, chain, found)
+            why = self._check(peer, chain, found)
             if why is None:
                 heard = self._first_heard(chain.offer, asked - age_ms * MS)
                 since = asked if not chain.hops else heard
-                why = self._note(chain.offer, self._until(chain.terms, since) <= self.now)
+                why = self._record_chain(chain.offer, self._expiry(chain.terms, since) <= self.now)
             if why in (Why.OLD, Why.WITHDRAWN, Why.FORKED) and not chain.hops:
-                self._outlive(peer, chain.offer)
+                self._request_higher_epoch(peer, chain.offer)
             if why is not None:
                 peer.refused[why.name] = peer.refused.get(why.name, 0) + 1
                 self.counts["refused"] += 1
@@ -428,84 +464,89 @@
             id = chain.offer.id
             known = before.get(id)
             peer.held[id] = Held(
-                chain, name, peer.partner, tell.place, self._until(chain.terms, since),
+                chain, name, peer.partner, tell.place, self._expiry(chain.terms, since),
                 known.since_us if known is not None else self.now,
             )  # fmt: skip
-            if known is not None and content(known.chain.offer) != content(chain.offer):
-                self._flapped(name, id)
+            if known is not None and content_digest(known.chain.offer) != content_digest(chain.offer):
+                self._count_flap(name, id)
         for id in before:
             if id not in peer.held:
-                self._flapped(name, id)
+                self._count_flap(name, id)
                 self.counts["withdrawn"] += 1
         if tell.gateway:
-            self._withdrawn(peer, tell)
+            self._withdraw_missing(peer, tell)
 
-    def _believe(self, peer: Peer, chain: Chain, found: Why | None) -> Why | None:
-        """None, and its state is remembered; or why it is not believed."""
+    def _check(self, peer: Peer, chain: Chain, found: Why | None) -> Why | None:
+        """Return why a chain is refused, or None and remember that its signatures are valid."""
         if not peer.agrees:
             return Why.ROLE
         why = fault(chain, self.site, peer.partner, self.partners[peer.partner].relation) or found
         if why is not None:
             return why
-        self.good[digest(chain)] = None
-        while len(self.good) > CHECKED_MOST:
+        self.good[chain_digest(chain)] = None
+        while len(self.good) > MAX_VERIFIED_CHAINS:
             self.good.popitem(last=False)
         return None
 
-    def _outlive(self, peer: Peer, offer: Offer) -> None:
-        """The gateway itself tells what is not believed, since another life of its name is remembered, or a
-        state under which it can be told no more: have it rise above that. Risk: one that lost its disk would
-        stay out for as long as anybody remembers."""
+    def _request_higher_epoch(self, peer: Peer, offer: Offer) -> None:
+        """Have a gateway raise its epoch if its own advertisement is refused because of a remembered state.
+
+        That state is of another incarnation, or is one under which the offer can no longer be advertised.
+        Otherwise a gateway that lost its disk would be refused for as long as any site remembers that state.
+        """
         known = self.newest.get(offer.id)
         if known is None or known.epoch < max(offer.epoch, peer.life[0]):
             return
         if known.birth != offer.birth:
             peer.life = (known.epoch, known.birth)
         elif known[:2] == offer.age:
-            peer.life = (known.epoch, offer.birth ^ 1)  # another than it
+            peer.life = (known.epoch, offer.birth ^ 1)  # any other boot id
 
     def _known(self, site: str) -> bool:
         return site in self.partners
 
-    def _note(self, offer: Offer, over: bool) -> Why | None:
-        """Which state of this offer is the newest. `over`: the time of this word is over."""
-        mark = Newest(offer.epoch, offer.version, content(offer), offer.birth)
-        floor = self._floors.get((offer.owner, offer.gateway))
+    def _record_chain(self, offer: Offer, expired: bool) -> Why | None:
+        """Record the state that a chain shows; return why it is unusable. `expired`: its lifetime is over."""
+        mark = Newest(offer.epoch, offer.version, content_digest(offer), offer.birth)
+        floor = self._self_advertised.get((offer.owner, offer.gateway))
         if floor is not None and offer.age <= floor[0] and offer.name not in floor[1]:
-            # Risk: what was never heard of before would be new, though its gateway has just not told it.
+            # Without this an offer seen for the first time would pass as new, though its gateway no longer
+            # advertises it.
             return Why.WITHDRAWN
         known = self.newest.get(offer.id)
-        if known is not None and known[:2] == mark[:2] and known.sum and known.sum != mark.sum:
-            if over:
-                # Risk: an old life's word, told again for ever, would keep the next life's offer out.
+        if known is not None and known[:2] == mark[:2] and known.content and known.content != mark.content:
+            if expired:
+                # A replayed message of an old incarnation would otherwise keep the new offer out forever.
                 return Why.EXPIRED
-            last = self._forked.setdefault(offer.id, {known.sum: self.now})
-            last[mark.sum] = self.now + offer.terms.left_ms * MS
+            last = self._forked.setdefault(offer.id, {known.content: self.now})
+            last[mark.content] = self.now + offer.terms.left_ms * MS
         elif offer.id in self._forked:
-            self._forked[offer.id][mark.sum] = self.now + offer.terms.left_ms * MS
-        why = self.note(offer.id, mark, first_hand=True)
-        return Why.EXPIRED if why is None and over else why
+            self._forked[offer.id][mark.content] = self.now + offer.terms.left_ms * MS
+        why = self.record_state(offer.id, mark, received=True)
+        return Why.EXPIRED if why is None and expired else why
 
     def on_mark(self, id: OfferId, mark: Newest, now: int) -> None:
-        """What another member of this site was told of an offer."""
+        """Record the state of an offer that another member of this site has received."""
         self.now = max(now, self.now)
         if id.owner in self.partners:
-            self.note(id, mark)
-            self._settle()
+            self.record_state(id, mark)
+            self._rebuild_table()
+
+    def record_state(self, id: OfferId, mark: Newest, received: bool = False) -> Why | None:
+        """Record a state of an offer, from a chain or replicated by a member; return why it is unusable.
 
-    def note(self, id: OfferId, mark: Newest, first_hand: bool = False) -> Why | None:
-        """A state of an offer that is known to be there, from its owner's own words or from a member's copy.
-        A later one drops what is held of earlier ones; two contents under one state are a fork, of which
-        neither is used, whichever came first."""
+        A later state replaces earlier ones. Two contents under one state are a fork: neither is used,
+        whichever came first.
+        """
         known = self.newest.get(id)
         if known is None:
-            if self._ids.get(id.owner, 0) >= IDS_MOST:
+            if self._id_counts.get(id.owner, 0) >= IDS_MOST:
                 return Why.TOO_MANY
-            self._ids[id.owner] = self._ids.get(id.owner, 0) + 1
+            self._id_counts[id.owner] = self._id_counts.get(id.owner, 0) + 1
         merged = mark if known is None else later(known, mark)
         if merged != known:
             self.newest[id] = merged
-            if first_hand:
+            if received:
                 self.marks[id] = merged
             if merged.forked and not (known is not None and known.forked):
                 self.counts["forked"] += 1
@@ -513,79 +554,85 @@
             return Why.OLD
         if merged.forked:
             return Why.FORKED
-        return Why.WITHDRAWN if not merged.sum and mark.sum else None
+        return Why.WITHDRAWN if not merged.content and mark.content else None
 
     def take_marks(self) -> dict[OfferId, Newest]:
-        """What was heard first hand since the last time, for the other members of this site."""
+        """Return the states received since the last call, to replicate to the other members of this site."""
         marks, self.marks = self.marks, {}
         return marks
 
-    def _withdrawn(self, peer: Peer, tell: Tell) -> None:
-        """What its own gateway does not tell any more is withdrawn, whoever else still tells it. Risk: what
-        it tells and is not believed, in an answer that was long on its way, would count as withdrawn."""
+    def _withdraw_missing(self, peer: Peer, tell: Tell) -> None:
+        """Withdraw the offers that their own gateway no longer advertises, whoever else still does.
+
+        Offers that it advertises but that were refused, as in a delayed advertisement, are not withdrawn.
+        """
         told = {chain.offer.id for chain in tell.chains or ()}
         names = frozenset(id.name for id in told if (id.owner, id.gateway) == (tell.site, tell.gateway))
-        self._floors[tell.site, tell.gateway] = ((tell.epoch, tell.version), names)
-        self._floors.move_to_end((tell.site, tell.gateway))
-        while len(self._floors) > IDS_MOST:
-            self._floors.popitem(last=False)
+        self._self_advertised[tell.site, tell.gateway] = ((tell.epoch, tell.version), names)
+        self._self_advertised.move_to_end((tell.site, tell.gateway))
+        while len(self._self_advertised) > IDS_MOST:
+            self._self_advertised.popitem(last=False)
         for id, known in list(self.newest.items()):
-            if (id.owner, id.gateway) != (tell.site, tell.gateway) or id in told or not known.sum:
+            if (id.owner, id.gateway) != (tell.site, tell.gateway) or id in told or not known.content:
                 continue
             if known.epoch >= tell.epoch and known.birth != tell.birth:
-                # Another life than the one that answers now. Which of two under one epoch is the later one
-                # nobody can say: it is to rise above both, and neither's offer holds until then.
+                # Another incarnation than the one that answers now. Two under one epoch cannot be ordered: it
+                # has to raise its epoch above both, and until then neither one's offer is valid.
                 peer.life = max(peer.life, (known.epoch, known.birth))
                 if known.epoch == tell.epoch:
-                    self.note(id, known._replace(sum=b""), first_hand=True)
+                    self.record_state(id, known._replace(content=b""), received=True)
             elif known[:2] <= (tell.epoch, tell.version):
-                self.note(id, Newest(tell.epoch, tell.version, b"", tell.birth), first_hand=True)
+                self.record_state(id, Newest(tell.epoch, tell.version, b"", tell.birth), received=True)
 
     def _first_heard(self, offer: Offer, at: int) -> int:
-        """Since when this stamp is known to have been there, at the earliest that anybody has shown. Risk: an
-        old word that is told again would begin its time anew."""
+        """Return the earliest time at which this stamp is known to have existed.
+
+        Otherwise the lifetime of an old message would start again whenever it is replayed.
+        """
         key = (offer.id, offer.epoch, offer.birth, offer.stamp_ms)
         known = self._heard.get(key)
-        first = min(at, self._began_at_latest(offer) + offer.stamp_ms * MS)
+        first = min(at, self._latest_start(offer) + offer.stamp_ms * MS)
         if known is not None:
             first = min(known, first)
         self._heard[key] = first
         if known is None:
-            limit = self.now - (LEFT_MOST_MS + LEFT_MOST_MS // 10) * MS
+            limit = self.now - (MAX_LIFETIME_MS + MAX_LIFETIME_MS // 10) * MS
             while len(self._heard) > 4 * IDS_MOST or next(iter(self._heard.values())) < limit:
                 self._heard.popitem(last=False)
         return first
 
-    def _began_at_latest(self, offer: Offer) -> int:
-        """When the life that stamped this began at the latest, on this agent's clock, by the freshest of its
-        stamps: each was made before it came. Risk: one on the way collects stamps and tells them one by one
-        when their owner is long gone. Harm: counted from when it was asked, a long wait for the answer would
-        make all later stamps look old; so it is counted from when it came. The bound gives way by the drift
-        of two clocks."""
+    def _latest_start(self, offer: Offer) -> int:
+        """Return the latest time, on this agent's clock, at which the stamping incarnation can have started.
+
+        It follows from the freshest stamp, as each was made before it arrived. This keeps a site on the path
+        from collecting stamps and sending them one by one after their owner is gone. It is counted from the
+        arrival, not from the query: a slow answer would otherwise make all later stamps look old. The bound
+        is relaxed over time by the drift between two clocks.
+        """
         key = (offer.owner, offer.gateway, offer.epoch, offer.birth)
         began = self.now - offer.stamp_ms * MS
-        if key in self._born:
-            latest, since = self._born[key]
+        if key in self._started:
+            latest, since = self._started[key]
             latest += (self.now - since) * 2 * DRIFT_PPM // 1_000_000
             if latest <= began:
                 return latest
-        self._born[key] = (began, self.now)
-        self._born.move_to_end(key)
-        while len(self._born) > IDS_MOST:
-            self._born.popitem(last=False)
+        self._started[key] = (began, self.now)
+        self._started.move_to_end(key)
+        while len(self._started) > IDS_MOST:
+            self._started.popitem(last=False)
         return began
 
-    def _until(self, terms: Terms, since: int) -> int:
+    def _expiry(self, terms: Terms, since: int) -> int:
         left_us = terms.left_ms * MS
         return since + left_us - left_us * DRIFT_PPM // 1_000_000
 
-    def _on_providers(self, partner: str, told: tuple[str, ...]) -> None:
-        self._provided[partner] = frozenset(told)
-        self.circle = self.circle_of_providers()
+    def _update_providers(self, partner: str, told: tuple[str, ...]) -> None:
+        self._told_providers[partner] = frozenset(told)
+        self.circle = self.find_provider_cycle()
 
-    def circle_of_providers(self) -> list[str]:
-        """Sites that provide for each other in a circle, by this site's own file and what partners tell."""
-        known = {name: item.providers | self._provided.get(name, frozenset())
+    def find_provider_cycle(self) -> list[str]:
+        """Return a cycle of providers by this site's configuration and its partners' reports, or nothing."""
+        known = {name: item.providers | self._told_providers.get(name, frozenset())
                  for name, item in self.partners.items()}  # fmt: skip
         for name, item in self.partners.items():
             if item.relation is Relation.CUSTOMER:
@@ -595,38 +642,40 @@
 
     # Damping
 
-    def _flapped(self, peer: str, id: OfferId) -> None:
+    def _count_flap(self, peer: str, id: OfferId) -> None:
         flap = self._flaps.get((peer, id))
         if flap is None:
             if len(self._flaps) >= IDS_MOST:
                 return
             flap = self._flaps[peer, id] = _Flap(0.0, self.now)
-        flap.penalty = min(DAMP_MOST, flap.now(self.now) + 1.0)
+        flap.penalty = min(DAMP_MAX_PENALTY, flap.penalty_at(self.now) + 1.0)
         flap.at_us = self.now
-        if flap.penalty >= DAMP_AT and not flap.out:
-            flap.out = True
+        if flap.penalty >= DAMP_SUPPRESS_AT and not flap.suppressed:
+            flap.suppressed = True
             self.counts["damped"] += 1
 
-    # Time
+    # Timers
 
     def next_us(self) -> int:
-        """When `on_time` is due at the latest."""
+        """Return when `on_time` is due at the latest."""
         due = [held.expires_us for peer in self.peers.values() for held in peer.held.values()]
         due += [
             peer.silent_since + self.settings.stale_us
             for peer in self.peers.values()
             if peer.silent_since is not None and peer.held
         ]
-        due += [self._stamp_us(offer) for _, offer in self._own.values()]
+        due += [self._restamp_due_us(offer) for _, offer in self._own.values()]
         return min([self.now + self.settings.renew_us, *due])
 
-    def _stamp_us(self, offer: Offer) -> int:
-        """When this offer has to say anew that it holds: after a quarter of its lifetime, so that the rest is
-        there for the way to those who have it from others."""
-        return self._began_us + (offer.stamp_ms + max(250, offer.terms.left_ms // STAMP_PART)) * MS
+    def _restamp_due_us(self, offer: Offer) -> int:
+        """Return when an offer's stamp is due for renewal.
+
+        That is after a quarter of its lifetime; the rest is left for re-advertisement over several hops.
+        """
+        return self._began_us + (offer.stamp_ms + max(250, offer.terms.left_ms // RESTAMP_DIVISOR)) * MS
 
     def on_time(self, now: int) -> None:
-        """Let go of what has had its time, and have own offers say that they still hold."""
+        """Remove expired chains, decay flap penalties and renew the stamps of this gateway's offers."""
         self.now = max(now, self.now)
         for peer in self.peers.values():
             gone = peer.silent_since is not None and peer.silent_since + self.settings.stale_us <= self.now
@@ -635,45 +684,47 @@
                     del peer.held[id]
                     self.counts["overdue"] += held.expires_us <= self.now
         for key, flap in list(self._flaps.items()):
-            level = flap.now(self.now)
-            if flap.out and level < DAMP_UNTIL:
-                flap.out = False
+            level = flap.penalty_at(self.now)
+            if flap.suppressed and level < DAMP_REUSE_BELOW:
+                flap.suppressed = False
             if level < 0.1:
                 del self._flaps[key]
         for name, (item, offer) in list(self._own.items()):
-            if self._stamp_us(offer) <= self.now:
-                self._stamp(name, item, offer)
-        self._join()
+            if self._restamp_due_us(offer) <= self.now:
+                self._restamp(name, item, offer)
+        self._resolve_forks()
         self._forget()
-        self._settle()
+        self._rebuild_table()
 
-    def _join(self) -> None:
-        """A fork is over once the time of all words but one content's is: then one life is left of it. Risk:
-        a gateway that lost its disk while all its neighbours started anew would stay out for sites that
-        remember the life before."""
+    def _resolve_forks(self) -> None:
+        """End a fork once all copies but those of one content have expired: one incarnation is then left.
+
+        Otherwise a gateway that lost its disk while all its neighbours restarted would stay refused by sites
+        that remember its previous incarnation.
+        """
         for id, until in list(self._forked.items()):
-            live = [sum for sum, at in until.items() if at > self.now]
+            live = [content for content, at in until.items() if at > self.now]
             known = self.newest.get(id)
             if known is None or not known.forked or len(live) > 1:
                 continue
             if live:
-                self.newest[id] = known._replace(sum=live[0], forked=False)
+                self.newest[id] = known._replace(content=live[0], forked=False)
             del self._forked[id]
 
     def _forget(self) -> None:
-        """States of offers that nobody tells any more and that could not be believed any more."""
+        """Forget the states of withdrawn offers that no gateway advertises, if many are remembered."""
         if len(self.newest) <= IDS_MOST // 2:
             return
         live = {id for peer in self.peers.values() for id in peer.held}
         for id in [id for id in self.newest if id not in live][: len(self.newest) - IDS_MOST // 2]:
-            if self.newest[id].sum:
-                continue  # its owner has not withdrawn it
+            if self.newest[id].content:
+                continue  # not withdrawn by its owner
             del self.newest[id]
-            self._ids[id.owner] -= 1
+            self._id_counts[id.owner] -= 1
 
-    # The table
+    # Routing table
 
-    def _settle(self) -> None:
+    def _rebuild_table(self) -> None:
         states: dict[tuple[str, OfferId], Why] = {}
         held = []
         for name, peer in self.peers.items():
@@ -695,34 +746,38 @@
         if newest is not None and newest.forked and newest[:2] == offer.age:
             return Why.FORKED
         if newest is not None and newest[:2] > offer.age:
-            return Why.OLD if newest.sum else Why.WITHDRAWN
-        if newest is not None and newest[:2] == offer.age and not newest.sum:
+            return Why.OLD if newest.content else Why.WITHDRAWN
+        if newest is not None and newest[:2] == offer.age and not newest.content:
             return Why.WITHDRAWN
         if not (held.chain.terms.to is None or self.site in held.chain.terms.to):
             return Why.NOT_LENT
         flap = self._flaps.get((name, id))
-        if flap is not None and flap.out:
+        if flap is not None and flap.suppressed:
             return Why.DAMPED
         return Why.STALE if peer.silent_since is not None else None
 
     def ways(self, cls: str, now: int, path: tuple[str, ...] = ()) -> tuple[Route, ...]:
-        """The routes by which a request may go on now: the best ones, equal among themselves. `path`: sites
-        that it has come through, where it began first; empty for a request of this site's own. An offer of
-        one gateway's counts once, by its best way."""
-        if self._lanes_of != self.changed:
-            self._lanes.clear()
-            self._lanes_of = self.changed
+        """Return the best routes for a request, all of equal rank and each offer once.
+
+        `path` has the sites that the request has passed, its origin first; it is empty for this site's own
+        requests.
+        """
+        if self._route_cache_version != self.changed:
+            self._route_cache.clear()
+            self._route_cache_version = self.changed
         key = (cls, path)
-        found = self._lanes.get(key)
+        found = self._route_cache.get(key)
         if found is None:
-            found = self._lanes[key] = self._ways(cls, path)
-            while len(self._lanes) > LANES_MOST:
-                self._lanes.popitem(last=False)
+            found = self._route_cache[key] = self._best_routes(cls, path)
+            while len(self._route_cache) > MAX_CACHED_ROUTES:
+                self._route_cache.popitem(last=False)
         return tuple(route for route in found if self.holds(route, now)) if found else found
 
     def holds(self, route: Route, now: int) -> bool:
-        """Whether it is still what it was, at this moment. Risk: between two looks at the time a route would
-        be used past its lifetime."""
+        """Whether a route is still valid at this moment.
+
+        Between two calls of `on_time` a route would otherwise be used past its lifetime.
+        """
         peer = self.peers.get(route.peer)
         held = peer.held.get(route.id) if peer is not None else None
         if held is None or held.expires_us <= now or held.place != route.place:
@@ -730,12 +785,12 @@
         newest = self.newest.get(route.id)
         return held.chain.terms == route.terms and (newest is None or newest[:2] <= held.chain.offer.age)
 
-    def _ways(self, cls: str, path: tuple[str, ...]) -> tuple[Route, ...]:
-        usable = (None, Why.NOT_LENT) if path else (None,)  # what is not lent here may be lent to its origin
+    def _best_routes(self, cls: str, path: tuple[str, ...]) -> tuple[Route, ...]:
+        usable = (None, Why.NOT_LENT) if path else (None,)  # not lent to this site, but perhaps to the origin
         good = [route for route in self.table if route.state in usable and self._permits(route, cls, path)]
         if not good:
-            # Risk: one hostile site that comes and goes would have a neighbour's only good way damped further
-            # on. What is damped is told to nobody, and used if there is nothing else.
+            # Damped routes are not re-advertised, but are used as a last resort. Otherwise one hostile site
+            # that flaps could have a neighbour's only good route damped further along the path.
             last = (Why.DAMPED, Why.STALE)
             good = [route for route in self.table if route.state in last and self._permits(route, cls, path)]
         seen: set[OfferId] = set()
@@ -752,59 +807,65 @@
             return False
         if not path:
             return True
-        # It is passed on: each site between the one where it began and the owner must be let to.
+        # A forwarded request: the terms must allow each site between its origin and the owner to forward it.
         relation = self.partners[route.partner].relation
         before = self.partners.get(path[-1])
         carriers = (*path[1:], self.site)
         allowed = before is not None and may_tell(relation, before.relation)
         return allowed and all(route.terms.carries(site) for site in carriers)
 
-    # Telling
+    # Advertisements
 
     def on_ask(self, partner: str, ask: Ask, ticket: bytes, now: int) -> Tell | None:
-        """What this gateway lends to the one that asks, and passes on to it; None if it is no partner or
-        meant another."""
+        """Answer a query with what this gateway offers and re-advertises to the partner.
+
+        Returns None if the sender is no neighbour or the query is addressed to another site.
+        """
         self.now = max(now, self.now)
         known = self.partners.get(partner)
         if known is None or not known.neighbour or (ask.site, ask.to) != (partner, self.site):
             self.counts["unheard"] += 1
             return None
-        self._on_providers(partner, ask.providers)
+        self._update_providers(partner, ask.providers)
         chains, have = self._export(partner) if ask.role == known.relation.other_way else ((), b"")
         same = have == ask.have
         epoch, birth = self.life
-        ages = () if same else tuple(self._age_ms(chain) for chain in chains)
+        ages = () if same else tuple(self._stamp_age_ms(chain) for chain in chains)
         return Tell(
             self.site, partner, self.gateway, self.place, ask.number, epoch, birth, self._version, have,
             None if same else chains, ages, known.relation, ticket, self.providers,
         )  # fmt: skip
 
     def outlived(self, ask: Ask) -> int | None:
-        """The epoch that this life has to be above, if the one that asks knows of another life at or above
-        it. Not twice within OUTLIVE_EVERY_US: of two processes by one name each rises above the other."""
+        """Return the epoch that this incarnation has to exceed, if the sender knows another at or above it.
+
+        At most once per EPOCH_RAISE_INTERVAL_US: two processes under one name raise their epochs in turn.
+        """
         epoch, birth = ask.known
         over = epoch > self.life[0] or (epoch == self.life[0] and birth != self.life[1])
-        return epoch if over and self.now >= self._outlived_us + OUTLIVE_EVERY_US else None
+        return epoch if over and self.now >= self._epoch_raised_us + EPOCH_RAISE_INTERVAL_US else None
 
     def _export(self, partner: str) -> tuple[tuple[Chain, ...], bytes]:
-        """What this partner is told, and a digest of it."""
-        state = (self.changed + self.told + self._takings, len(self.circle))
+        """Return the chains to advertise to a partner and their digest."""
+        state = (self.changed + self.told + self._held_version, len(self.circle))
         known = self._exports.get(partner)
         if known is not None and known[0] == state:
             return known[1:]
         chains = [
-            Chain(offer) for _, (_, offer) in sorted(self._own.items()) if _concerns(offer.terms, partner)
+            Chain(offer) for _, (_, offer) in sorted(self._own.items()) if _visible_to(offer.terms, partner)
         ]
-        if not self.circle:  # else nothing is passed on: no order of events need settle
-            chains += self._carried(partner, CHAINS_MOST - len(chains))
+        if not self.circle:  # with a cycle of providers routing might not converge
+            chains += self._reexported(partner, CHAINS_MOST - len(chains))
         found = tuple(chains)
-        self._exports[partner] = (state, found, _sum(found))
+        self._exports[partner] = (state, found, _chains_digest(found))
         return self._exports[partner][1:]
 
-    def _carried(self, partner: str, most: int) -> list[Chain]:
-        """What others lend and this site passes on to the partner: of each offer its best way, if that may be
-        passed on. Risk: told by a lesser way than requests would go, the partner would count on terms that
-        do not hold."""
+    def _reexported(self, partner: str, most: int) -> list[Chain]:
+        """Return the chains to re-advertise to a partner: each offer's best route, if that may be exported.
+
+        Requests take the best route. If a worse one were advertised, the partner would rely on terms that do
+        not apply.
+        """
         told = self.partners[partner].relation
         best: dict[OfferId, Route] = {}
         for route in self.table:
@@ -817,53 +878,60 @@
             terms = route.terms
             if partner in route.sites or not may_tell(learnt, told):
                 continue
-            if terms.carries(self.site) and _concerns(terms, partner):
+            if terms.carries(self.site) and _visible_to(terms, partner):
                 held = self.peers[route.peer].held[id]
-                chains.append(self._pass_on(held.chain, partner, learnt, told))
+                chains.append(self._reexport(held.chain, partner, learnt, told))
         return chains
 
-    def _age_ms(self, chain: Chain) -> int:
-        """How long ago its owner's stamp was first heard of here."""
+    def _stamp_age_ms(self, chain: Chain) -> int:
+        """Return how long ago the owner's stamp was first seen here, rounded up."""
         offer = chain.offer
         if offer.owner == self.site:
             return 0
         heard = self._heard.get((offer.id, offer.epoch, offer.birth, offer.stamp_ms), self._began_us)
         return max(0, self.now - heard + MS - 1) // MS
 
-    def _pass_on(self, chain: Chain, partner: str, learnt: Relation, told: Relation) -> Chain:
-        key = (digest(chain), partner)
-        found = self._passed.get(key)
-        if found is None or found.hops[-1].told != told or found.hops[-1].learnt != learnt:
-            while len(self._passed) >= CHECKED_MOST:
-                del self._passed[next(iter(self._passed))]
+    def _reexport(self, chain: Chain, partner: str, learnt: Relation, told: Relation) -> Chain:
+        key = (chain_digest(chain), partner)
+        found = self._reexports.get(key)
+        if (
+            found is None
+            or found.hops[-1].export_relation != told
+            or found.hops[-1].import_relation != learnt
+        ):
+            while len(self._reexports) >= MAX_VERIFIED_CHAINS:
+                del self._reexports[next(iter(self._reexports))]
             cost = self.partners[chain.sites[0]].cost
             hop = Hop(self.site, partner, learnt, told, cost, chain.terms)
-            found = self._passed[key] = passed_on(chain, hop, self._sign)
+            found = self._reexports[key] = passed_on(chain, hop, self._sign)
         return found
 
 
 def later(one: Newest, other: Newest) -> Newest:
-    """Which state of an offer holds: a join over (epoch, version), in which two contents under one state are
-    a fork and stay one, and a withdrawal under one state outweighs what it withdraws."""
+    """Return the join of two states of an offer, ordered by (epoch, version).
+
+    Two contents under one state are a fork and remain one; a withdrawal outweighs a content under the same
+    state.
+    """
     if one[:2] != other[:2]:
         return max(one, other, key=lambda item: item[:2])
     birth = min(one.birth, other.birth)
-    if not one.sum or not other.sum:
+    if not one.content or not other.content:
         return Newest(one.epoch, one.version, b"", birth)
-    if one.sum == other.sum:
-        return Newest(one.epoch, one.version, one.sum, birth, one.forked or other.forked)
-    return Newest(one.epoch, one.version, min(one.sum, other.sum), birth, True)
+    if one.content == other.content:
+        return Newest(one.epoch, one.version, one.content, birth, one.forked or other.forked)
+    return Newest(one.epoch, one.version, min(one.content, other.content), birth, True)
 
 
-def _concerns(terms: Terms, partner: str) -> bool:
-    """Whether a site may hear of it: it may use it, or pass it on."""
+def _visible_to(terms: Terms, partner: str) -> bool:
+    """Whether an offer may be advertised to a site: it may use or re-advertise it."""
     if terms.empty:
         return False
     return terms.to is None or partner in terms.to or terms.carries(partner)
 
 
-def _sum(chains: tuple[Chain, ...]) -> bytes:
+def _chains_digest(chains: tuple[Chain, ...]) -> bytes:
     found = hashlib.blake2b(digest_size=16)
     for chain in chains:
-        found.update(digest(chain))
+        found.update(chain_digest(chain))
     return found.digest()
--- a/sorrelfront/sites/__init__.py
+++ b/sorrelfront/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Between sites: carries offers and requests. Decides nothing; by `[site]` alone, and imported only then."""
+"""Transport of offers and requests between sites; makes no decisions. Imported only if `[site]` is set."""
--- a/sorrelfront/sites/wire.py
+++ b/sorrelfront/sites/wire.py
@@ -1,12 +1,13 @@
-"""What is on a connection between two sites: frames of four bytes of length and a signed word.
+"""Wire format between two sites: frames of a four-byte length and a signed message.
 
-    hello   from the one that listens: 16 random bytes, its challenge
-    ask     Envelope, signed by the one that asks over the challenge and the word
-    tell    Envelope, signed by the one that is asked; the word names the number of the ask
-    news    the same, unasked
+    hello           from the listener: 16 random bytes, its challenge
+    query           Envelope, signed by the querying site over the challenge and the message
+    advertisement   Envelope, signed by the queried site; the message repeats the number of the query
+    change notice   the same, unsolicited
 
-Nothing is secret on it; a word cannot be made or changed by others, nor an ask be said again on another
-connection. A word is at most `TELL_MOST` bytes, of one that is not known yet `ASK_MOST`."""
+Nothing is encrypted. Others can neither forge nor modify a message, nor replay a query on another connection.
+A message has at most `TELL_MOST` bytes, one from a peer not yet authenticated `ASK_MOST`.
+"""
 
 from __future__ import annotations
 
@@ -17,67 +18,81 @@
 import msgspec
 from msgspec import Meta
 
-from sorrelfront.decisions.sites.offers import SIGNATURE, Sign, Verify
+from sorrelfront.decisions.sites.offers import SIGNATURE_BYTES, Sign, Verify
 from sorrelfront.decisions.sites.routes import Ask, News, Tell
 from sorrelfront.decisions.sites.terms import SiteName
 from sorrelfront.errors import SorrelfrontError
 
-CHALLENGE = 16
-ASK_MOST = 8 * 1024
-TELL_MOST = 4 * 1024 * 1024
-LENGTH = 4
+CHALLENGE = 16  # bytes
+ASK_MOST = 8 * 1024  # bytes
+TELL_MOST = 4 * 1024 * 1024  # bytes
+LENGTH_BYTES = 4
 
 Word = Ask | Tell | News
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True, gc=False):
+    """An encoded message with the name and the signature of the sending site."""
+
     site: SiteName
-    word: bytes
-    signature: Annotated[bytes, Meta(max_length=SIGNATURE)]
+    payload: bytes
+    signature: Annotated[bytes, Meta(max_length=SIGNATURE_BYTES)]
 
 
 class BadPartnerWord(SorrelfrontError):
-    """What came from a partner site is no word, is too long, or bears no good signature."""
+    """A message from a partner site is malformed, too long, or not validly signed."""
 
     remedy = (
         "Compare the keys and names of both sites' files and the programs' versions; if they agree, call it."
     )
 
 
-_envelope = msgspec.msgpack.Decoder(Envelope)
-_word = msgspec.msgpack.Decoder(Word)
+_envelope_decoder = msgspec.msgpack.Decoder(Envelope)
+_message_decoder = msgspec.msgpack.Decoder(Word)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def _signed(challenge: bytes, site: str, word: bytes) -> bytes:
+def _to_sign(challenge: bytes, site: str, word: bytes) -> bytes:
     return b"sorrelfront word 1\x00" + challenge + site.encode() + b"\x00" + word
 
 
 def pack(site: str, word: Word, challenge: bytes, sign: Sign) -> bytes:
-    """A frame."""
+    """Encode and sign a message; return the frame with its length."""
     data = _encode(word)
-    whole = _encode(Envelope(site, data, sign(_signed(challenge, site, data))))
-    return len(whole).to_bytes(LENGTH, "big") + whole
+    whole = _encode(Envelope(site, data, sign(_to_sign(challenge, site, data))))
+    return len(whole).to_bytes(LENGTH_BYTES, "big") + whole
 
 
 def unpack(data: bytes, challenge: bytes, verify: Verify) -> Word:
-    """The word in a frame. Raises BadPartnerWord, and nothing else whatever the bytes are."""
+    """Verify and decode the message in a frame without its length.
+
+    Raises:
+        BadPartnerWord: If it is malformed or badly signed. Nothing else is raised, whatever the bytes are.
+    """
     try:
-        envelope = _envelope.decode(data)
-        if not verify(envelope.site, envelope.signature, _signed(challenge, envelope.site, envelope.word)):
-            raise BadPartnerWord(f"a word in the name of {envelope.site} is not signed by a key known here")
-        word: Word = _word.decode(envelope.word)
+        envelope = _envelope_decoder.decode(data)
+        if not verify(
+            envelope.site, envelope.signature, _to_sign(challenge, envelope.site, envelope.payload)
+        ):
+            raise BadPartnerWord(f"a message from {envelope.site} is not signed by a key known here")
+        word: Word = _message_decoder.decode(envelope.payload)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise BadPartnerWord(f"it cannot be read: {fault}") from None
+        raise BadPartnerWord(f"the message cannot be read: {fault}") from None
     if word.site != envelope.site:
-        raise BadPartnerWord(f"{envelope.site} speaks as {word.site}")
+        raise BadPartnerWord(f"a message signed by {envelope.site} names {word.site} as its sender")
     return word
 
 
 async def read(reader: asyncio.StreamReader, most: int, counted: Callable[[int], None]) -> bytes:
-    """The next frame. Raises BadPartnerWord, OSError, and EOFError at the end."""
-    length = int.from_bytes(await reader.readexactly(LENGTH), "big")
+    """Read the next frame, without its length, of at most `most` bytes; `counted` gets the bytes received.
+
+    Raises:
+        BadPartnerWord: If the frame is longer than `most`.
+        OSError: If the connection fails.
+        EOFError: If the connection has ended.
+    """
+    length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > most:
-        raise BadPartnerWord(f"a word of {length} bytes; {most} are the most")
-    counted(length + LENGTH)
+        raise BadPartnerWord(f"a message of {length} bytes; the limit is {most}")
+    counted(length + LENGTH_BYTES)
     return await reader.readexactly(length)
--- a/tests/sites/borders.py
+++ b/tests/sites/borders.py
@@ -1,4 +1,4 @@
-"""Borders of a few sites, and their words by hand."""
+"""Borders of a few sites, with their messages exchanged by hand."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def told(asker: Border, asked: Border, now: int) -> Tell:
-    """What one would be told by the other."""
+    """Return the advertisement that the asker would get, without delivering it."""
     ask = asker.ask(f"{asked.site}/i", now)
     over = asked.outlived(ask)
     if over is not None:
--- a/tests/sites/test_gateway.py
+++ b/tests/sites/test_gateway.py
@@ -1,4 +1,4 @@
-"""What a front may ask of the gateway between two sites."""
+"""The interface that the gateway between two sites offers to a front."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 @looped
-async def test_a_request_that_is_given_up_is_answered_and_called_off_inside() -> None:
-    """At a stop with no time left; the gateway had no such method, and its front failed."""
+async def test_an_abandoned_request_is_answered_and_cancelled_on_the_inner_side() -> None:
+    """At a shutdown with no time left the front calls `Gateway.fail`, which once was missing."""
     nobody: Any = None
     gateway = Gateway(nobody, nobody, nobody, nobody)
     held = Held(1, Call(b"c", "read", 1_000, None), asyncio.get_running_loop().create_future())
-    called_off: list[int] = []
-    gateway._call_off[1] = lambda: called_off.append(1)
+    cancelled: list[int] = []
+    gateway._call_off[1] = lambda: cancelled.append(1)
     gateway.fail(held)
-    assert held.answer.result() == Failed() and called_off == [1]
-    gateway.fail(held)  # once is enough
-    assert called_off == [1]
+    assert held.answer.result() == Failed() and cancelled == [1]
+    gateway.fail(held)  # cancelled only once
+    assert cancelled == [1]
--- a/tests/sites/test_links.py
+++ b/tests/sites/test_links.py
@@ -1,4 +1,4 @@
-"""Thin links: the division by its laws, and parts in use that never sum up to more than the capacity."""
+"""Slow links: properties of the allocation, and shares in use that never exceed the capacity."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from sorrelfront.decisions.sites import links
-from sorrelfront.decisions.sites.links import Class, Demand, Grant, Holder, divide, fill
+from sorrelfront.decisions.sites.links import Class, Demand, Grant, LinkShare, divide, max_min_shares
 
 SECOND = 1_000_000
 CLASSES = st.lists(
@@ -33,20 +33,22 @@
     st.integers(0, 200),
     st.randoms(),
 )
-def test_water_is_filled_evenly_and_all_of_it(wants: dict[str, int], amount: int, random: Random) -> None:
+def test_max_min_shares_are_fair_and_use_the_whole_amount(
+    wants: dict[str, int], amount: int, random: Random
+) -> None:
     weights = {name: random.randrange(1, 5) for name in wants}
-    found = fill(amount, wants, weights)
+    found = max_min_shares(amount, wants, weights)
     assert sum(found.values()) == min(amount, sum(wants.values()))
     for name, given_ in found.items():
         assert 0 <= given_ <= wants[name]
         for other in found:
-            if given_ < wants[name]:  # it is left wanting: nobody has more to its weight, but for a unit
+            if given_ < wants[name]:  # its demand is not met: nobody has more per weight, except for one unit
                 assert (found[other] - 1) * weights[name] <= (given_ + 1) * weights[other]
 
 
 @settings(derandomize=True, max_examples=400)
 @given(CLASSES, WANTS, st.integers(0, 400))
-def test_a_division_keeps_floors_and_the_order(
+def test_the_allocation_keeps_floors_and_priorities(
     classes: list[Class], wants: list[tuple[str, int, int]], capacity: int
 ) -> None:
     demands = [Demand(agent, classes[at % len(classes)].name, amount) for agent, at, amount in wants]
@@ -64,10 +66,10 @@
                 if (high.priority, -high.worth) < (low.priority, -low.worth) and had[low.name] > low.floor:
                     assert (
                         had[high.name] == wanted[high.name]
-                    )  # nothing is lost above while there is more below
+                    )  # no demand is unmet while a lower priority has more than its floor
 
 
-def test_what_is_no_demand_is_refused() -> None:
+def test_invalid_demands_and_capacities_are_refused() -> None:
     with pytest.raises(ValueError, match="demand"):
         divide(10, [Class("a")], [Demand("x", "b", 1)])
     with pytest.raises(ValueError, match="demand"):
@@ -76,18 +78,20 @@
         divide(-1, [Class("a")], [])
 
 
-class Sharing:
-    """Some agents on one link, with clocks of their own; words are late, lost and doubled; agents freeze and
-    start anew. Held to: what all may send never sums up to more than the capacity."""
+class LinkSimulation:
+    """Agents with drifting clocks that share a link; messages are delayed, lost or duplicated, agents restart.
+
+    Agents also hang for a while. Invariant: what all agents together may send never exceeds the capacity.
+    """
 
-    def __init__(self, seed: int, make: Callable[[int, int, int, int], Holder]) -> None:
+    def __init__(self, seed: int, make: Callable[[int, int, int, int], LinkShare]) -> None:
         self.random = random = Random(seed)
         self.make = make
         self.now = 0
         self.capacity = random.randrange(1_000, 100_000)
         count = random.randrange(2, 6)
         self.rates = [1 + random.uniform(-200, 200) / 1e6 for _ in range(count)]
-        self.holders = [self.life(self.capacity // count, -10 * SECOND) for _ in range(count)]
+        self.holders = [self.start(self.capacity // count, -10 * SECOND) for _ in range(count)]
         self.frozen = [0] * count
         self.most = 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -107,9 +111,9 @@
         if self.random.random() < 0.5:
             self.frozen[at] = self.now + self.random.randrange(6 * SECOND)
         else:
-            self.holders[at] = self.life(self.holders[at].own, self.clock(at))
+            self.holders[at] = self.start(self.holders[at].own, self.clock(at))
 
-    def life(self, own: int, began: int) -> Holder:
+    def start(self, own: int, began: int) -> LinkShare:
         return self.make(own, 2 * SECOND, began, self.random.getrandbits(48))
 
     def act(self, at: int) -> None:
@@ -119,9 +123,9 @@
         other = self.random.randrange(len(self.holders))
         if other != at:
             number = self.holders[at].ask(f"{other}", self.clock(at))
-            self.word(partial(self.asked, at, other, number))
+            self.send(partial(self.asked, at, other, number))
 
-    def word(self, what: Callable[[], None]) -> None:
+    def send(self, what: Callable[[], None]) -> None:
         for _ in range(self.random.choice((0, 1, 1, 1, 2))):
             self.later(int(10 ** self.random.uniform(3, 6.5)), what)
 
@@ -130,14 +134,14 @@
             return
         wanted, spare = (self.random.randrange(self.capacity) for _ in range(2))
         grant = self.holders[lender].lend(f"{borrower}", number, wanted, spare, self.clock(lender))
-        self.word(partial(self.granted, borrower, lender, grant))
+        self.send(partial(self.granted, borrower, lender, grant))
 
     def granted(self, borrower: int, lender: int, grant: Grant) -> None:
         if self.frozen[borrower] <= self.now:
             self.holders[borrower].on_grant(f"{lender}", grant, self.clock(borrower))
 
-    def play(self) -> int:
-        """How many bytes a second too many might have been sent at the worst moment."""
+    def run(self) -> int:
+        """Run the simulation; return by how many bytes per second the capacity was exceeded at worst."""
         over = 0
         while self._heap and self.now < 25 * SECOND:
             self.now, _, what = heapq.heappop(self._heap)
@@ -149,38 +153,38 @@
 
 
 @pytest.mark.parametrize("first", range(0, 200, 50))
-def test_parts_in_use_never_sum_up_to_more_than_the_link(first: int) -> None:
+def test_shares_in_use_never_exceed_the_capacity(first: int) -> None:
     lending = 0
     for seed in range(first, first + 50):
-        sharing = Sharing(seed, Holder)
-        assert sharing.play() <= 0, seed
-        lending += sharing.most > sharing.capacity // len(sharing.holders)
-    assert lending > 25  # and something was lent
+        simulation = LinkSimulation(seed, LinkShare)
+        assert simulation.run() <= 0, seed
+        lending += simulation.most > simulation.capacity // len(simulation.holders)
+    assert lending > 25  # some capacity was lent
 
 
-class Hasty(Holder):
-    """Raises another's share before the cut that it rests on was confirmed."""
+class LendsTwice(LinkShare):
+    """Forgets a borrower's outstanding lease before it answers the next request."""
 
     def lend(self, borrower: str, number: int, wanted: int, spare: int, now: int) -> Grant:
         self.lent.pop(borrower, None)
-        return Holder.lend(self, borrower, number, wanted, spare, now)
+        return LinkShare.lend(self, borrower, number, wanted, spare, now)
 
 
-class Unminding(Holder):
-    """Begins as if nobody had borrowed of the life before."""
+class IgnoresEarlierLeases(LinkShare):
+    """Starts as if the previous incarnation had lent nothing."""
 
     def usable(self, now: int) -> int:
         self.began_us = -(10**9)
-        return Holder.usable(self, now)
+        return LinkShare.usable(self, now)
 
 
-@pytest.mark.parametrize("planted", [Hasty, Unminding])
-def test_a_share_that_rests_on_an_unconfirmed_cut_is_found(planted: type[Holder]) -> None:
-    assert sum(Sharing(seed, planted).play() > 0 for seed in range(60)) >= 5
+@pytest.mark.parametrize("planted", [LendsTwice, IgnoresEarlierLeases])
+def test_the_simulation_finds_planted_defects(planted: type[LinkShare]) -> None:
+    assert sum(LinkSimulation(seed, planted).run() > 0 for seed in range(60)) >= 5
 
 
-def test_a_clock_that_is_fast_or_slow_is_allowed_for() -> None:
-    one, other = Holder(100, 2 * SECOND, -(10**9), 1), Holder(100, 2 * SECOND, -(10**9), 2)
+def test_a_borrower_stops_early_enough_for_clock_drift() -> None:
+    one, other = LinkShare(100, 2 * SECOND, -(10**9), 1), LinkShare(100, 2 * SECOND, -(10**9), 2)
     grant = one.lend("other", other.ask("one", 0), 50, 50, 0)
     other.on_grant("one", grant, 0)
     end = 2 * SECOND - 2 * SECOND * links.DRIFT_PPM // 1_000_000
@@ -188,10 +192,10 @@
     assert one.usable(2 * SECOND - 1) == 50 and one.usable(2 * SECOND) == 100
 
 
-def test_a_grant_to_the_life_before_is_none() -> None:
-    lender, before = Holder(100, 2 * SECOND, -(10**9), 1), Holder(100, 2 * SECOND, -(10**9), 40)
+def test_a_grant_to_the_previous_incarnation_is_ignored() -> None:
+    lender, before = LinkShare(100, 2 * SECOND, -(10**9), 1), LinkShare(100, 2 * SECOND, -(10**9), 40)
     late = lender.lend("other", before.ask("one", 0), 50, 50, 0)
-    fresh = Holder(100, 2 * SECOND, SECOND, 90)
+    fresh = LinkShare(100, 2 * SECOND, SECOND, 90)
     fresh.ask("one", SECOND)
     fresh.on_grant("one", late, SECOND)
     assert not fresh.borrowed
--- a/tests/sites/test_passage.py
+++ b/tests/sites/test_passage.py
@@ -1,19 +1,19 @@
-"""Who is let in at a gateway."""
+"""Admission of requests at a gateway."""
 
 from __future__ import annotations
 
 import pytest
 
 from sorrelfront.decisions.sites.offers import Relation
-from sorrelfront.decisions.sites.passage import Away, In, Passage, Turned, parse_path
+from sorrelfront.decisions.sites.passage import Away, In, Passage, Rejection, parse_path
 from sorrelfront.decisions.sites.routes import Lent, Partner
-from sorrelfront.decisions.sites.terms import RATE_MOST, terms
+from sorrelfront.decisions.sites.terms import MAX_RATE, terms
 
 SECOND = 1_000_000
 PARTNERS = {name: Partner(name, Relation.PEER) for name in ("a", "b", "d")}
 
 
-def lent(rate: int = RATE_MOST, capacity: int = 100) -> dict[str, Lent]:
+def lent(rate: int = MAX_RATE, capacity: int = 100) -> dict[str, Lent]:
     return {"x": Lent("x", terms(["a"], ["b"], ["look"], rate), 1, capacity)}
 
 
@@ -28,28 +28,28 @@
 @pytest.mark.parametrize(
     ("partner", "path", "cls", "why"),
     [
-        ("a", "A", "look", Turned.PATH),
-        ("a", "a,a", "look", Turned.PATH),
-        ("a", "a" * 80, "look", Turned.PATH),
-        ("a", ",".join("abcdefghi"), "look", Turned.PATH),
-        (None, "a", "look", Turned.STRANGER),
-        ("b", "a", "look", Turned.STRANGER),  # another's ticket
-        ("z", "z", "look", Turned.STRANGER),
-        ("b", "c,b", "look", Turned.LOOP),
-        ("a", "a", "pay", Turned.FORBIDDEN),
-        ("b", "b", "look", Turned.FORBIDDEN),  # it may carry a's, and has none of its own
-        ("a", "b,a", "look", Turned.FORBIDDEN),
-        ("d", "a,d", "look", Turned.FORBIDDEN),  # lent to a, and not to be carried by this one
+        ("a", "A", "look", Rejection.PATH),
+        ("a", "a,a", "look", Rejection.PATH),
+        ("a", "a" * 80, "look", Rejection.PATH),
+        ("a", ",".join("abcdefghi"), "look", Rejection.PATH),
+        (None, "a", "look", Rejection.STRANGER),
+        ("b", "a", "look", Rejection.STRANGER),  # the ticket of another partner
+        ("z", "z", "look", Rejection.STRANGER),
+        ("b", "c,b", "look", Rejection.LOOP),
+        ("a", "a", "pay", Rejection.FORBIDDEN),
+        ("b", "b", "look", Rejection.FORBIDDEN),  # may forward a's requests, but not use the offer itself
+        ("a", "b,a", "look", Rejection.FORBIDDEN),
+        ("d", "a,d", "look", Rejection.FORBIDDEN),  # lent to a, but d may not forward
     ],
 )
-def test_turned_away(partner: str | None, path: str, cls: str, why: Turned) -> None:
+def test_rejections(partner: str | None, path: str, cls: str, why: Rejection) -> None:
     passage = Passage("c")
     found = judge(passage, partner, path, cls)
     assert isinstance(found, Away) and found.why is why and found.retry_after_us > 0
     assert passage.counts[why.name.lower()] == 1 and not passage.inside
 
 
-def test_let_in_itself_and_carried() -> None:
+def test_direct_and_forwarded_requests_are_admitted() -> None:
     passage = Passage("c")
     assert judge(passage, "a", "a") == In("x") and judge(passage, "b", "a,b") == In("x")
     assert passage.inside == {"x": 2}
@@ -59,15 +59,15 @@
     assert passage.inside == {}
 
 
-def test_what_is_not_lent_here_goes_on_if_it_may() -> None:
+def test_a_request_for_another_site_is_forwarded_if_there_is_a_route() -> None:
     assert judge(Passage("c"), "b", "b", through=True) == In(None)
 
 
-def test_a_full_gateway_says_so_and_goes_on_elsewhere_if_it_can() -> None:
+def test_a_full_gateway_rejects_or_forwards() -> None:
     passage, offers = Passage("c"), lent(capacity=1)
     assert judge(passage, "a", "a", offers=offers) == In("x")
     found = judge(passage, "a", "a", offers=offers)
-    assert isinstance(found, Away) and found.why is Turned.FULL
+    assert isinstance(found, Away) and found.why is Rejection.FULL
     assert judge(passage, "a", "a", offers=offers, through=True) == In(None)
     passage.left("x")
     assert judge(passage, "a", "a", offers=offers) == In("x")
@@ -87,5 +87,5 @@
     now = 5 * SECOND
     while isinstance(away := judge(passage, "a", "a", offers=offers, now=now), In):
         pass
-    assert away.why is Turned.RATE
+    assert away.why is Rejection.RATE
     assert judge(passage, "a", "a", offers=offers, now=now + away.retry_after_us + 1) == In("x")
--- a/tests/sites/test_routes.py
+++ b/tests/sites/test_routes.py
@@ -1,4 +1,4 @@
-"""What one border believes of others, each hard case by its words."""
+"""Which advertisements one border accepts, and the routes that follow, case by case."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from sorrelfront.decisions.sites.offers import (
-    FORGED_MOST,
+    MAX_FORGED,
     REMEDY,
     Chain,
     Hop,
@@ -16,33 +16,33 @@
     Relation,
     Why,
     circle,
-    content,
+    content_digest,
     passed_on,
     prove,
     signed,
 )
-from sorrelfront.decisions.sites.routes import OWN_MOST, Newest, later, settle
+from sorrelfront.decisions.sites.routes import MAX_OWN_OFFERS, Newest, later, settle
 from sorrelfront.decisions.sites.terms import ANYTHING, terms
 from tests.sites.borders import LEFT_MS, SECOND, SIGN, VERIFY, ask, border, lent, told, ways
 
 ID = OfferId("c", "c/i", "x")
 
 
-def test_an_offer_holds_for_its_lifetime_since_it_was_asked_for() -> None:
+def test_a_lifetime_starts_when_the_query_is_sent() -> None:
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
-    ask(a, c, SECOND, came=4 * SECOND)  # three seconds on its way count
+    ask(a, c, SECOND, came=4 * SECOND)  # the three seconds in transit count
     assert ways(a, 10 * SECOND) == [("c",)]
-    assert ways(a, 11 * SECOND) == []  # also where nobody has looked at the time since
+    assert ways(a, 11 * SECOND) == []  # also without a call of `on_time`
 
 
-def test_an_answer_to_an_earlier_question_is_none() -> None:
+def test_an_answer_to_an_earlier_query_is_ignored() -> None:
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
     first = told(a, c, SECOND)
     told(a, c, 2 * SECOND)
     assert not a.on_tell("c/i", first, 2 * SECOND) and ways(a, 2 * SECOND) == []
 
 
-def test_the_same_as_before_renews_it_in_few_bytes() -> None:
+def test_an_unchanged_advertisement_renews_lifetimes_without_chains() -> None:
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
     ask(a, c, SECOND)
     tell = ask(a, c, 3 * SECOND)
@@ -50,7 +50,7 @@
     assert ways(a, 12 * SECOND) == [("c",)] and ways(a, 13 * SECOND) == []
 
 
-def test_a_withdrawal_outweighs_whoever_still_tells_the_offer() -> None:
+def test_a_withdrawal_outweighs_sites_that_still_advertise_the_offer() -> None:
     c = border("c", {"a": "peer", "b": "provider"}, [lent()])
     b = border("b", {"a": "peer", "c": "customer"})
     a = border("a", {"b": "peer", "c": "peer"})
@@ -64,7 +64,7 @@
     assert ways(a, 2 * SECOND) == [] and [route.state for route in a.table] == [Why.WITHDRAWN]
 
 
-def test_what_its_gateway_never_told_is_not_believed_of_others() -> None:
+def test_an_offer_that_its_gateway_does_not_advertise_is_refused_from_others() -> None:
     c = border("c", {"a": "peer", "b": "provider"}, [lent()])
     b = border("b", {"a": "peer", "c": "customer"})
     a = border("a", {"b": "peer", "c": "peer"})
@@ -72,11 +72,11 @@
     narrowed = lent(terms=terms(["b"], [], ["look"], left_ms=LEFT_MS))
     c.configure(c.partners.values(), [narrowed], 2 * SECOND)
     ask(a, c, 2 * SECOND)
-    ask(a, b, 2 * SECOND)  # b has yet to hear of it
+    ask(a, b, 2 * SECOND)  # b has not received the change yet
     assert ways(a, 2 * SECOND) == []
 
 
-def test_narrowed_terms_drop_what_is_held_of_the_wider_ones_by_any_way() -> None:
+def test_narrowed_terms_invalidate_the_wider_ones_on_every_path() -> None:
     c = border("c", {"a": "peer", "b": "provider"}, [lent()])
     b = border("b", {"a": "peer", "c": "customer"})
     a = border("a", {"b": "peer", "c": "peer"})
@@ -89,18 +89,18 @@
     assert next(route for route in a.table if route.sites == ("b", "c")).state is Why.OLD
 
 
-def test_what_was_long_on_its_way_is_not_withdrawn_by_that() -> None:
+def test_a_delayed_advertisement_withdraws_nothing() -> None:
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
     ask(a, c, SECOND)
-    c.on_time(5 * SECOND)  # a fresh stamp, so that it is told whole
+    c.on_time(5 * SECOND)  # a new stamp, so that chains are sent
     ask(a, c, 5 * SECOND, came=25 * SECOND)
     assert a.peers["c/i"].refused == {"EXPIRED": 1}
     c.on_time(26 * SECOND)
     ask(a, c, 26 * SECOND)
-    assert ways(a, 26 * SECOND) == [("c",)] and c.life == (1, 7)  # nor has it to begin another life
+    assert ways(a, 26 * SECOND) == [("c",)] and c.life == (1, 7)  # and no new incarnation is requested
 
 
-def test_old_words_told_again_begin_no_new_time() -> None:
+def test_a_replayed_message_starts_no_new_lifetime() -> None:
     c = border("c", {"b": "provider"}, [lent()])
     b = border("b", {"a": "peer", "c": "customer"})
     a = border("a", {"b": "peer", "c": "provider"})
@@ -112,7 +112,7 @@
     assert ways(a, 10 * SECOND) == [("b", "c")] and ways(a, 11 * SECOND) == []
 
 
-def test_stamps_that_were_kept_back_are_as_old_as_their_owner_made_them() -> None:
+def test_stamps_that_were_held_back_keep_their_age() -> None:
     c = border("c", {"b": "provider"}, [lent()])
     b = border("b", {"a": "peer", "c": "customer"})
     a = border("a", {"b": "peer", "c": "provider"})
@@ -122,16 +122,16 @@
         ask(b, c, second * SECOND)
         tell = told(a, b, second * SECOND)
         if second in (1, 19):
-            a.on_tell("b/i", tell, second * SECOND)  # the freshest has been heard
+            a.on_tell("b/i", tell, second * SECOND)  # the freshest stamp has been received
         kept.append(tell)
     late = told(a, b, 40 * SECOND)
-    hoarded = msgspec.structs.replace(late, chains=kept[3].chains, ages_ms=(0,), have=b"other")
-    a.on_tell("b/i", hoarded, 40 * SECOND)
+    replayed = msgspec.structs.replace(late, chains=kept[3].chains, ages_ms=(0,), have=b"other")
+    a.on_tell("b/i", replayed, 40 * SECOND)
     assert ways(a, 40 * SECOND) == [] and a.peers["b/i"].refused == {"EXPIRED": 1}
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_two_contents_under_one_state_are_used_by_nobody_whichever_came_first(first: int) -> None:
+def test_neither_content_of_a_fork_is_used_in_any_order_of_arrival(first: int) -> None:
     one = border("c", {"a": "peer"}, [lent(cost=1)])
     other = border("c", {"a": "peer"}, [lent(cost=2)])
     a = border("a", {"c": "peer"})
@@ -141,10 +141,10 @@
         assert answer is not None
         a.on_tell("c/i", answer, SECOND)
     assert ways(a, SECOND) == [] and a.counts["forked"] == 1
-    assert one.outlived(a.ask("c/i", SECOND)) == 1  # and its gateway is told to go on as another life
+    assert one.outlived(a.ask("c/i", SECOND)) == 1  # its gateway has to continue as another incarnation
 
 
-def test_a_gateway_that_lost_its_disk_rises_above_the_life_that_is_remembered() -> None:
+def test_a_gateway_that_lost_its_disk_raises_its_epoch_above_the_remembered_one() -> None:
     a = border("a", {"c": "peer"})
     ask(a, border("c", {"a": "peer"}, [lent()], life=(5, 1)), SECOND)
     fresh = border("c", {"a": "peer"}, [lent()], now=2 * SECOND, life=(1, 2))
@@ -153,7 +153,7 @@
     assert fresh.life == (6, 2) and ways(a, 3 * SECOND) == [("c",)]
 
 
-def test_the_newest_states_join_in_any_order() -> None:
+def test_joining_states_is_commutative_associative_and_idempotent() -> None:
     found = [
         Newest(1, 1, b"x", 1), Newest(1, 1, b"y", 2), Newest(1, 1, b"", 1), Newest(1, 2, b"z", 1),
         Newest(2, 1, b"x", 1),
@@ -161,11 +161,11 @@
     for rows in permutations(found, 3):
         assert later(later(rows[0], rows[1]), rows[2]) == later(rows[0], later(rows[2], rows[1]))
         assert later(rows[0], rows[0]) == rows[0]
-    assert later(found[0], found[1]).forked and not later(found[0], found[2]).sum
+    assert later(found[0], found[1]).forked and not later(found[0], found[2]).content
 
 
 def chain_of(*sites: str, **told: object) -> Chain:
-    """An offer of the last site's, passed on by the others to a."""
+    """Return an offer of the last site, re-advertised by the others to a."""
     owner = border(sites[-1], {}, [lent(**told)], gateway=f"{sites[-1]}/i")  # type: ignore[arg-type]
     chain = Chain(owner._own["x"][1])
     way = [*reversed(sites), "a"]
@@ -175,8 +175,8 @@
     return chain
 
 
-def judged(chain: Chain, teller: str = "b", relation: str = "peer") -> str:
-    """Why a does not believe it; "" if it does."""
+def refusal(chain: Chain, teller: str = "b", relation: str = "peer") -> str:
+    """Return why a refuses the chain; "" if it accepts it."""
     a = border("a", {"b": "peer", "c": "peer", "d": "peer", teller: relation})
     teller_border = border(teller, {"a": {"peer": "peer", "provider": "customer"}[relation]})
     tell = told(a, teller_border, SECOND)
@@ -187,40 +187,41 @@
 
 def hop(chain: Chain, site: str = "b", to: str = "a", **more: object) -> Chain:
     told: dict[str, object] = {
-        "learnt": Relation.CUSTOMER, "told": Relation.PEER, "cost": 1, "terms": chain.terms, **more,
+        "import_relation": Relation.CUSTOMER, "export_relation": Relation.PEER,
+        "cost": 1, "terms": chain.terms, **more,
     }  # fmt: skip
     return passed_on(chain, Hop(site, to, **told), SIGN[site])  # type: ignore[arg-type]
 
 
-def test_a_hostile_partner_is_seen_through() -> None:
+def test_manipulated_chains_are_refused() -> None:
     good, nobody = chain_of("c"), chain_of("c", terms=terms(None, [], ["look"], left_ms=LEFT_MS))
-    assert judged(hop(good)) == ""
-    assert judged(hop(nobody)) == "NOT_PASSED_ON"
-    assert judged(hop(hop(good, "b", "d"), "d", "b")) == "ADDRESSEE"
-    assert judged(hop(hop(good, "d", "b", terms=nobody.terms))) == "NOT_PASSED_ON"
-    assert judged(hop(hop(good, "d", "b", terms=nobody.terms), terms=good.terms)) == "NOT_PASSED_ON"
+    assert refusal(hop(good)) == ""
+    assert refusal(hop(nobody)) == "NOT_PASSED_ON"
+    assert refusal(hop(hop(good, "b", "d"), "d", "b")) == "ADDRESSEE"
+    assert refusal(hop(hop(good, "d", "b", terms=nobody.terms))) == "NOT_PASSED_ON"
+    assert refusal(hop(hop(good, "d", "b", terms=nobody.terms), terms=good.terms)) == "NOT_PASSED_ON"
     narrowed = terms(["a", "b"], None, ["look"], left_ms=LEFT_MS)
-    assert judged(hop(hop(good, "d", "b", terms=narrowed))) == ""
-    assert judged(hop(hop(good, "d", "b", terms=narrowed), terms=good.terms)) == "WIDENED"
-    assert judged(hop(good, terms=ANYTHING)) == "WIDENED"
-    assert judged(hop(good, learnt=Relation.PEER)) == "VALLEY"
-    assert judged(hop(good, told=Relation.CUSTOMER)) == "ROLE"
-    assert judged(hop(good, "c", "a")) == "ADDRESSEE"
-    assert judged(hop(hop(good, "b", "a"), "a", "b")) == "ADDRESSEE"
-    assert judged(hop(chain_of("a"))) == "LOOP"
+    assert refusal(hop(hop(good, "d", "b", terms=narrowed))) == ""
+    assert refusal(hop(hop(good, "d", "b", terms=narrowed), terms=good.terms)) == "WIDENED"
+    assert refusal(hop(good, terms=ANYTHING)) == "WIDENED"
+    assert refusal(hop(good, import_relation=Relation.PEER)) == "VALLEY"
+    assert refusal(hop(good, export_relation=Relation.CUSTOMER)) == "ROLE"
+    assert refusal(hop(good, "c", "a")) == "ADDRESSEE"
+    assert refusal(hop(hop(good, "b", "a"), "a", "b")) == "ADDRESSEE"
+    assert refusal(hop(chain_of("a"))) == "LOOP"
     forged = msgspec.structs.replace(good.offer, version=9, terms=ANYTHING)
-    assert judged(hop(Chain(signed(forged, SIGN["b"])))) == "SIGNATURE"
+    assert refusal(hop(Chain(signed(forged, SIGN["b"])))) == "SIGNATURE"
     taken = hop(good)
     swapped = (msgspec.structs.replace(taken.hops[0], terms=narrowed),)
-    assert judged(Chain(good.offer, swapped)) == "SIGNATURE"
+    assert refusal(Chain(good.offer, swapped)) == "SIGNATURE"
     loose = terms(None, None, ["look"], left_ms=LEFT_MS)
     spelt = msgspec.structs.replace(loose, classes=("look", "look"))
-    assert judged(hop(good, terms=spelt)) == "SPELLING"
-    assert judged(hop(good, terms=msgspec.structs.replace(loose, to=()))) == "EMPTY"
+    assert refusal(hop(good, terms=spelt)) == "SPELLING"
+    assert refusal(hop(good, terms=msgspec.structs.replace(loose, to=()))) == "EMPTY"
     assert all(REMEDY[why].endswith(".") for why in Why)
 
 
-def test_a_site_without_a_key_here_is_believed_by_nobody() -> None:
+def test_a_chain_through_a_site_without_a_known_key_is_refused() -> None:
     a, b = border("a", {"b": "peer"}), border("b", {"a": "peer"})
     tell = told(a, b, SECOND)
     tell = msgspec.structs.replace(tell, chains=(hop(chain_of("c")),), ages_ms=(0,), have=b"h")
@@ -228,24 +229,24 @@
     assert a.peers["b/i"].refused == {"UNKNOWN_SITE": 1}
 
 
-def test_a_partner_that_sees_the_relation_otherwise_is_not_heard() -> None:
+def test_a_partner_that_configures_another_relation_is_refused() -> None:
     a, c = border("a", {"c": "peer"}), border("c", {"a": "customer"}, [lent()])
     ask(a, c, SECOND)
     assert ways(a, SECOND) == [] and not a.peers["c/i"].agrees
 
 
-def test_an_offer_may_be_passed_on_to_those_it_is_not_used_by() -> None:
+def test_an_offer_may_be_re_advertised_by_a_site_that_may_not_use_it() -> None:
     c = border("c", {"b": "peer"}, [lent(terms=terms(["a"], ["b"], ["look"], left_ms=LEFT_MS))])
     b = border("b", {"a": "customer", "c": "peer"})
     a = border("a", {"b": "provider", "c": "peer"})
     ask(b, c, SECOND)
     ask(a, b, SECOND)
     assert ways(b, SECOND) == [] and ways(a, SECOND) == [("b", "c")]
-    assert ways(b, SECOND, "a") == [("c",)]  # on its way
+    assert ways(b, SECOND, "a") == [("c",)]  # forwarded for a
     assert ways(b, SECOND, "c") == [] and ways(b, SECOND, "a", "c") == []
 
 
-def test_what_comes_from_peers_and_providers_goes_to_customers_alone() -> None:
+def test_offers_of_peers_and_providers_are_re_advertised_to_customers_only() -> None:
     c = border("c", {"b": "peer"}, [lent()])
     for relation, known in (("customer", 1), ("peer", 0), ("provider", 0)):
         b = border("b", {"a": relation, "c": "peer"})
@@ -258,17 +259,17 @@
         assert len(ways(b, SECOND, "a")) == known
 
 
-def test_own_customers_first_then_cost_then_hops() -> None:
+def test_customers_are_preferred_then_cost_then_hops() -> None:
     a = border("a", {"b": "peer", "c": "customer", "d": "peer"})
     ask(a, border("c", {"a": "provider"}, [lent(cost=50)]), SECOND)
     ask(a, border("b", {"a": "peer"}, [lent(cost=3)]), SECOND)
     ask(a, border("d", {"a": "peer"}, [lent(cost=3)]), SECOND)
     assert ways(a, SECOND) == [("c",)]
     a.drop("c/i")
-    assert ways(a, SECOND) == [("b",), ("d",)]  # equal ones together
+    assert ways(a, SECOND) == [("b",), ("d",)]  # routes of equal rank together
 
 
-def test_a_table_does_not_depend_on_the_order_of_what_it_is_made_of() -> None:
+def test_the_table_does_not_depend_on_the_order_of_its_inputs() -> None:
     a = border("a", {"b": "peer", "c": "customer", "d": "peer"})
     for other, what in (("b", "peer"), ("c", "provider"), ("d", "peer")):
         ask(a, border(other, {"a": what}, [lent("x"), lent("y", 2)]), SECOND)
@@ -276,7 +277,7 @@
     assert len({settle(rows, a.partners, {}) for rows in permutations(held)}) == 1
 
 
-def test_what_comes_and_goes_is_damped_and_used_only_if_there_is_nothing_else() -> None:
+def test_a_flapping_route_is_damped_and_used_only_as_a_last_resort() -> None:
     a = border("a", {"b": "peer", "c": "customer"})
     c = border("c", {"a": "provider"}, [lent()])
     ask(a, border("b", {"a": "peer"}, [lent()]), SECOND)
@@ -293,7 +294,7 @@
     assert next(iter(a.table)).state is None
 
 
-def test_a_gateway_that_falls_silent_comes_last_and_goes_after_a_while() -> None:
+def test_routes_of_a_silent_gateway_are_a_last_resort_and_then_removed() -> None:
     a = border("a", {"b": "peer", "c": "customer"})
     ask(a, border("c", {"a": "provider"}, [lent()]), SECOND)
     ask(a, border("b", {"a": "peer"}, [lent()]), SECOND)
@@ -301,12 +302,12 @@
     a.silent("c/i", 2 * SECOND)
     assert ways(a, 2 * SECOND) == [("b",)]
     a.silent("b/i", 2 * SECOND)
-    assert ways(a, 2 * SECOND) == [("c",)]  # nothing better is there
+    assert ways(a, 2 * SECOND) == [("c",)]  # there is nothing better
     a.on_time(7 * SECOND)
     assert a.table == () and ways(a, 7 * SECOND) == []
 
 
-def test_an_end_by_the_clock_is_told_ahead_of_it() -> None:
+def test_lifetimes_are_shortened_ahead_of_a_configured_end() -> None:
     c = border("c", {"a": "peer"})
     offer = lent()
     c.configure(c.partners.values(), [offer.__class__("x", offer.terms, until_us=12 * SECOND)], SECOND)
@@ -318,43 +319,43 @@
     assert c.offers(11 * SECOND) and not c.offers(12 * SECOND)
 
 
-def test_a_circle_of_providers_is_named_and_nothing_is_passed_on_in_it() -> None:
+def test_a_cycle_of_providers_is_named_and_stops_re_advertisement() -> None:
     assert circle({"a": frozenset("b"), "b": frozenset("c"), "c": frozenset("a")}) == ["a", "b", "c"]
     assert circle({"a": frozenset("bc"), "b": frozenset("c"), "c": frozenset()}) == []
     b = border("b", {"a": "customer", "c": "provider"})
     c = border("c", {"b": "customer", "a": "provider"}, [lent()])
     a = border("a", {"b": "provider", "c": "customer"})
     ask(b, c, SECOND)
-    # c tells that a provides for it; that c and it itself provide for whom, b knows.
+    # c reports that a is its provider; the other two relations are in b's own configuration.
     assert b.circle == ["a", "b", "c"] and ways(b, SECOND) == [("c",)]
     ask(a, b, SECOND)
     assert a.circle == ["a", "b", "c"] and ways(a, SECOND) == []
 
 
-def test_a_sites_owner_may_not_fill_the_memory_of_others() -> None:
+def test_the_number_of_offers_remembered_per_owner_is_bounded() -> None:
     with pytest.raises(ValueError, match="offers"):
-        border("c", {}, [lent(f"x{number}") for number in range(OWN_MOST + 1)])
+        border("c", {}, [lent(f"x{number}") for number in range(MAX_OWN_OFFERS + 1)])
     a = border("a", {"c": "peer"})
-    a._ids["c"] = 4_096
+    a._id_counts["c"] = 4_096
     ask(a, border("c", {"a": "peer"}, [lent()]), SECOND)
     assert a.peers["c/i"].refused == {"TOO_MANY": 1}
 
 
-def test_a_digest_of_content_leaves_out_the_stamp_alone() -> None:
+def test_the_content_digest_leaves_out_only_stamp_and_signature() -> None:
     offer = chain_of("c").offer
-    assert content(offer) == content(msgspec.structs.replace(offer, stamp_ms=9, signature=b""))
+    assert content_digest(offer) == content_digest(msgspec.structs.replace(offer, stamp_ms=9, signature=b""))
     for change in ({"cost": 9}, {"version": 9}, {"birth": 9}, {"terms": ANYTHING}):
-        assert content(offer) != content(msgspec.structs.replace(offer, **change))
+        assert content_digest(offer) != content_digest(msgspec.structs.replace(offer, **change))
 
 
-def test_of_thousands_of_forged_chains_a_few_are_looked_at() -> None:
+def test_only_a_few_of_thousands_of_forged_chains_are_verified() -> None:
     good = chain_of("c")
     forged = [Chain(msgspec.structs.replace(good.offer, name=f"x{number}")) for number in range(2_000)]
-    looked = []
+    verified = []
 
     def verify(site: str, signature: bytes, data: bytes) -> bool:
-        looked.append(site)
+        verified.append(site)
         return VERIFY(site, signature, data)
 
     found = prove([good, *forged], verify, lambda site: True, ())
-    assert found[0] is None and set(found[1:]) == {Why.SIGNATURE} and len(looked) == 1 + FORGED_MOST
+    assert found[0] is None and set(found[1:]) == {Why.SIGNATURE} and len(verified) == 1 + MAX_FORGED
--- a/tests/sites/test_tables.py
+++ b/tests/sites/test_tables.py
@@ -1,4 +1,4 @@
-"""[site], [partners.NAME] and [offers.NAME]: checked whole, each fault with its place."""
+"""Validation of [site], [partners.NAME] and [offers.NAME]: all errors are reported with their locations."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
         (WHOLE.replace("[offers.stock]", "[offers.stock]\nrat = 1"), "the nearest is 'rate'"),
     ],
 )  # fmt: skip
-def test_a_fault_is_told_with_its_place(text: str, said: str) -> None:
+def test_an_error_is_reported_with_its_location(text: str, said: str) -> None:
     if not said:
-        with pytest.raises(BadDocument) if ":7101" in text else _good():
+        with pytest.raises(BadDocument) if ":7101" in text else _NoError():
             parse(text.replace("gateways = []\n", "").encode(), PATH)
             if ":7101" in text:
                 parse(text.replace("[daemon]", "[daemon]\ninstances = 3").encode(), PATH)
@@ -56,15 +56,15 @@
     assert any(said in line for line in faults(text)), faults(text)
 
 
-class _good:
+class _NoError:
     def __enter__(self) -> None:
         pass
 
-    def __exit__(self, *told: object) -> None:
+    def __exit__(self, *exc_info: object) -> None:
         pass
 
 
-def test_a_circle_of_providers_is_refused_with_the_sites_named() -> None:
+def test_a_cycle_of_providers_is_refused_and_its_sites_are_named() -> None:
     text = GOOD + FLEET + SITE
     text += f'[partners.hawassa]\nkeys = ["{KEYS[0]}"]\nrelation = "provider"\nproviders = ["mekelle"]\n'
     good = text + f'[partners.mekelle]\nkeys = ["{KEYS[1]}"]\nrelation = "peer"\n'
--- a/tests/sites/test_terms.py
+++ b/tests/sites/test_terms.py
@@ -1,4 +1,4 @@
-"""The lattice of terms, by its laws."""
+"""Algebraic properties of the lattice of terms."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(TERMS, TERMS, TERMS)
-def test_a_meet_is_the_most_that_both_allow(one: Terms, other: Terms, third: Terms) -> None:
+def test_meet_is_the_greatest_lower_bound(one: Terms, other: Terms, third: Terms) -> None:
     both = meet(one, other)
     assert both == meet(other, one) and meet(one, one) == one
     assert meet(meet(one, other), third) == meet(one, meet(other, third))
@@ -25,7 +25,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(TERMS, TERMS, st.sampled_from("abc"), st.sampled_from("abc"))
-def test_what_both_allow_is_allowed_by_each(one: Terms, other: Terms, site: str, cls: str) -> None:
+def test_the_meet_allows_exactly_what_both_allow(one: Terms, other: Terms, site: str, cls: str) -> None:
     both = meet(one, other)
     assert both.lends(site, cls) == (one.lends(site, cls) and other.lends(site, cls))
     assert both.carries(site) == (one.carries(site) and other.carries(site))
@@ -33,5 +33,5 @@
         assert not both.lends(site, cls)
 
 
-def test_nobody_passes_on_what_says_nothing_of_it() -> None:
+def test_an_offer_is_not_re_advertised_by_default() -> None:
     assert not terms().carries("a") and terms(onward=None).carries("a")
--- a/tests/sites/test_worlds.py
+++ b/tests/sites/test_worlds.py
@@ -1,4 +1,4 @@
-"""Sites in memory: a slice of the seeds, orders of events of three, and planted defects that are found."""
+"""Simulated sites: some seeds, all orders of events among three sites, and detection of planted defects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_slice_of_the_seeds_holds(seed: int) -> None:
+def test_seeds_run_without_breaches(seed: int) -> None:
     world = World(seed)
     world.play()
     assert not world.breaches
@@ -23,25 +23,25 @@
 
 
 @pytest.mark.parametrize("triangle", [False, True])
-def test_every_order_of_a_few_events_of_three_sites(triangle: bool) -> None:
+def test_every_order_of_a_few_events_among_three_sites(triangle: bool) -> None:
     found = explore(3, triangle=triangle)
     assert not found.broken and found.states > 100
 
 
-class NeverOver(Border):
-    """Counts no lifetime."""
+class NeverExpires(Border):
+    """Extends every lifetime by an hour."""
 
-    def _until(self, *told: Any) -> int:
-        return super()._until(*told) + 3_600_000_000
+    def _expiry(self, *told: Any) -> int:
+        return super()._expiry(*told) + 3_600_000_000
 
 
-class Forgetful(Border):
-    """Remembers no newest state."""
+class ForgetsStates(Border):
+    """Does not remember the newest state of an offer."""
 
-    def _note(self, *told: Any) -> Why | None:
+    def _record_chain(self, *told: Any) -> Why | None:
         return None
 
-    def note(self, *told: Any, **more: Any) -> Why | None:
+    def record_state(self, *told: Any, **more: Any) -> Why | None:
         return None
 
 
@@ -54,15 +54,15 @@
     return count
 
 
-def test_lifetimes_that_never_end_are_found_by_a_few_seeds() -> None:
-    assert found(NeverOver, (13, 36)) == 2  # 6 of 120 show it
+def test_a_few_seeds_find_lifetimes_that_never_end() -> None:
+    assert found(NeverExpires, (13, 36)) == 2  # 6 of 120 seeds find it
 
 
-def test_orders_of_events_show_a_border_that_forgets_what_was_withdrawn() -> None:
-    assert "forbidden" in explore(4, Forgetful, triangle=True).broken
+def test_exploring_event_orders_finds_a_border_that_forgets_withdrawals() -> None:
+    assert "forbidden" in explore(4, ForgetsStates, triangle=True).broken
 
 
-def test_terms_that_were_widened_and_are_believed_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeds_find_a_border_that_accepts_widened_terms(monkeypatch: pytest.MonkeyPatch) -> None:
     judged = routes.__dict__["fault"]
 
     def fault(*told: Any) -> Why | None:
