--- a/sorrelfront/decisions/sites/links.py
+++ b/sorrelfront/decisions/sites/links.py
@@ -23,7 +23,7 @@
 MAX_PARTS = 4_096  # (agent, class) pairs on one link
 
 
-class Class(NamedTuple):
+class TrafficClass(NamedTuple):
     """A traffic class on a link.
 
     A lower `priority` is served first. `worth` is the worth of one byte, in the same unit for all classes.
@@ -50,33 +50,35 @@
     No share exceeds its demand, the whole amount is used if demanded, and the share per unit of weight is
     smaller than another's only where the demand is met. Remaining single units go out in name order.
     """
-    left, found = max(0, amount), dict.fromkeys(wants, 0)
-    waiting = sorted(
+    left, shares = max(0, amount), dict.fromkeys(wants, 0)
+    unmet = sorted(
         (name for name in wants if wants[name] > 0), key=lambda name: (wants[name] / weights[name], name)
     )
-    total = sum(weights[name] for name in waiting)
-    while waiting:
-        name = waiting[0]
+    total = sum(weights[name] for name in unmet)
+    while unmet:
+        name = unmet[0]
         if wants[name] * total > left * weights[name]:
             break
-        found[name] = wants[name]
+        shares[name] = wants[name]
         left -= wants[name]
         total -= weights[name]
-        waiting.pop(0)
-    share = left
-    for name in waiting:
-        found[name] = min(wants[name], share * weights[name] // total)
-        left -= found[name]
-    for name in sorted(waiting):
+        unmet.pop(0)
+    remaining = left
+    for name in unmet:
+        shares[name] = min(wants[name], remaining * weights[name] // total)
+        left -= shares[name]
+    for name in sorted(unmet):
         if left <= 0:
             break
-        if found[name] < wants[name]:
-            found[name] += 1
+        if shares[name] < wants[name]:
+            shares[name] += 1
             left -= 1
-    return found
+    return shares
 
 
-def divide(capacity: int, classes: Iterable[Class], demands: Iterable[Demand]) -> dict[tuple[str, str], int]:
+def divide(
+    capacity: int, classes: Iterable[TrafficClass], demands: Iterable[Demand]
+) -> dict[tuple[str, str], int]:
     """Return the bytes per second for each (agent, class).
 
     Raises:
@@ -142,10 +144,12 @@
     began_us: int  # start of this incarnation: leases granted by the previous one may still be running
     # Random for each incarnation: a delayed grant to the previous one would otherwise be taken for the
     # answer to a later request with the same number.
-    first: int
+    first_number: int
     lent: dict[str, _Lease] = field(default_factory=dict)
     borrowed: dict[str, _Lease] = field(default_factory=dict)
-    _asked: dict[str, tuple[int, int]] = field(default_factory=dict)  # lender -> request number, time sent
+    _requested: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # lender -> request number, time sent
 
     def usable(self, now: int) -> int:
         """Return the bytes per second it may send now: its own, less what is lent, plus what is borrowed."""
@@ -162,18 +166,18 @@
 
     # Borrower side
 
-    def ask(self, lender: str, now: int) -> int:
+    def request(self, lender: str, now: int) -> int:
         """Return the number for a request that is sent now; the lease time of a grant starts here."""
-        number = self._asked.get(lender, (self.first, 0))[0] + 1
-        self._asked[lender] = (number, now)
+        number = self._requested.get(lender, (self.first_number, 0))[0] + 1
+        self._requested[lender] = (number, now)
         return number
 
     def on_grant(self, lender: str, grant: Grant, now: int) -> None:
         """Replace what is borrowed from this lender; a grant for an earlier request is ignored."""
-        number, asked = self._asked.get(lender, (-1, 0))
+        number, requested = self._requested.get(lender, (-1, 0))
         if grant.number != number:
             return
-        until = asked + grant.left_us - grant.left_us * DRIFT_PPM // 1_000_000
+        until = requested + grant.left_us - grant.left_us * DRIFT_PPM // 1_000_000
         if grant.bytes_s > 0 and until > now:
             self.borrowed[lender] = _Lease(grant.bytes_s, until)
         else:
--- a/sorrelfront/decisions/sites/offers.py
+++ b/sorrelfront/decisions/sites/offers.py
@@ -242,25 +242,25 @@
     return None
 
 
-def fault(chain: Chain, me: str, teller: str, relation: Relation) -> Why | None:
+def fault(chain: Chain, me: str, advertiser: str, relation: Relation) -> Why | None:
     """Return which rule the chain's contents break, apart from its signatures.
 
     Args:
         chain: The chain to check.
         me: This site.
-        teller: The site that advertised the chain.
+        advertiser: The site that advertised the chain.
         relation: What the advertising site is to this one.
     """
     sites = chain.sites
-    if sites[0] != teller or (chain.hops and chain.hops[-1].next != me):
+    if sites[0] != advertiser or (chain.hops and chain.hops[-1].next != me):
         return Why.ADDRESSEE
     if me in sites or len(set(sites)) != len(sites):
         return Why.LOOP
-    allowed, learnt_by = chain.offer.terms, ""
+    allowed, expected = chain.offer.terms, ""
     if not canonical(allowed):
         return Why.SPELLING
     for hop in chain.hops:
-        if learnt_by not in ("", hop.site):
+        if expected not in ("", hop.site):
             return Why.ADDRESSEE
         if not canonical(hop.terms):
             return Why.SPELLING
@@ -270,19 +270,19 @@
             return Why.WIDENED
         if not may_tell(hop.import_relation, hop.export_relation):
             return Why.VALLEY
-        allowed, learnt_by = hop.terms, hop.next
+        allowed, expected = hop.terms, hop.next
     if chain.hops and chain.hops[-1].export_relation != relation.other_way:
         return Why.ROLE
     return Why.EMPTY if allowed.empty else None
 
 
-def may_tell(learnt: Relation, told: Relation) -> bool:
+def may_tell(import_relation: Relation, export_relation: Relation) -> bool:
     """Whether an offer learned from one relation may be advertised to another (Gao-Rexford export rule).
 
     Customers' offers go to everybody, all others to customers only. With customers preferred and no cycle of
     providers, routing then converges for every order of events.
     """
-    return learnt is Relation.CUSTOMER or told is Relation.CUSTOMER
+    return import_relation is Relation.CUSTOMER or export_relation is Relation.CUSTOMER
 
 
 def circle(providers: dict[str, frozenset[str]]) -> list[str]:
@@ -292,21 +292,21 @@
     """
     done: set[str] = set()
     for start in sorted(providers):
-        way: list[str] = []
+        path: list[str] = []
         stack = [(start, iter(sorted(providers.get(start, ()))))]
         if start in done:
             continue
-        way.append(start)
+        path.append(start)
         while stack:
-            site, rest = stack[-1]
-            following = next(rest, None)
+            site, remaining = stack[-1]
+            following = next(remaining, None)
             if following is None:
                 stack.pop()
-                way.pop()
+                path.pop()
                 done.add(site)
-            elif following in way:
-                return way[way.index(following) :]
+            elif following in path:
+                return path[path.index(following) :]
             elif following not in done:
-                way.append(following)
+                path.append(following)
                 stack.append((following, iter(sorted(providers.get(following, ())))))
     return []
--- a/sorrelfront/decisions/sites/passage.py
+++ b/sorrelfront/decisions/sites/passage.py
@@ -80,7 +80,7 @@
         cls: str,
         partners: Mapping[str, Partner],
         lent: Mapping[str, Lent],
-        through: bool,
+        can_forward: bool,
         now: int,
     ) -> In | Away:
         """Admit or reject a request.
@@ -93,10 +93,10 @@
             cls: The request class.
             partners: All partners by name.
             lent: The offers of this gateway by name.
-            through: Whether there are routes by which the request may be forwarded.
+            can_forward: Whether there are routes by which the request may be forwarded.
             now: Microseconds.
         """
-        found = self._judge(partner, path, cls, partners, lent, through, now)
+        found = self._decide(partner, path, cls, partners, lent, can_forward, now)
         if isinstance(found, Away):
             self.counts[found.why.name.lower()] += 1
         elif found.offer is None:
@@ -106,14 +106,14 @@
             self.inside[found.offer] = self.inside.get(found.offer, 0) + 1
         return found
 
-    def _judge(
+    def _decide(
         self,
         partner: str | None,
         path: tuple[str, ...] | None,
         cls: str,
         partners: Mapping[str, Partner],
         lent: Mapping[str, Lent],
-        through: bool,
+        can_forward: bool,
         now: int,
     ) -> In | Away:
         if path is None:
@@ -124,7 +124,7 @@
             return Away(Rejection.LOOP, FORBIDDEN_RETRY_US)
         allowed = [item for _, item in sorted(lent.items()) if _allows(item, path, cls)]
         if not allowed:
-            return In(None) if through else Away(Rejection.FORBIDDEN, FORBIDDEN_RETRY_US)
+            return In(None) if can_forward else Away(Rejection.FORBIDDEN, FORBIDDEN_RETRY_US)
         wait = math.inf
         for item in allowed:
             if self.inside.get(item.name, 0) >= item.capacity:
@@ -132,7 +132,7 @@
             wait = min(wait, self._take_token(item, now))
             if not wait:
                 return In(item.name)
-        if through:
+        if can_forward:
             return In(None)
         if wait == math.inf:
             return Away(Rejection.FULL, FULL_US)
@@ -145,11 +145,11 @@
         """
         if item.terms.rate >= MAX_RATE:
             return 0
-        most = max(1.0, item.terms.rate * BURST_SHARE)
-        rate = max(item.terms.rate - most, item.terms.rate / 2)
-        bucket = self._buckets.setdefault(item.name, _Bucket(most, now))
-        gained = max(0, now - bucket.at_us) * rate / SECOND_US
-        bucket.tokens, bucket.at_us = min(most, bucket.tokens + gained), max(now, bucket.at_us)
+        burst = max(1.0, item.terms.rate * BURST_SHARE)
+        rate = max(item.terms.rate - burst, item.terms.rate / 2)
+        bucket = self._buckets.setdefault(item.name, _Bucket(burst, now))
+        refilled = max(0, now - bucket.at_us) * rate / SECOND_US
+        bucket.tokens, bucket.at_us = min(burst, bucket.tokens + refilled), max(now, bucket.at_us)
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             return 0
--- a/sorrelfront/decisions/sites/routes.py
+++ b/sorrelfront/decisions/sites/routes.py
@@ -53,7 +53,7 @@
 EPOCH_RAISE_INTERVAL_US = 2_000_000
 RESTAMP_DIVISOR = 4
 # Minimum lifetime in query intervals: enough for an offer to pass five hops before it expires.
-LIFETIME_LEAST = 8
+MIN_LIFETIME_INTERVALS = 8
 MAX_OWN_OFFERS = 256  # offers by one gateway
 IDS_MOST = 4_096  # offers of one owner whose newest state is remembered
 MAX_VERIFIED_CHAINS = 8_192  # chains whose signatures have been verified
@@ -61,7 +61,7 @@
 MAX_PATH_SITES = 8  # sites that a request has passed
 # Maximum difference in rate between two machines' clocks, in parts per million: twice that sold with quartz.
 DRIFT_PPM = 400
-# Route flap damping: penalties of one per flap, with the ratios of RFC 2439 and a shorter half-life.
+# Route flap damping: penalties of one per flap, with the figures of RFC 2439 but a shorter half-life.
 DAMP_SUPPRESS_AT, DAMP_REUSE_BELOW, DAMP_MAX_PENALTY = 3.0, 1.0, 8.0
 DAMP_HALF_LIFE_US = 8_000_000
 
@@ -291,7 +291,7 @@
         self._held_version = 0  # version of the chains held, with their stamps
         self._route_cache: OrderedDict[tuple[str, tuple[str, ...]], tuple[Route, ...]] = OrderedDict()
         self._route_cache_version = -1
-        self._told_providers: dict[str, frozenset[str]] = {}  # partner -> its providers, as it reports them
+        self._reported_providers: dict[str, frozenset[str]] = {}  # partner -> its providers, as it reports them
 
     # Configuration
 
@@ -452,8 +452,8 @@
         for chain, age_ms, found in zip(tell.chains or (), tell.ages_ms, proven, strict=True):
             why = self._check(peer, chain, found)
             if why is None:
-                heard = self._first_heard(chain.offer, asked - age_ms * MS)
-                since = asked if not chain.hops else heard
+                seen = self._stamp_first_seen(chain.offer, asked - age_ms * MS)
+                since = asked if not chain.hops else seen
                 why = self._record_chain(chain.offer, self._expiry(chain.terms, since) <= self.now)
             if why in (Why.OLD, Why.WITHDRAWN, Why.FORKED) and not chain.hops:
                 self._request_higher_epoch(peer, chain.offer)
@@ -507,32 +507,32 @@
 
     def _record_chain(self, offer: Offer, expired: bool) -> Why | None:
         """Record the state that a chain shows; return why it is unusable. `expired`: its lifetime is over."""
-        mark = Newest(offer.epoch, offer.version, content_digest(offer), offer.birth)
-        floor = self._self_advertised.get((offer.owner, offer.gateway))
-        if floor is not None and offer.age <= floor[0] and offer.name not in floor[1]:
+        state = Newest(offer.epoch, offer.version, content_digest(offer), offer.birth)
+        advertised = self._self_advertised.get((offer.owner, offer.gateway))
+        if advertised is not None and offer.age <= advertised[0] and offer.name not in advertised[1]:
             # Without this an offer seen for the first time would pass as new, though its gateway no longer
             # advertises it.
             return Why.WITHDRAWN
         known = self.newest.get(offer.id)
-        if known is not None and known[:2] == mark[:2] and known.content and known.content != mark.content:
+        if known is not None and known[:2] == state[:2] and known.content and known.content != state.content:
             if expired:
                 # A replayed message of an old incarnation would otherwise keep the new offer out forever.
                 return Why.EXPIRED
             last = self._forked.setdefault(offer.id, {known.content: self.now})
-            last[mark.content] = self.now + offer.terms.left_ms * MS
+            last[state.content] = self.now + offer.terms.left_ms * MS
         elif offer.id in self._forked:
-            self._forked[offer.id][mark.content] = self.now + offer.terms.left_ms * MS
-        why = self.record_state(offer.id, mark, received=True)
+            self._forked[offer.id][state.content] = self.now + offer.terms.left_ms * MS
+        why = self.record_state(offer.id, state, received=True)
         return Why.EXPIRED if why is None and expired else why
 
-    def on_mark(self, id: OfferId, mark: Newest, now: int) -> None:
+    def on_mark(self, id: OfferId, state: Newest, now: int) -> None:
         """Record the state of an offer that another member of this site has received."""
         self.now = max(now, self.now)
         if id.owner in self.partners:
-            self.record_state(id, mark)
+            self.record_state(id, state)
             self._rebuild_table()
 
-    def record_state(self, id: OfferId, mark: Newest, received: bool = False) -> Why | None:
+    def record_state(self, id: OfferId, state: Newest, received: bool = False) -> Why | None:
         """Record a state of an offer, from a chain or replicated by a member; return why it is unusable.
 
         A later state replaces earlier ones. Two contents under one state are a fork: neither is used,
@@ -543,18 +543,18 @@
             if self._id_counts.get(id.owner, 0) >= IDS_MOST:
                 return Why.TOO_MANY
             self._id_counts[id.owner] = self._id_counts.get(id.owner, 0) + 1
-        merged = mark if known is None else later(known, mark)
+        merged = state if known is None else later(known, state)
         if merged != known:
             self.newest[id] = merged
             if received:
                 self.marks[id] = merged
             if merged.forked and not (known is not None and known.forked):
                 self.counts["forked"] += 1
-        if merged[:2] > mark[:2]:
+        if merged[:2] > state[:2]:
             return Why.OLD
         if merged.forked:
             return Why.FORKED
-        return Why.WITHDRAWN if not merged.content and mark.content else None
+        return Why.WITHDRAWN if not merged.content and state.content else None
 
     def take_marks(self) -> dict[OfferId, Newest]:
         """Return the states received since the last call, to replicate to the other members of this site."""
@@ -566,14 +566,14 @@
 
         Offers that it advertises but that were refused, as in a delayed advertisement, are not withdrawn.
         """
-        told = {chain.offer.id for chain in tell.chains or ()}
-        names = frozenset(id.name for id in told if (id.owner, id.gateway) == (tell.site, tell.gateway))
+        advertised = {chain.offer.id for chain in tell.chains or ()}
+        names = frozenset(id.name for id in advertised if (id.owner, id.gateway) == (tell.site, tell.gateway))
         self._self_advertised[tell.site, tell.gateway] = ((tell.epoch, tell.version), names)
         self._self_advertised.move_to_end((tell.site, tell.gateway))
         while len(self._self_advertised) > IDS_MOST:
             self._self_advertised.popitem(last=False)
         for id, known in list(self.newest.items()):
-            if (id.owner, id.gateway) != (tell.site, tell.gateway) or id in told or not known.content:
+            if (id.owner, id.gateway) != (tell.site, tell.gateway) or id in advertised or not known.content:
                 continue
             if known.epoch >= tell.epoch and known.birth != tell.birth:
                 # Another incarnation than the one that answers now. Two under one epoch cannot be ordered: it
@@ -584,7 +584,7 @@
             elif known[:2] <= (tell.epoch, tell.version):
                 self.record_state(id, Newest(tell.epoch, tell.version, b"", tell.birth), received=True)
 
-    def _first_heard(self, offer: Offer, at: int) -> int:
+    def _stamp_first_seen(self, offer: Offer, at: int) -> int:
         """Return the earliest time at which this stamp is known to have existed.
 
         Otherwise the lifetime of an old message would start again whenever it is replayed.
@@ -626,13 +626,13 @@
         left_us = terms.left_ms * MS
         return since + left_us - left_us * DRIFT_PPM // 1_000_000
 
-    def _update_providers(self, partner: str, told: tuple[str, ...]) -> None:
-        self._told_providers[partner] = frozenset(told)
+    def _update_providers(self, partner: str, reported: tuple[str, ...]) -> None:
+        self._reported_providers[partner] = frozenset(reported)
         self.circle = self.find_provider_cycle()
 
     def find_provider_cycle(self) -> list[str]:
         """Return a cycle of providers by this site's configuration and its partners' reports, or nothing."""
-        known = {name: item.providers | self._told_providers.get(name, frozenset())
+        known = {name: item.providers | self._reported_providers.get(name, frozenset())
                  for name, item in self.partners.items()}  # fmt: skip
         for name, item in self.partners.items():
             if item.relation is Relation.CUSTOMER:
@@ -866,7 +866,7 @@
         Requests take the best route. If a worse one were advertised, the partner would rely on terms that do
         not apply.
         """
-        told = self.partners[partner].relation
+        export_relation = self.partners[partner].relation
         best: dict[OfferId, Route] = {}
         for route in self.table:
             if route.state in (None, Why.NOT_LENT):
@@ -874,13 +874,13 @@
         chains = []
         for id in sorted(best)[:most]:
             route = best[id]
-            learnt = self.partners[route.partner].relation
+            import_relation = self.partners[route.partner].relation
             terms = route.terms
-            if partner in route.sites or not may_tell(learnt, told):
+            if partner in route.sites or not may_tell(import_relation, export_relation):
                 continue
             if terms.carries(self.site) and _visible_to(terms, partner):
                 held = self.peers[route.peer].held[id]
-                chains.append(self._reexport(held.chain, partner, learnt, told))
+                chains.append(self._reexport(held.chain, partner, import_relation, export_relation))
         return chains
 
     def _stamp_age_ms(self, chain: Chain) -> int:
@@ -891,18 +891,20 @@
         heard = self._heard.get((offer.id, offer.epoch, offer.birth, offer.stamp_ms), self._began_us)
         return max(0, self.now - heard + MS - 1) // MS
 
-    def _reexport(self, chain: Chain, partner: str, learnt: Relation, told: Relation) -> Chain:
+    def _reexport(
+        self, chain: Chain, partner: str, import_relation: Relation, export_relation: Relation
+    ) -> Chain:
         key = (chain_digest(chain), partner)
         found = self._reexports.get(key)
         if (
             found is None
-            or found.hops[-1].export_relation != told
-            or found.hops[-1].import_relation != learnt
+            or found.hops[-1].export_relation != export_relation
+            or found.hops[-1].import_relation != import_relation
         ):
             while len(self._reexports) >= MAX_VERIFIED_CHAINS:
                 del self._reexports[next(iter(self._reexports))]
             cost = self.partners[chain.sites[0]].cost
-            hop = Hop(self.site, partner, learnt, told, cost, chain.terms)
+            hop = Hop(self.site, partner, import_relation, export_relation, cost, chain.terms)
             found = self._reexports[key] = passed_on(chain, hop, self._sign)
         return found
 
--- a/sorrelfront/sites/wire.py
+++ b/sorrelfront/sites/wire.py
@@ -52,13 +52,13 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def _to_sign(challenge: bytes, site: str, word: bytes) -> bytes:
-    return b"sorrelfront word 1\x00" + challenge + site.encode() + b"\x00" + word
+def _to_sign(challenge: bytes, site: str, message: bytes) -> bytes:
+    return b"sorrelfront word 1\x00" + challenge + site.encode() + b"\x00" + message
 
 
-def pack(site: str, word: Word, challenge: bytes, sign: Sign) -> bytes:
+def pack(site: str, message: Word, challenge: bytes, sign: Sign) -> bytes:
     """Encode and sign a message; return the frame with its length."""
-    data = _encode(word)
+    data = _encode(message)
     whole = _encode(Envelope(site, data, sign(_to_sign(challenge, site, data))))
     return len(whole).to_bytes(LENGTH_BYTES, "big") + whole
 
@@ -75,24 +75,24 @@
             envelope.site, envelope.signature, _to_sign(challenge, envelope.site, envelope.payload)
         ):
             raise BadPartnerWord(f"a message from {envelope.site} is not signed by a key known here")
-        word: Word = _message_decoder.decode(envelope.payload)
+        message: Word = _message_decoder.decode(envelope.payload)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
         raise BadPartnerWord(f"the message cannot be read: {fault}") from None
-    if word.site != envelope.site:
-        raise BadPartnerWord(f"a message signed by {envelope.site} names {word.site} as its sender")
-    return word
+    if message.site != envelope.site:
+        raise BadPartnerWord(f"a message signed by {envelope.site} names {message.site} as its sender")
+    return message
 
 
-async def read(reader: asyncio.StreamReader, most: int, counted: Callable[[int], None]) -> bytes:
-    """Read the next frame, without its length, of at most `most` bytes; `counted` gets the bytes received.
+async def read(reader: asyncio.StreamReader, max_bytes: int, on_received: Callable[[int], None]) -> bytes:
+    """Read the next frame, without its length; `on_received` is called with its size in bytes.
 
     Raises:
-        BadPartnerWord: If the frame is longer than `most`.
+        BadPartnerWord: If the frame is longer than `max_bytes`.
         OSError: If the connection fails.
         EOFError: If the connection has ended.
     """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
-    if length > most:
-        raise BadPartnerWord(f"a message of {length} bytes; the limit is {most}")
-    counted(length + LENGTH_BYTES)
+    if length > max_bytes:
+        raise BadPartnerWord(f"a message of {length} bytes; the limit is {max_bytes}")
+    on_received(length + LENGTH_BYTES)
     return await reader.readexactly(length)
--- a/tests/sites/test_links.py
+++ b/tests/sites/test_links.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 
 from sorrelfront.decisions.sites import links
-from sorrelfront.decisions.sites.links import Class, Demand, Grant, LinkShare, divide, max_min_shares
+from sorrelfront.decisions.sites.links import Demand, Grant, LinkShare, TrafficClass, divide, max_min_shares
 
 SECOND = 1_000_000
 CLASSES = st.lists(
     st.builds(
-        Class, st.sampled_from("abcd"), st.integers(0, 2), st.integers(1, 4), st.integers(0, 50),
+        TrafficClass, st.sampled_from("abcd"), st.integers(0, 2), st.integers(1, 4), st.integers(0, 50),
         st.integers(0, 2),
     ),
     min_size=1, max_size=4, unique_by=lambda item: item.name,
@@ -49,7 +49,7 @@
 @settings(derandomize=True, max_examples=400)
 @given(CLASSES, WANTS, st.integers(0, 400))
 def test_the_allocation_keeps_floors_and_priorities(
-    classes: list[Class], wants: list[tuple[str, int, int]], capacity: int
+    classes: list[TrafficClass], wants: list[tuple[str, int, int]], capacity: int
 ) -> None:
     demands = [Demand(agent, classes[at % len(classes)].name, amount) for agent, at, amount in wants]
     found = divide(capacity, classes, demands)
@@ -71,17 +71,18 @@
 
 def test_invalid_demands_and_capacities_are_refused() -> None:
     with pytest.raises(ValueError, match="demand"):
-        divide(10, [Class("a")], [Demand("x", "b", 1)])
+        divide(10, [TrafficClass("a")], [Demand("x", "b", 1)])
     with pytest.raises(ValueError, match="demand"):
-        divide(10, [Class("a")], [Demand("x", "a", -1)])
+        divide(10, [TrafficClass("a")], [Demand("x", "a", -1)])
     with pytest.raises(ValueError, match="capacity"):
-        divide(-1, [Class("a")], [])
+        divide(-1, [TrafficClass("a")], [])
 
 
 class LinkSimulation:
-    """Agents with drifting clocks that share a link; messages are delayed, lost or duplicated, agents restart.
+    """Simulated agents on one link, each with its own clock rate.
 
-    Agents also hang for a while. Invariant: what all agents together may send never exceeds the capacity.
+    Messages are delayed, lost and duplicated; agents hang and restart. Invariant: what all agents together
+    may send never exceeds the capacity.
     """
 
     def __init__(self, seed: int, make: Callable[[int, int, int, int], LinkShare]) -> None:
@@ -91,7 +92,7 @@
         self.capacity = random.randrange(1_000, 100_000)
         count = random.randrange(2, 6)
         self.rates = [1 + random.uniform(-200, 200) / 1e6 for _ in range(count)]
-        self.holders = [self.start(self.capacity // count, -10 * SECOND) for _ in range(count)]
+        self.shares = [self.start(self.capacity // count, -10 * SECOND) for _ in range(count)]
         self.frozen = [0] * count
         self.most = 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -107,11 +108,11 @@
         return int(self.now * self.rates[at])
 
     def fault(self) -> None:
-        at = self.random.randrange(len(self.holders))
+        at = self.random.randrange(len(self.shares))
         if self.random.random() < 0.5:
             self.frozen[at] = self.now + self.random.randrange(6 * SECOND)
         else:
-            self.holders[at] = self.start(self.holders[at].own, self.clock(at))
+            self.shares[at] = self.start(self.shares[at].own, self.clock(at))
 
     def start(self, own: int, began: int) -> LinkShare:
         return self.make(own, 2 * SECOND, began, self.random.getrandbits(48))
@@ -120,25 +121,25 @@
         self.later(self.random.randrange(50_000, 600_000), partial(self.act, at))
         if self.frozen[at] > self.now:
             return
-        other = self.random.randrange(len(self.holders))
+        other = self.random.randrange(len(self.shares))
         if other != at:
-            number = self.holders[at].ask(f"{other}", self.clock(at))
-            self.send(partial(self.asked, at, other, number))
+            number = self.shares[at].request(f"{other}", self.clock(at))
+            self.send(partial(self.on_request, at, other, number))
 
     def send(self, what: Callable[[], None]) -> None:
         for _ in range(self.random.choice((0, 1, 1, 1, 2))):
             self.later(int(10 ** self.random.uniform(3, 6.5)), what)
 
-    def asked(self, borrower: int, lender: int, number: int) -> None:
+    def on_request(self, borrower: int, lender: int, number: int) -> None:
         if self.frozen[lender] > self.now:
             return
         wanted, spare = (self.random.randrange(self.capacity) for _ in range(2))
-        grant = self.holders[lender].lend(f"{borrower}", number, wanted, spare, self.clock(lender))
-        self.send(partial(self.granted, borrower, lender, grant))
+        grant = self.shares[lender].lend(f"{borrower}", number, wanted, spare, self.clock(lender))
+        self.send(partial(self.on_grant, borrower, lender, grant))
 
-    def granted(self, borrower: int, lender: int, grant: Grant) -> None:
+    def on_grant(self, borrower: int, lender: int, grant: Grant) -> None:
         if self.frozen[borrower] <= self.now:
-            self.holders[borrower].on_grant(f"{lender}", grant, self.clock(borrower))
+            self.shares[borrower].on_grant(f"{lender}", grant, self.clock(borrower))
 
     def run(self) -> int:
         """Run the simulation; return by how many bytes per second the capacity was exceeded at worst."""
@@ -146,7 +147,7 @@
         while self._heap and self.now < 25 * SECOND:
             self.now, _, what = heapq.heappop(self._heap)
             what()
-            used = [holder.usable(self.clock(at)) for at, holder in enumerate(self.holders)]
+            used = [share.usable(self.clock(at)) for at, share in enumerate(self.shares)]
             self.most = max(self.most, *used)
             over = max(over, sum(used) - self.capacity)
         return over
@@ -158,7 +159,7 @@
     for seed in range(first, first + 50):
         simulation = LinkSimulation(seed, LinkShare)
         assert simulation.run() <= 0, seed
-        lending += simulation.most > simulation.capacity // len(simulation.holders)
+        lending += simulation.most > simulation.capacity // len(simulation.shares)
     assert lending > 25  # some capacity was lent
 
 
@@ -185,7 +186,7 @@
 
 def test_a_borrower_stops_early_enough_for_clock_drift() -> None:
     one, other = LinkShare(100, 2 * SECOND, -(10**9), 1), LinkShare(100, 2 * SECOND, -(10**9), 2)
-    grant = one.lend("other", other.ask("one", 0), 50, 50, 0)
+    grant = one.lend("other", other.request("one", 0), 50, 50, 0)
     other.on_grant("one", grant, 0)
     end = 2 * SECOND - 2 * SECOND * links.DRIFT_PPM // 1_000_000
     assert other.usable(end - 1) == 150 and other.usable(end) == 100
@@ -194,8 +195,8 @@
 
 def test_a_grant_to_the_previous_incarnation_is_ignored() -> None:
     lender, before = LinkShare(100, 2 * SECOND, -(10**9), 1), LinkShare(100, 2 * SECOND, -(10**9), 40)
-    late = lender.lend("other", before.ask("one", 0), 50, 50, 0)
+    late = lender.lend("other", before.request("one", 0), 50, 50, 0)
     fresh = LinkShare(100, 2 * SECOND, SECOND, 90)
-    fresh.ask("one", SECOND)
+    fresh.request("one", SECOND)
     fresh.on_grant("one", late, SECOND)
     assert not fresh.borrowed
