--- a/sorrelfront/decisions/sites/routes.py
+++ b/sorrelfront/decisions/sites/routes.py
@@ -291,7 +291,7 @@
         self._held_version = 0  # version of the chains held, with their stamps
         self._route_cache: OrderedDict[tuple[str, tuple[str, ...]], tuple[Route, ...]] = OrderedDict()
         self._route_cache_version = -1
-        self._reported_providers: dict[str, frozenset[str]] = {}  # partner -> its providers, as it reports them
+        self._reported_providers: dict[str, frozenset[str]] = {}  # partner -> providers it reports
 
     # Configuration
 
