--- a/sorrelfront/decisions/__init__.py
+++ b/sorrelfront/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, without I/O, clock or randomness of their own: the balancer's own in `balancer`."""
+"""Decision logic without I/O, a clock or randomness of its own; `balancer` holds the load balancer."""
 
 from sorrelfront.decisions.balancer import Balancer
 
--- a/sorrelfront/decisions/interface.py
+++ b/sorrelfront/decisions/interface.py
@@ -1,8 +1,8 @@
-"""What goes into and comes out of a Balancer: settings, events, actions and outcomes.
+"""Input and output types of a Balancer: settings, events, actions and outcomes.
 
-Every time is an integer number of microseconds (`_us`). The hot events and actions are NamedTuples
-because one is built for each request; settings are frozen dataclasses because they are checked once, and
-final answers because their reason is for the log and takes no part in comparisons.
+Every time is an integer number of microseconds (`_us`). Events and actions on the hot path are NamedTuples
+because one is built for each request. Settings are frozen dataclasses because they are validated once. Final
+answers are dataclasses too because their reason is only for the log and takes no part in comparisons.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request a second time."""
 
     SAFE = "safe"
-    KEYED = "keyed"  # carries a key by which a group of backends drops repeats for a while
+    KEYED = "keyed"  # carries an idempotency key by which a group of backends drops repeats for a while
     UNSAFE = "unsafe"
 
 
 class Scope(Enum):
-    """Which backends share the memory that drops repeats of a keyed request."""
+    """The group of backends that share the deduplication memory for keyed requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,13 +29,15 @@
 
 
 class State(Enum):
+    """State of a backend on the list."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class Outcome(Enum):
-    """How an attempt ended. Only REJECTED, UNREACHABLE and UNSENT prove that it never ran."""
+    """Outcome of an attempt. Only REJECTED, UNREACHABLE and UNSENT prove that it never ran."""
 
     OK = "ok"
     ERROR = "error"
@@ -45,21 +47,29 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     UNSENT = "unsent"
-    UNKNOWN = "unknown"  # a code this version does not know: it may have run
+    UNKNOWN = "unknown"  # a code that this version does not know; the attempt may have run
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.UNSENT})
 
 
 class ListKind(Enum):
-    CACHED = "cached"  # the whole list as last held before a restart, perhaps stale
+    """Kind of a list update."""
+
+    CACHED = "cached"  # the whole list as stored before a restart, possibly stale
     FULL = "full"
     DELTA = "delta"
-    FAILED = "failed"  # a discovery call failed or the subscription broke
+    FAILED = "failed"  # a discovery call failed or the subscription was lost
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Settings of one class of requests.
+
+    An answer within `aim_us` earns `worth`, a later one `late_worth` of it. Repeats of a keyed request are
+    dropped within `scope` for `dedup_window_us`.
+    """
+
     name: str
     effect: Effect
     aim_us: int
@@ -72,7 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a Balancer is told at its start. The rule figures have no default: guessing one breaks a rule."""
+    """Settings of a Balancer.
+
+    The limits set by the rules have no default, because a guessed value would break a rule.
+    """
 
     classes: tuple[RequestClass, ...]
     drain_grace_us: int
@@ -92,6 +105,7 @@
     worth_by_work: bool = False
 
     def __post_init__(self) -> None:
+        """Check all values. Raises ValueError that names the bad setting."""
         for item in fields(self):
             value = getattr(self, item.name)
             if isinstance(value, (int, float)) and not value >= 0:
@@ -112,7 +126,7 @@
 
 
 class Backend(NamedTuple):
-    """One entry of a list. `kind`, `zone` and `cell` are labels to group by and nothing more."""
+    """One entry of a list. `kind`, `zone` and `cell` are only labels to group by."""
 
     id: str
     zone: str = ""
@@ -120,18 +134,22 @@
     cell: int = 0
     state: State = State.READY
     weight: float = 1.0
-    started_us: int = 0  # 0: long ago
+    started_us: int = 0  # Unix time; 0: long ago
 
 
-# Events: each has one handler of the Balancer, called with the event and the clock.
+# Events. Each has one handler in Balancer, called with the event and the current time.
 
 
 class BackendList(NamedTuple):
+    """An update of the list of backends, or its failure."""
+
     kind: ListKind
     backends: tuple[Backend, ...] = ()
 
 
 class Request(NamedTuple):
+    """A request received from a client."""
+
     id: int
     class_name: str
     deadline_us: int  # clock time at which the client gives up this try
@@ -139,17 +157,19 @@
     tenant: str = ""
     key: str = ""
     is_retry: bool = False
-    arriving: bool = False  # its body is still on its way, and goes on to the server while it comes
+    arriving: bool = False  # its body is still being received, and is streamed to the server meanwhile
 
 
 class Whole(NamedTuple):
-    """The last byte of an arriving request has come: from now on its server works on it."""
+    """The last byte of an arriving request was received, and its server works on it from now on."""
 
     request_id: int
     deadline_us: int  # clock time at which the client gives up this try, counted from its last byte
 
 
 class AttemptEnded(NamedTuple):
+    """An attempt ended, `elapsed_us` after it was sent."""
+
     request_id: int
     attempt: int
     outcome: Outcome
@@ -158,15 +178,21 @@
 
 
 class StreamStarted(NamedTuple):
+    """The answer to an attempt is being streamed to the client."""
+
     request_id: int
     attempt: int
 
 
 class ClientGone(NamedTuple):
+    """The client of a request disconnected."""
+
     request_id: int
 
 
 class Timer(NamedTuple):
+    """A timer set by SetTimer expired."""
+
     tag: str
 
 
@@ -174,8 +200,11 @@
 
 
 class Send(NamedTuple):
-    """An attempt. It may be on its way to its backend for a while; nothing of it begins there once the clock
-    is at `begin_before_us`."""
+    """Send an attempt to a backend.
+
+    Setting it up may take a while. It must not begin at the backend once the clock has reached
+    `begin_before_us`.
+    """
 
     request_id: int
     backend: str
@@ -184,21 +213,21 @@
 
 
 class EndReason(StrEnum):
-    """Why a request got its final answer without having been served."""
+    """Reason for a final answer to a request that was not served."""
 
     DEADLINE = "deadline"  # no time is left
     MAX_ATTEMPTS = "max-attempts"
-    NO_BACKEND = "no-backend"  # the list is empty, and no time is left to wait for another
-    UNAVAILABLE = "unavailable"  # no backend that it may go to takes anything now
+    NO_BACKEND = "no-backend"  # the list is empty, and no time is left to wait for the next one
+    UNAVAILABLE = "unavailable"  # none of the backends allowed for it accepts requests now
     MAY_HAVE_RUN = "may-have-run"  # an attempt may have run, and it may not be sent again
-    INFEASIBLE = "infeasible"  # an answer in time is not to be expected
-    RETRY_BUDGET = "retry-budget"
+    INFEASIBLE = "infeasible"  # an answer in time is not expected
+    RETRY_BUDGET = "retry-budget"  # the retry budget is used up
     UNSENT = "unsent"  # this process has no room for an attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """A final answer that promises a retry does no harm."""
+    """Answer the request finally, stating that the client may retry it safely."""
 
     request_id: int
     retry_after_us: int
@@ -207,24 +236,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """A final answer that promises nothing."""
+    """Answer the request finally, without stating that a retry is safe."""
 
     request_id: int
     reason: EndReason = field(default=EndReason.UNAVAILABLE, compare=False)
 
 
 class CancelAttempt(NamedTuple):
+    """Cancel an attempt in flight."""
+
     request_id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
+    """Deliver a Timer event with this tag after `delay_us`."""
+
     delay_us: int
     tag: str
 
 
 class Subscribe(NamedTuple):
-    pass
+    """Call the discovery service for the list of backends."""
 
 
 Action = Send | Refuse | Fail | CancelAttempt | SetTimer | Subscribe
--- a/sorrelfront/decisions/orders.py
+++ b/sorrelfront/decisions/orders.py
@@ -1,12 +1,12 @@
-"""What operators have ordered about servers, laid over what the list says of them. No I/O.
+"""Operators' orders that disable servers, applied on top of the list. No I/O.
 
-A server that is out by hand is told to the balancer as draining: it finishes what it has and is sent nothing
-new, by the same path and in the same time as a drain that the list tells (rule 3). The list goes on being
-heard for it, so that once it is back it is what the list says by then: restarted meanwhile, it is cold
-(rule 4).
+A disabled server is reported to the balancer as draining: it finishes its requests and gets no new ones, by
+the same path and in the same time as a drain on the list (rule 3). Its list updates are still recorded, so
+that once it is enabled again it has its state on the list at that time: if it was restarted meanwhile, it is
+cold (rule 4).
 
-An order holds by a server's id until the order that undoes it. Risk: held by address or by entry, it would
-end with a move, a restart, or a moment in which the list leaves the server out.
+An order applies to a server's id until it is revoked. If it applied to an address or a list entry, it would
+end when the server moves, restarts or is missing from the list for a moment.
 """
 
 from __future__ import annotations
@@ -15,56 +15,62 @@
 
 from sorrelfront.decisions.interface import Backend, State
 
-OUT_MOST = 10_000  # servers out by hand; a list here has no more
+OUT_MOST = 10_000  # disabled servers; no list has more entries
 ID_MOST = 256  # characters of a server's id
 
 
 class Orders:
-    """The list as told, and the list as it holds."""
+    """Keeps the list as received and the disabled servers, and computes the effective list."""
 
     def __init__(self) -> None:
-        self._told: dict[str, Backend] = {}
-        self._out: frozenset[str] = frozenset()
+        self._listed: dict[str, Backend] = {}
+        self._disabled: frozenset[str] = frozenset()
 
     @property
     def out(self) -> frozenset[str]:
-        """Ids of the servers out by hand, listed or not."""
-        return self._out
+        """Ids of the disabled servers, listed or not."""
+        return self._disabled
 
     @property
     def listed(self) -> int:
-        return len(self._told)
+        """Number of servers on the list."""
+        return len(self._listed)
 
     def listed_out(self) -> list[str]:
-        """Those of the list that are out by hand."""
-        return [name for name in self._out if name in self._told]
+        """Return the ids of the disabled servers that are on the list."""
+        return [name for name in self._disabled if name in self._listed]
 
     def knows(self, server: str) -> bool:
-        """Whether an order about this id means anything: it is listed, or out by hand."""
-        return server in self._told or server in self._out
+        """Whether this id is listed or disabled, so that an order for it has a meaning."""
+        return server in self._listed or server in self._disabled
 
     def heard(self, backends: Iterable[Backend], complete: bool) -> tuple[Backend, ...]:
-        """What the list says, as it holds. `complete`: it is the whole list, and what it lacks is gone."""
+        """Record a list update and return its effective entries.
+
+        `complete`: it is the whole list, and servers missing from it are gone.
+        """
         backends = tuple(backends)
         if complete:
-            self._told = {}
+            self._listed = {}
         for backend in backends:
             if backend.state is State.GONE:
-                self._told.pop(backend.id, None)
+                self._listed.pop(backend.id, None)
             else:
-                self._told[backend.id] = backend
-        if not self._out:
+                self._listed[backend.id] = backend
+        if not self._disabled:
             return backends
-        return tuple(self._held(backend) for backend in backends)
+        return tuple(self._effective(backend) for backend in backends)
 
     def ordered(self, out: Iterable[str]) -> tuple[Backend, ...]:
-        """These servers, and no others, are out from here on. Returns the listed ones for which that is new,
-        as they hold now."""
-        before, self._out = self._out, frozenset(out)
-        changed = sorted(before ^ self._out)
-        return tuple(self._held(self._told[name]) for name in changed if name in self._told)
-
-    def _held(self, backend: Backend) -> Backend:
-        if backend.id in self._out and backend.state is State.READY:
+        """Disable these servers and no others.
+
+        Returns the effective entries of the listed servers for which that is a change.
+        """
+        previous, self._disabled = self._disabled, frozenset(out)
+        changed = sorted(previous ^ self._disabled)
+        return tuple(self._effective(self._listed[name]) for name in changed if name in self._listed)
+
+    def _effective(self, backend: Backend) -> Backend:
+        if backend.id in self._disabled and backend.state is State.READY:
             return backend._replace(state=State.DRAINING)
         return backend
--- a/sorrelfront/decisions/slow_start.py
+++ b/sorrelfront/decisions/slow_start.py
@@ -1,10 +1,9 @@
-"""When a server that has just started counts as warm, whatever its clock and ours say. No I/O.
+"""Slow start: computes when a newly started server counts as warm, despite clock skew. No I/O.
 
-Lists tell a server's start in Unix time, by a clock that may be an hour off from the one of this process,
-either way. So a difference of the two is believed only where nothing better is known: a start that is told
-while the list is followed is counted from when it is heard, and one that lies ahead of our clock from then as
-well. What remains is the list that a process begins with, told by a clock far behind ours: its servers pass
-for warm.
+Lists give a server's start in Unix time, by a clock that may be an hour ahead of or behind the clock of this
+process. The difference of the two clocks is therefore used only for the first list. A start that is reported
+after that list counts from when it is received, and so does one that lies in the future of this process. One
+case remains: if the clock of the first list is far behind, its servers count as warm too early.
 """
 
 from __future__ import annotations
@@ -13,35 +12,35 @@
 
 from sorrelfront.decisions.interface import Backend
 
-MAX_DEPARTED = 4_096  # servers that have left the list and are remembered; the latest of a fleet of 3,200
+MAX_DEPARTED = 4_096  # servers remembered after they left the list, most recent ones; covers a fleet of 3,200
 
 
 class SlowStart:
-    """The slow start of every server of one list."""
+    """Slow-start times of the servers on one list."""
 
     def __init__(self) -> None:
-        self._followed = False
-        self._departed: OrderedDict[str, tuple[int, int]] = OrderedDict()  # started_us, warm at
+        self._list_known = False
+        self._departed: OrderedDict[str, tuple[int, int]] = OrderedDict()  # started_us, warm_at
 
-    def followed(self) -> None:
-        """The service has told its list: a start that is told from now on has just happened."""
-        self._followed = True
+    def list_received(self) -> None:
+        """Note that the service has sent its list: a start reported after this has just happened."""
+        self._list_known = True
 
     def warm_at(self, backend: Backend, now: int, cold_us: int) -> int:
-        """When a server that is new on the list, or was started anew, has had its slow start.
+        """Return when a server that is new on the list, or was restarted, ends its slow start.
 
-        In microseconds on the clock of `now`; 0 for a server that started long ago. Harm: a start is counted
-        later than it was by as much as the service was late to tell it.
+        In microseconds on the clock of `now`; 0 for a server that started long ago. If the service reports a
+        start late, the slow start ends later by the same time.
         """
         if not backend.started_us:
             return 0
         started_us, warm_at = self._departed.pop(backend.id, (0, 0))
         if started_us == backend.started_us:
-            return warm_at  # it was off the list, and has not been started since
-        return (now if self._followed else min(now, backend.started_us)) + cold_us
+            return warm_at  # it was off the list, and has not been restarted since
+        return (now if self._list_known else min(now, backend.started_us)) + cold_us
 
-    def departed(self, backend: Backend, warm_at: int) -> None:
-        """A server has left the list, and may come back as it is."""
+    def remember(self, backend: Backend, warm_at: int) -> None:
+        """Remember a server that left the list, since it may return without a restart."""
         self._departed[backend.id] = (backend.started_us, warm_at)
         self._departed.move_to_end(backend.id)
         if len(self._departed) > MAX_DEPARTED:
--- a/tests/decisions/test_arriving.py
+++ b/tests/decisions/test_arriving.py
@@ -1,4 +1,4 @@
-"""A request that still arrives while its server has part of it already."""
+"""A request whose body is still being received while it is streamed to its server."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
 
 
 def test_it_is_pending_from_its_last_byte_on() -> None:
-    made = balancer(1)
-    (send,) = made.on_request(arriving(1, "pay"), 0)
+    lb = balancer(1)
+    (send,) = lb.on_request(arriving(1, "pay"), 0)
     assert isinstance(send, Send)
-    server = made.servers["b000"]
+    server = lb.servers["b000"]
     assert not server.pending
-    assert server.load(30_000_000) == server.load(0)  # however long it takes to come
-    made.on_whole(Whole(1, 31_000_000), 30_000_000)
+    assert server.load(30_000_000) == server.load(0)  # however long its body takes
+    lb.on_whole(Whole(1, 31_000_000), 30_000_000)
     assert next(iter(server.pending.values()))[0] == 30_000_000
-    ended(made, 1, 0, Outcome.OK, 30_050_000)
-    assert not server.pending and not made.attempts and not made.held
+    ended(lb, 1, 0, Outcome.OK, 30_050_000)
+    assert not server.pending and not lb.attempts and not lb.held
 
 
-def test_called_off_before_its_last_byte_it_says_nothing_of_the_server() -> None:
-    made = balancer(1)
-    made.on_request(arriving(1, "pay"), 0)
-    before = made.servers["b000"].stamp
-    ended(made, 1, 0, Outcome.CANCELLED, 9_000_000, elapsed_us=9_000_000)
-    assert made.servers["b000"].stamp == before
+def test_cancelled_before_its_last_byte_it_does_not_change_the_estimate() -> None:
+    lb = balancer(1)
+    lb.on_request(arriving(1, "pay"), 0)
+    before = lb.servers["b000"].updated_at
+    ended(lb, 1, 0, Outcome.CANCELLED, 9_000_000, elapsed_us=9_000_000)
+    assert lb.servers["b000"].updated_at == before
 
 
 def test_a_failure_before_its_last_byte_still_counts() -> None:
-    made = balancer(1)
-    made.on_request(arriving(1, "pay"), 0)
-    ended(made, 1, 0, Outcome.ERROR, 1_000_000, elapsed_us=0)
-    assert made.servers["b000"].stamp == 1_000_000
+    lb = balancer(1)
+    lb.on_request(arriving(1, "pay"), 0)
+    ended(lb, 1, 0, Outcome.ERROR, 1_000_000, elapsed_us=0)
+    assert lb.servers["b000"].updated_at == 1_000_000
 
 
 def test_its_deadline_counts_from_its_last_byte() -> None:
-    made = balancer(3)
-    made.on_request(arriving(1, "read"), 0)
-    made.on_whole(Whole(1, 30_400_000), 30_000_000)
-    (send,) = ended(made, 1, 0, Outcome.REJECTED, 30_100_000)
+    lb = balancer(3)
+    lb.on_request(arriving(1, "read"), 0)
+    lb.on_whole(Whole(1, 30_400_000), 30_000_000)
+    (send,) = ended(lb, 1, 0, Outcome.REJECTED, 30_100_000)
     assert isinstance(send, Send) and send.timeout_us == 300_000
 
 
-def test_an_unsafe_one_that_may_have_run_is_not_repeated() -> None:
-    made = balancer(3)
-    made.on_request(arriving(1, UNSAFE.name), 0)
-    made.on_whole(Whole(1, 2_000_000), 1_000_000)
-    assert sends(ended(made, 1, 0, Outcome.RESET, 1_100_000)) == []
+def test_an_unsafe_request_that_may_have_run_is_not_repeated() -> None:
+    lb = balancer(3)
+    lb.on_request(arriving(1, UNSAFE.name), 0)
+    lb.on_whole(Whole(1, 2_000_000), 1_000_000)
+    assert sends(ended(lb, 1, 0, Outcome.RESET, 1_100_000)) == []
 
 
-def test_whole_twice_or_of_one_not_held_changes_nothing() -> None:
-    made = balancer(1)
-    assert made.on_whole(Whole(7, 1), 0) == []
-    request(made, 1, SAFE, 0)
-    before = dict(made.servers["b000"].pending)
-    made.on_whole(Whole(1, 99), 500)
-    assert made.servers["b000"].pending == before
+def test_a_second_last_byte_or_one_of_an_unknown_request_changes_nothing() -> None:
+    lb = balancer(1)
+    assert lb.on_whole(Whole(7, 1), 0) == []
+    request(lb, 1, SAFE, 0)
+    before = dict(lb.servers["b000"].pending)
+    lb.on_whole(Whole(1, 99), 500)
+    assert lb.servers["b000"].pending == before
--- a/tests/decisions/test_orders.py
+++ b/tests/decisions/test_orders.py
@@ -1,4 +1,4 @@
-"""Servers out by hand, laid over any list: a model beside the real thing."""
+"""Disabled servers on top of any list, compared with a model."""
 
 from __future__ import annotations
 
@@ -9,82 +9,83 @@
 from sorrelfront.decisions.interface import BackendList, ListKind, Outcome, Send, State
 from sorrelfront.decisions.orders import Orders
 from tests.helpers import SAFE, backends, ended, request
-from tests.helpers import settings as terms
+from tests.helpers import settings as balancer_settings
 
 NAMES = ("b000", "b001", "b002", "b003")
 
-one = st.sampled_from(NAMES)
+server_ids = st.sampled_from(NAMES)
 states = st.sampled_from([State.READY, State.DRAINING, State.GONE])
 steps = st.one_of(
-    st.tuples(st.just("full"), st.dictionaries(one, states)),
-    st.tuples(st.just("delta"), st.dictionaries(one, states)),
-    st.tuples(st.just("out"), st.sets(one)),
+    st.tuples(st.just("full"), st.dictionaries(server_ids, states)),
+    st.tuples(st.just("delta"), st.dictionaries(server_ids, states)),
+    st.tuples(st.just("out"), st.sets(server_ids)),
 )
 
 
 @given(st.lists(steps, max_size=30))
 @settings(derandomize=True, max_examples=300, deadline=None)
-def test_what_holds_is_the_list_as_told_less_what_is_out(script: list[tuple[str, object]]) -> None:
-    """Through any course of lists and orders a balancer that is told of it has ready what the list has ready
-    and nobody has put out."""
+def test_ready_servers_are_those_ready_on_the_list_and_not_disabled(script: list[tuple[str, object]]) -> None:
+    """Ready servers are the ready ones of the list that are not disabled.
+
+    This holds after any sequence of lists and orders. A server missing from one list must not lose its order.
+    """
     orders = Orders()
-    made = Balancer(terms(), 1, 0)
+    lb = Balancer(balancer_settings(), 1, 0)
     template = {item.id: item for item in backends(len(NAMES))}
-    told: dict[str, State] = {}
-    out: set[str] = set()
+    listed: dict[str, State] = {}
+    disabled: set[str] = set()
     for kind, value in script:
         if kind == "out":
             assert isinstance(value, set)
-            out = value
+            disabled = value
             changed = orders.ordered(value)
-            made.on_list(BackendList(ListKind.DELTA, changed), 0)
+            lb.on_list(BackendList(ListKind.DELTA, changed), 0)
         else:
             assert isinstance(value, dict)
             entries = tuple(template[name]._replace(state=state) for name, state in value.items())
             complete = kind == "full"
-            told = {} if complete else told
-            told = {**told, **value}
-            told = {name: state for name, state in told.items() if state is not State.GONE}
+            listed = {} if complete else listed
+            listed = {**listed, **value}
+            listed = {name: state for name, state in listed.items() if state is not State.GONE}
             as_is = ListKind.FULL if complete else ListKind.DELTA
-            made.on_list(BackendList(as_is, orders.heard(entries, complete)), 0)
-        wanted = {name for name, state in told.items() if state is State.READY and name not in out}
-        assert {server.info.id for server in made.ready} == wanted
-        assert orders.listed == len(told)
-        assert sorted(orders.listed_out()) == sorted(out & set(told))
-        assert all(orders.knows(name) == (name in told or name in out) for name in NAMES)
+            lb.on_list(BackendList(as_is, orders.heard(entries, complete)), 0)
+        wanted = {name for name, state in listed.items() if state is State.READY and name not in disabled}
+        assert {server.info.id for server in lb.ready} == wanted
+        assert orders.listed == len(listed)
+        assert sorted(orders.listed_out()) == sorted(disabled & set(listed))
+        assert all(orders.knows(name) == (name in listed or name in disabled) for name in NAMES)
 
 
-def test_a_server_put_back_is_what_the_list_says_by_then() -> None:
-    """Restarted while it was out, it comes back cold."""
+def test_an_enabled_server_has_its_state_on_the_present_list() -> None:
+    """Restarted while it was disabled, it is cold."""
     orders = Orders()
-    made = Balancer(terms(), 1, 20_000_000)
-    made.on_list(BackendList(ListKind.FULL, orders.heard(backends(2), True)), 20_000_000)
-    made.on_list(BackendList(ListKind.DELTA, orders.ordered({"b000"})), 20_000_000)
+    lb = Balancer(balancer_settings(), 1, 20_000_000)
+    lb.on_list(BackendList(ListKind.FULL, orders.heard(backends(2), True)), 20_000_000)
+    lb.on_list(BackendList(ListKind.DELTA, orders.ordered({"b000"})), 20_000_000)
     restarted = backends(1, started_us=25_000_000)
-    made.on_list(BackendList(ListKind.DELTA, orders.heard(restarted, False)), 25_000_000)
-    assert [server.info.id for server in made.ready] == ["b001"]
-    made.on_list(BackendList(ListKind.DELTA, orders.ordered(())), 26_000_000)
-    assert {server.info.id for server in made.ready} == {"b000", "b001"}
-    assert made.servers["b000"].warm_at == 25_000_000 + made.settings.cold_us
+    lb.on_list(BackendList(ListKind.DELTA, orders.heard(restarted, False)), 25_000_000)
+    assert [server.info.id for server in lb.ready] == ["b001"]
+    lb.on_list(BackendList(ListKind.DELTA, orders.ordered(())), 26_000_000)
+    assert {server.info.id for server in lb.ready} == {"b000", "b001"}
+    assert lb.servers["b000"].warm_at == 25_000_000 + lb.settings.cold_us
 
 
-def test_a_server_put_back_is_drawn_again() -> None:
+def test_an_enabled_server_is_drawn_again() -> None:
     orders = Orders()
-    made = Balancer(terms(), 1, 0)
-    made.on_list(BackendList(ListKind.FULL, orders.heard(backends(3), True)), 0)
+    lb = Balancer(balancer_settings(), 1, 0)
+    lb.on_list(BackendList(ListKind.FULL, orders.heard(backends(3), True)), 0)
 
     def picked(first: int) -> set[str]:
         names = set()
         for number in range(first, first + 60):
-            for action in request(made, number, SAFE, 0):
+            for action in request(lb, number, SAFE, 0):
                 assert isinstance(action, Send)
                 names.add(action.backend)
-                ended(made, number, 0, Outcome.OK, 0)
+                ended(lb, number, 0, Outcome.OK, 0)
         return names
 
     assert picked(0) == {"b000", "b001", "b002"}
-    made.on_list(BackendList(ListKind.DELTA, orders.ordered({"b001"})), 0)
+    lb.on_list(BackendList(ListKind.DELTA, orders.ordered({"b001"})), 0)
     assert picked(100) == {"b000", "b002"}
-    made.on_list(BackendList(ListKind.DELTA, orders.ordered(())), 0)
+    lb.on_list(BackendList(ListKind.DELTA, orders.ordered(())), 0)
     assert picked(200) == {"b000", "b001", "b002"}
-
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,6 +1,7 @@
-"""Another customer's settings: the agent goes by what it is told, and by nothing of one deployment.
+"""Settings of other deployments: the agent depends only on its settings, not on one deployment.
 
-Drawn names, effects, groups, windows and limits, at their ends too. Verdicts come from the servers' books.
+Names, effects, groups, windows and limits are drawn at random, including their bounds. The checks use the
+requests that the servers recorded.
 """
 
 from __future__ import annotations
@@ -63,7 +64,7 @@
         "answerSlackUs": st.sampled_from([0, 1_000_000]),
     }
 )
-others = st.fixed_dictionaries(
+other_settings = st.fixed_dictionaries(
     {
         "registryMode": st.sampled_from(["subscribe", "automatic"]),
         "valueBy": st.sampled_from(["work", "request"]),
@@ -81,7 +82,7 @@
 
 
 def call(number: int, name: str, repeat: str) -> bytes:
-    """A request of this class."""
+    """Return a request of this class."""
     key = f"Idempotency-Key: k{number}\r\n" if repeat == "token" else ""
     length = "" if repeat == "pure" else "Content-Length: 1\r\n"
     head = f"{METHODS[repeat]} /{quote(name, safe='')}?k=1 HTTP/1.1\r\nHost: app\r\nX-Call-Id: c{number}\r\n"
@@ -89,59 +90,61 @@
 
 
 def ids(backend: Backend) -> list[int]:
-    """Which calls ran there, as its book has them."""
+    """Return the numbers of the calls that ran on this backend."""
     lines = [line for seen in backend.seen for line in seen.lower().split(b"\r\n")]
     return [int(line[12:]) for line in lines if line.startswith(b"x-call-id: c")]
 
 
-async def play(config: dict[str, Any], spoilt: bool) -> None:
-    """Two requests of each class, one after the other; one of two servers errs, if `spoilt`."""
+async def run_requests(config: dict[str, Any], one_fails: bool) -> None:
+    """Send two requests of each class in turn; one of two servers fails them if `one_fails`."""
     classes = {grade["name"]: grade for grade in config["settings"]["grades"]}
-    first = await Backend(answer(b"", "500 Internal Server Error") if spoilt else answer(b"served")).start()
+    first = await Backend(
+        answer(b"", "500 Internal Server Error") if one_fails else answer(b"served")
+    ).start()
     second = await Backend(answer(b"served")).start()
     config["known"]["members"] = [
         {**member(f"b{cell}", one.address), "locality": f"z{cell}", "cell": cell}
         for cell, one in enumerate((first, second))
     ]
-    made = World(parse(config))
+    env = World(parse(config))
     asked: dict[int, str] = {}
     try:
         for name in [*classes, *classes]:
             number = len(asked)
             asked[number] = name
-            client = await made.client()
+            client = await env.client()
             client.send(call(number, name, classes[name]["repeat"]))
             status, _, body = await client.answer()
             assert status in (200, 500, 503) and (body == b"served") == (status == 200)
             client.close()
             if status == 503 and classes[name]["repeat"] == "side_effect":
-                assert number not in ids(first) + ids(second)  # a refusal says that it has not run
-        assert made.agent.owed == 0
+                assert number not in ids(first) + ids(second)  # a refusal states that it did not run
+        assert env.agent.owed == 0
         ran = Counter(ids(first) + ids(second))
         for number, name in asked.items():
-            cls = made.agent.request_class(name)
+            cls = env.agent.request_class(name)
             assert cls is not None and ran[number] <= config["settings"]["limits"]["mostTries"]
             if cls.effect is Effect.UNSAFE:
                 assert ran[number] <= 1
             if cls.effect is Effect.KEYED and (cls.dedup_window_us <= 1 or cls.scope is not Scope.ALL):
                 assert not (number in ids(first) and number in ids(second))
     finally:
-        made.agent.close()
+        env.agent.close()
         first.stop()
         second.stop()
 
 
 @profile(max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
-@given(grades, limits, rules, others, machines, st.booleans())
+@given(grades, limits, rules, other_settings, machines, st.booleans())
 def test_whatever_the_settings_each_request_has_one_answer_and_no_effect_twice(
     grades: list[dict[str, Any]],
     limits: dict[str, Any],
     rules: dict[str, Any],
-    others: dict[str, Any],
+    other_settings: dict[str, Any],
     machine: dict[str, Any],
-    spoilt: bool,
+    one_fails: bool,
 ) -> None:
     config = table("127.0.0.1:9", [], **limits)
-    config["settings"] |= {"grades": grades, "rules": rules, **others}
+    config["settings"] |= {"grades": grades, "rules": rules, **other_settings}
     config["limits"] = machine
-    asyncio.run(play(config, spoilt))
+    asyncio.run(run_requests(config, one_fails))
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,11 +1,11 @@
-"""Random legal sequences of events: rules 1 to 3 hold after every step; same events give same actions."""
+"""Random legal event sequences: rules 1 to 3 hold after each step; same events give same actions."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from hypothesis import given
-from hypothesis import settings as tuned
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sorrelfront.decisions.balancer import Balancer
@@ -43,8 +43,8 @@
 )
 
 
-class World:
-    """Keeps its own account of what a balancer was told and did, and checks the rules against it."""
+class Model:
+    """Records all events and actions of a balancer and checks the rules against them."""
 
     def __init__(self, seed: int, **changes: Any) -> None:
         self.settings = settings(subscribe=True, **changes)
@@ -52,15 +52,15 @@
         self.now = 0
         self.states: dict[str, Backend] = {}
         self.known: dict[str, Backend] = {}
-        self.requests: dict[int, tuple[RequestClass, int]] = {}  # those unanswered: class, deadline
+        self.requests: dict[int, tuple[RequestClass, int]] = {}  # unanswered ones: class, deadline
         self.classes: dict[int, RequestClass] = {}
         self.history: dict[int, list[tuple[int, Backend, Outcome | None]]] = {}
         self.open: dict[tuple[int, int], int] = {}
         self.timers: list[tuple[int, str]] = []
         self.log: list[Action] = []
-        self.carry(self.balancer.start())
+        self.execute(self.balancer.start())
 
-    def carry(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         for action in actions:
             self.log.append(action)
             if isinstance(action, Send):
@@ -102,7 +102,7 @@
         assert self.now <= deadline + self.settings.answer_slack_us, "rule 1: too late"
         risky = [entry for entry in self.history[action.request_id] if entry[2] not in NEVER_RAN]
         if isinstance(action, Refuse) and risky and cls.effect is not Effect.SAFE:
-            assert cls.effect is Effect.KEYED and cls.scope is Scope.ALL, "rule 2: a refusal that may lie"
+            assert cls.effect is Effect.KEYED and cls.scope is Scope.ALL, "rule 2: refused, may have run"
 
     def end(self, key: tuple[int, int], outcome: Outcome) -> None:
         number, attempt = key
@@ -112,10 +112,10 @@
         if outcome is Outcome.OK:
             self.requests.pop(number, None)
         event = AttemptEnded(number, attempt, outcome, self.now - sent, number not in self.requests)
-        self.carry(self.balancer.on_attempt_ended(event, self.now))
+        self.execute(self.balancer.on_attempt_ended(event, self.now))
 
     def advance(self, until: int) -> None:
-        """Let time pass: timers and deadlines come due in their order."""
+        """Advance the time; timers and deadlines expire in order."""
         while True:
             due = [(max(when, self.now), 1, tag) for when, tag in self.timers if when <= until]
             for key in self.open:
@@ -127,7 +127,7 @@
             self.now = when
             if kind:
                 self.timers.remove(min(timer for timer in self.timers if timer[1] == tag))
-                self.carry(self.balancer.on_timer(Timer(tag), self.now))
+                self.execute(self.balancer.on_timer(Timer(tag), self.now))
             else:
                 number, attempt = map(int, tag.split())
                 self.end((number, attempt), Outcome.TIMEOUT)
@@ -135,12 +135,12 @@
         for number, (_, deadline) in self.requests.items():
             assert self.now <= deadline + self.settings.answer_slack_us, f"rule 1: {number} was lost"
 
-    def tell(self, kind: ListKind, entries: tuple[Backend, ...]) -> None:
+    def send_list(self, kind: ListKind, entries: tuple[Backend, ...]) -> None:
         if kind is not ListKind.DELTA:
             self.states = {}
         for entry in entries:
             self.states[entry.id] = entry
-        self.carry(self.balancer.on_list(BackendList(kind, entries), self.now))
+        self.execute(self.balancer.on_list(BackendList(kind, entries), self.now))
 
     def step(self, step: Step) -> None:
         what, pick, wait = step
@@ -152,21 +152,21 @@
             self.requests[number] = (cls, self.now + 50_000 + wait)
             self.history[number] = []
             event = Request(number, cls.name, self.now + 50_000 + wait, pick * 10)
-            self.carry(self.balancer.on_request(event, self.now))
+            self.execute(self.balancer.on_request(event, self.now))
         elif what == "end" and self.open:
             key = sorted(self.open)[pick % len(self.open)]
             self.end(key, list(Outcome)[(pick // 7) % len(Outcome)])
         elif what == "list":
             entries = tuple(self.entry(i, pick + i * i) for i in range(pick % 7))
-            self.tell(ListKind.FULL if pick % 2 else ListKind.CACHED, entries)
+            self.send_list(ListKind.FULL if pick % 2 else ListKind.CACHED, entries)
         elif what == "delta":
-            self.tell(ListKind.DELTA, (self.entry(pick % 7, pick // 7),))
+            self.send_list(ListKind.DELTA, (self.entry(pick % 7, pick // 7),))
         elif what == "gone" and self.requests:
             number = sorted(self.requests)[pick % len(self.requests)]
             del self.requests[number]
-            self.carry(self.balancer.on_client_gone(ClientGone(number), self.now))
+            self.execute(self.balancer.on_client_gone(ClientGone(number), self.now))
         elif what == "timer":
-            self.carry(self.balancer.on_timer(Timer(f"stray-{pick}"), self.now))
+            self.execute(self.balancer.on_timer(Timer(f"stray-{pick}"), self.now))
 
     def entry(self, index: int, salt: int) -> Backend:
         state = (State.READY, State.READY, State.READY, State.DRAINING, State.GONE)[salt % 5]
@@ -174,27 +174,27 @@
         return Backend(f"b{index}", f"z{index % 2}", f"k{index % 3}", index % 3, state, started_us=started)
 
 
-@tuned(max_examples=150, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS, st.integers(0, 2**32), st.integers(1, 6))
 def test_rules_one_to_three_hold_after_every_step(steps: list[Step], seed: int, attempts: int) -> None:
-    world = World(seed, max_attempts=attempts)
+    model = Model(seed, max_attempts=attempts)
     for step in steps:
-        world.step(step)
-    world.advance(world.now + 5_000_000)
-    assert not world.requests, "rule 1: a request without an answer"
-    for key in sorted(world.open):
-        world.end(key, Outcome.CANCELLED)
-    assert not world.balancer.held and not world.balancer.attempts
-    assert not any(server.pending for server in world.balancer.servers.values())
+        model.step(step)
+    model.advance(model.now + 5_000_000)
+    assert not model.requests, "rule 1: a request without an answer"
+    for key in sorted(model.open):
+        model.end(key, Outcome.CANCELLED)
+    assert not model.balancer.held and not model.balancer.attempts
+    assert not any(server.pending for server in model.balancer.servers.values())
 
 
-@tuned(max_examples=50, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=50, deadline=None, derandomize=True, database=None)
 @given(STEPS, st.integers(0, 2**32))
 def test_the_same_events_give_the_same_actions(steps: list[Step], seed: int) -> None:
     logs = []
     for _ in range(2):
-        world = World(seed)
+        model = Model(seed)
         for step in steps:
-            world.step(step)
-        logs.append(world.log)
+            model.step(step)
+        logs.append(model.log)
     assert logs[0] == logs[1]
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Backends in trouble, over loopback sockets: what one of them does must not cost the others' service."""
+"""Faulty backends over loopback sockets: a fault of one must not affect requests that others can serve."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 def test_a_failed_request_is_tried_again_at_another_backend() -> None:
-    """One that fails at once is idle for it, and would draw the next attempt too, and the one after that."""
+    """A backend that fails at once is idle, and would attract each further attempt too."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         good, bad = await Backend(OK).start(), await Backend(ERROR).start()
-        async with world(good, bad) as made:
-            # Without it each further attempt goes to the lower load, which this holds down at the bad one.
-            made.agent.balancer.servers["b0"].observe(1_000.0, made.agent.now())
-            client = await made.client()
+        async with world(good, bad) as env:
+            # b0 is the good one: with the higher load, it is picked only because the other was tried.
+            env.agent.balancer.servers["b0"].observe(1_000.0, env.agent.now())
+            client = await env.client()
             for number in range(10):
                 client.send(request(f"r{number}"))
                 assert (await client.answer())[0] == 200
             assert len(bad.seen) == 10 and len(good.seen) == 10
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_backend_at_its_limit_of_connections_is_not_taken_for_dead() -> None:
-    """It refuses further connections and goes on answering on those it has."""
+    """It refuses further connections but still answers on the open ones."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
         go.set()
 
@@ -40,17 +40,17 @@
             writer.write(OK)
 
         backend = await Backend(held).start()
-        # The window in which a good answer counts is longer than the test may take.
-        async with world(backend, connectTimeoutUs=int(PATIENCE_S * 1e6)) as made:
-            holders: list[Client] = [await made.client(), await made.client()]
+        # A good answer counts for the connect time-out, so that is longer than the test may take.
+        async with world(backend, connectTimeoutUs=int(PATIENCE_S * 1e6)) as env:
+            holders: list[Client] = [await env.client(), await env.client()]
             holders[0].send(request("first", "pay", b"x"))
             assert (await holders[0].answer())[0] == 200
             go.clear()
             for number, holder in enumerate(holders):
                 holder.send(request(f"held{number}", "pay", b"x"))
             await until(lambda: len(backend.seen) == 3)
-            backend.server.close()  # those that are open stay; new ones are refused
-            further = await made.client()
+            backend.server.close()  # open connections stay; new ones are refused
+            further = await env.client()
             further.send(request("further", "pay", b"x"))
             assert (await further.answer())[0] == 503
             go.set()
@@ -59,14 +59,14 @@
             further.send(request("again", "pay", b"x"))
             assert (await further.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_crowd_that_is_over_does_not_have_the_next_request_refused() -> None:
-    """Its answers came late and tell of the queue they stood in, and the backend has run empty since."""
+def test_an_overload_that_is_over_does_not_have_the_next_request_refused() -> None:
+    """Its late answers describe the queue they waited in, but the backend is idle since."""
     aim_us = 1_000_000
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
         go.set()
 
@@ -78,33 +78,33 @@
         config = table("127.0.0.1:9", [member("b0", backend.address)])
         grades = config["settings"]["grades"]
         config["settings"]["grades"] = [{**grade, "aimUs": aim_us} for grade in grades]
-        made = World(parse(config))
-        crowd = [await made.client() for _ in range(24)]
-        for number in range(20):  # what is usual without a crowd
+        env = World(parse(config))
+        crowd = [await env.client() for _ in range(24)]
+        for number in range(20):  # to learn the usual latency without overload
             crowd[0].send(request(f"usual{number}"))
             assert (await crowd[0].answer())[0] == 200
         go.clear()
         for number, client in enumerate(crowd):
             client.send(request(f"crowd{number}"))
         await until(lambda: len(backend.seen) == 20 + len(crowd))
-        since = made.agent.now()
-        await until(lambda: made.agent.now() - since > 1.5 * aim_us)
+        since = env.agent.now()
+        await until(lambda: env.agent.now() - since > 1.5 * aim_us)
         go.set()
         for client in crowd:
             assert (await client.answer())[0] == 200
-        assert made.agent.attempts == 0
+        assert env.agent.attempts == 0
         crowd[0].send(request("next"))
         assert (await crowd[0].answer())[0] == 200
-        made.agent.close()
+        env.agent.close()
         backend.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_busy_backend_that_falls_silent_is_seen_by_the_answers_that_were_due() -> None:
-    """Twelve wait for it: its silence tells long before the oldest is old. One good answer ends that."""
+def test_a_busy_backend_that_stops_answering_is_detected_by_overdue_answers() -> None:
+    """With twelve pending, a silence is significant before the oldest is overdue; a good answer ends it."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
         held: list[asyncio.StreamWriter] = []
 
@@ -115,36 +115,36 @@
                 writer.write(OK)
 
         backend = await Backend(script).start()
-        async with world(backend) as made:
-            crowd = [await made.client() for _ in range(12)]
-            for number in range(20):  # what is usual
+        async with world(backend) as env:
+            crowd = [await env.client() for _ in range(12)]
+            for number in range(20):  # to learn the usual latency
                 crowd[0].send(request(f"usual{number}"))
                 assert (await crowd[0].answer())[0] == 200
             go.set()
             for number, client in enumerate(crowd):
                 client.send(request(f"crowd{number}"))
             await until(lambda: len(held) == len(crowd))
-            (server,) = made.agent.balancer.servers.values()
+            (server,) = env.agent.balancer.servers.values()
             sent_at, expected_us = next(iter(server.pending.values()))
-            await until(lambda: made.agent.now() - sent_at > max(500_000, 10 * expected_us))
-            now = made.agent.now()
+            await until(lambda: env.agent.now() - sent_at > max(500_000, 10 * expected_us))
+            now = env.agent.now()
             assert server.forecast(now) > 2 * (now - sent_at) / expected_us
             assert server.load(now) > 2 * 13 * (now - sent_at) / expected_us
             held[-1].write(OK)
             await until(lambda: len(server.pending) == len(crowd) - 1)
-            assert server.at_least(0.0, server.heard_at) == 0.0
+            assert server.lower_bound(0.0, server.heard_at) == 0.0
             for writer in held[:-1]:
                 writer.write(OK)
             for client in crowd:
                 assert (await client.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_backend_that_fails_at_once_does_not_beat_all_that_are_busy() -> None:
-    """It has no queue, so without the others' counted in, it wins each draw against a backend that works."""
+def test_a_backend_that_fails_at_once_is_not_preferred_to_busy_ones() -> None:
+    """It has no queue, so unless its penalty includes that of the others, it wins every draw."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def held(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -152,9 +152,9 @@
             writer.write(OK)
 
         good, bad = await Backend(held).start(), await Backend(ERROR).start()
-        async with world(good, bad) as made:
-            made.agent.balancer.kinds["m"].ahead = 8.0  # as in a crowd: so many were ahead of each
-            clients = [await made.client() for _ in range(12)]
+        async with world(good, bad) as env:
+            env.agent.balancer.kinds["m"].ahead = 8.0  # as under load: so many attempts were ahead of each
+            clients = [await env.client() for _ in range(12)]
             for number, client in enumerate(clients):
                 client.send(request(f"r{number}"))
                 await until(lambda number=number: len(good.seen) == number + 1)  # type: ignore[misc]
@@ -163,13 +163,13 @@
             for client in clients:
                 assert (await client.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_backends_that_answer_nothing_are_not_drawn_while_another_answers() -> None:
-    """Of three two hang: one pair in three is both of them, and would hold its request to the deadline."""
+    """Two of three hang: one draw in three has both, and its request would wait until the deadline."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         hung = asyncio.Event()
         go = asyncio.Event()
 
@@ -179,21 +179,21 @@
             writer.write(OK)
 
         backends = [await Backend(hanging).start(), await Backend(hanging).start(), await Backend(OK).start()]
-        async with world(*backends) as made:
-            clients = [await made.client() for _ in range(24)]
-            for number in range(20):  # what is usual
+        async with world(*backends) as env:
+            clients = [await env.client() for _ in range(24)]
+            for number in range(20):  # to learn the usual latency
                 clients[0].send(request(f"usual{number}"))
                 assert (await clients[0].answer())[0] == 200
             hung.set()
             for number, client in enumerate(clients):
                 client.send(request(f"crowd{number}"))
-            servers = made.agent.balancer.servers
+            servers = env.agent.balancer.servers
             await until(lambda: sum(len(one.seen) for one in backends) == 44 and not servers["b2"].pending)
             assert servers["b0"].pending and servers["b1"].pending
             for one in (servers["b0"], servers["b1"]):
-                await until(lambda one=one: one.at_least(0.0, made.agent.now()) > 100)  # type: ignore[misc]
+                await until(lambda one=one: one.lower_bound(0.0, env.agent.now()) > 100)  # type: ignore[misc]
             before = len(backends[2].seen)
-            usual = await made.client()
+            usual = await env.client()
             for number in range(40):
                 usual.send(request(f"next{number}"))
                 assert (await usual.answer())[0] == 200
@@ -202,4 +202,4 @@
             for client in clients:
                 assert (await client.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
