--- a/sorrelfront/decisions/fleet/copies.py
+++ b/sorrelfront/decisions/fleet/copies.py
@@ -1,14 +1,16 @@
-"""Copies of the state that matters, kept by the members of one fleet. No I/O: words, times and what is
-durable come in, actions go out.
-
-A copy is made of books. Each book has one writer and a total order of its states, (owner, epoch, birth, seq);
-a state has one content, which its sum tells. What several may add to is read as a join over all books, so it
-is commutative, associative and idempotent whatever the order of words. Members compare digests at random
-(anti-entropy; Demers et al., 1987), exchange rows of what differs, and take entries in the order of their
-sequence from whoever is ahead: the cost is that of the difference. Deletions are remembered in a bounded log
-for each book, and whoever is behind it takes the book whole; books of members that are gone for good leave
-marks, and when a mark is forgotten the era rises, by which a member that was away for longer is known.
-docs/design/copies.md weighs this against vectors with dots, CRDTs and trees.
+"""Replicated versioned maps, kept by the members of one fleet.
+
+This module does no I/O: messages, times and confirmations of durable writes come in, actions go out.
+
+A replica store holds versioned maps. Each map has one writer and a total order of its versions, (owner,
+epoch, incarnation, seq). A version has one content, which its checksum identifies. Values that several
+members may add to are read as a join over all maps, so the result is commutative, associative and idempotent
+whatever the order of messages. Members compare digests with random peers (anti-entropy; Demers et al., 1987),
+exchange the versions that differ, and pull entries in the order of their sequence from whoever is ahead, so
+the cost is that of the difference. Each map keeps a bounded log of tombstones; a peer that is behind this log
+pulls a full snapshot. The maps of members that have left for good leave owner tombstones. When one of these
+expires the GC epoch rises, by which a member that was away for longer is recognised. docs/design/copies.md
+compares this with dotted version vectors, CRDTs and Merkle trees.
 """
 
 from __future__ import annotations
@@ -26,145 +28,168 @@
 
 from sorrelfront.decisions.fleet.words import Count, Name, Unreadable
 
-BUCKETS = 32  # digests in a Beat: what differs is looked for in one part of the books
-KEY_MOST, VALUE_MOST, HINT_MOST = 256, 2_048, 64  # characters; bytes
-BOOKS_MOST = 16_384
-ENTRIES_MOST = 131_072  # of one book
-DELETED_MOST = 4_096  # deletions that a book remembers; whoever is further behind takes it whole
-MARKS_MOST = 8_192  # books that ended and are remembered
-CHUNK = 32 * 1024  # bytes of entries in one Give
-ROWS_MOST = 4_096  # in one word; the rest of what differs comes with the next comparison
-ITEMS_MOST = 4_096
-FETCHES_MOST = 4  # books that are being taken at once
-WANTS_MOST = 64  # of others, that wait for bytes to be given
-HOLDS_MOST = 1_024  # promises of others that wait for the disk
-FETCH_TRIES = 6  # of one part, each at another giver
-BOOK_BYTES_MOST = 64 * 1024 * 1024
-LAST = "\U0010ffff"  # behind every key
-TOP = 2**52  # the sequence of a book that has ended
-FEW = 3  # peers that a member has to be level with before it acts by a copy
-ENTRY_OVERHEAD = 24  # bytes of an entry beside its texts
-LIVES_MOST = 1_024  # earlier ones of a member that its book says it has taken over
-LIST = "list:"  # owners of this beginning are list services: any member that hears one writes its book
-COVERS = "\x00covers:"  # keys by which a later life of a member says what of an earlier one it has taken over
+BUCKETS = 32  # digests in a message; only the maps of buckets that differ are compared
+MAX_KEY_CHARS, MAX_VALUE_BYTES, MAX_HINT_BYTES = 256, 2_048, 64  # characters; bytes
+MAX_REPLICAS = 16_384
+MAX_ENTRIES = 131_072  # of one map
+MAX_TOMBSTONES = 4_096  # of one map; a peer that is further behind pulls a full snapshot
+MAX_OWNER_TOMBSTONES = 8_192  # of owners whose maps have ended
+MAX_CHUNK_BYTES = 32 * 1024  # of entries in one Delta
+MAX_VERSIONS = 4_096  # in one message; other differences follow with the next comparison
+MAX_MESSAGE_ENTRIES = 4_096
+MAX_FETCHES = 4  # concurrent
+MAX_QUEUED_PULLS = 64  # of peers, waiting for the send budget
+MAX_PENDING_ACKS = 1_024  # acknowledgements to peers that wait for the disk
+FETCH_TRIES = 6  # of one chunk, each from another peer
+MAX_REPLICA_BYTES = 64 * 1024 * 1024
+LAST_KEY = "\U0010ffff"  # sorts after every key
+ENDED_SEQ = 2**52  # the sequence that marks a map as ended
+CAUGHT_UP_PEERS = 3  # peers to be in sync with before a member acts by its replicas
+ENTRY_OVERHEAD = 24  # bytes of an entry in addition to its texts
+MAX_INCARNATIONS = 1_024  # superseded ones that a member's map records
+LIST = "list:"  # prefix of owners that are list services: any member that uses one writes its map
+COVERS = "\x00covers:"  # prefix of keys that record which versions of earlier incarnations are taken over
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Which state of a book somebody has."""
+    """Identifies the version of a map that a member has."""
 
     owner: Name
     epoch: Count
-    birth: Count
+    incarnation: Count
     seq: Count
-    sum: Count = 0
+    checksum: Count = 0
 
     @property
-    def id(self) -> BookId:
-        return BookId(self.owner, self.epoch, self.birth)
+    def id(self) -> ReplicaId:
+        """The identity of the map, without its sequence and checksum."""
+        return ReplicaId(self.owner, self.epoch, self.incarnation)
 
 
-class BookId(NamedTuple):
+class ReplicaId(NamedTuple):
+    """Identifies one incarnation of an owner's map."""
+
     owner: str
     epoch: int
-    birth: int
+    incarnation: int
+
 
+class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
+    """An entry as it is sent and stored; without a value it is a tombstone.
 
-class Item(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """An entry as it is sent and kept on disk; without a value it was deleted. The hint is the teller's own
-    and counts for no sum. `stamp`: epoch and sequence of the life that wrote it first, so that of two lives
-    that took it over none counts as having written it anew."""
+    The hint is local to the sender and is not part of any checksum. `origin` is the epoch and sequence of the
+    incarnation that wrote the entry first, so that an incarnation which only took it over does not count as
+    having written it anew.
+    """
 
-    key: Annotated[str, Meta(max_length=KEY_MOST)]
+    key: Annotated[str, Meta(max_length=MAX_KEY_CHARS)]
     seq: Count
-    value: Annotated[bytes, Meta(max_length=VALUE_MOST)] | None
-    hint: Annotated[bytes, Meta(max_length=HINT_MOST)] = b""
-    stamp: tuple[Count, Count] = (0, 0)
+    value: Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)] | None
+    hint: Annotated[bytes, Meta(max_length=MAX_HINT_BYTES)] = b""
+    origin: tuple[Count, Count] = (0, 0)
 
 
-Items = Annotated[tuple[Item, ...], Meta(max_length=ITEMS_MOST)]
-Rows_ = Annotated[tuple[Row, ...], Meta(max_length=ROWS_MOST)]
+Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_MESSAGE_ENTRIES)]
+VersionList = Annotated[tuple[Row, ...], Meta(max_length=MAX_VERSIONS)]
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b", gc=False):
-    """What I have, by digests. `live`: epoch and sequence of the list that my own service confirmed last, and
-    how many milliseconds ago."""
+class Digests(msgspec.Struct, frozen=True, array_like=True, tag="b", gc=False):
+    """Reports the sender's state as one digest for each bucket.
+
+    `list_state`: epoch and sequence of the list that the sender's own service confirmed last, and how many
+    milliseconds ago.
+    """
 
     digests: Annotated[tuple[Count, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
-    era: Count
-    level: bool
-    live: tuple[Count, Count, Count] | None = None
+    gc_epoch: Count
+    caught_up: bool
+    list_state: tuple[Count, Count, Count] | None = None
+
 
+class InSync(msgspec.Struct, frozen=True, array_like=True, tag="s", gc=False):
+    """Answers that the sender's digests are the same."""
 
-class Same(msgspec.Struct, frozen=True, array_like=True, tag="s", gc=False):
-    """I have just that."""
+    gc_epoch: Count
 
-    era: Count
 
+class Versions(msgspec.Struct, frozen=True, array_like=True, tag="r", gc=False):
+    """Lists all versions that the sender has in these buckets, as far as they fit.
 
-class Rows(msgspec.Struct, frozen=True, array_like=True, tag="r", gc=False):
-    """All that I have in these buckets, if it fits. `asks`: tell me what you have there."""
+    `wants_reply`: the receiver is asked for its own versions in the same buckets.
+    """
 
     buckets: Annotated[tuple[Count, ...], Meta(max_length=BUCKETS)]
-    rows: Rows_
-    era: Count
-    asks: bool
-    whole: bool  # nothing was left out for want of room
+    versions: VersionList
+    gc_epoch: Count
+    wants_reply: bool
+    complete: bool  # no version was left out because of the size limit
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag="w", gc=False):
-    """Give me what comes behind this place of the book. `whole`: what I had before I asked does not count."""
+class Pull(msgspec.Struct, frozen=True, array_like=True, tag="w", gc=False):
+    """Requests the entries that follow this position of a map.
+
+    `full`: a full snapshot is wanted, whatever the requester already has.
+    """
 
     owner: Name
     epoch: Count
-    birth: Count
+    incarnation: Count
     seq: Count
-    key: Annotated[str, Meta(max_length=KEY_MOST)]
-    whole: bool
+    key: Annotated[str, Meta(max_length=MAX_KEY_CHARS)]
+    full: bool
 
     @property
-    def id(self) -> BookId:
-        return BookId(self.owner, self.epoch, self.birth)
+    def id(self) -> ReplicaId:
+        """The identity of the requested map."""
+        return ReplicaId(self.owner, self.epoch, self.incarnation)
+
 
+class Delta(msgspec.Struct, frozen=True, array_like=True, tag="g", gc=False):
+    """One chunk of a map, in order of sequence and key.
 
-class Give(msgspec.Struct, frozen=True, array_like=True, tag="g", gc=False):
-    """A part of a book: all that changed after (`after`, `after_key`) up to (`upto`, `upto_key`), in this
-    order; `goal` is the giver's own state. `hops`: how often it was passed on."""
+    It has all that changed after (`after`, `after_key`) up to (`up_to`, `up_to_key`). `version` is the
+    sender's own version of the map. `hops` is how often it was forwarded.
+    """
 
-    goal: Row
+    version: Row
     after: Count
-    after_key: Annotated[str, Meta(max_length=KEY_MOST)]
-    upto: Count
-    upto_key: Annotated[str, Meta(max_length=KEY_MOST)]
-    items: Items
-    floor: Count  # deletions up to here may be forgotten
+    after_key: Annotated[str, Meta(max_length=MAX_KEY_CHARS)]
+    up_to: Count
+    up_to_key: Annotated[str, Meta(max_length=MAX_KEY_CHARS)]
+    entries: Entries
+    tombstone_floor: Count  # tombstones up to this sequence may have expired
     last: bool
-    whole: bool = False
+    full: bool = False
     hops: Count = 0
 
 
-class Hold(msgspec.Struct, frozen=True, array_like=True, tag="h", gc=False):
-    """Tell me once you hold this durably."""
+class PersistRequest(msgspec.Struct, frozen=True, array_like=True, tag="h", gc=False):
+    """Asks for an acknowledgement once this version is durable at the receiver."""
 
-    row: Row
+    version: Row
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True, tag="d", gc=False):
-    """I do."""
+class PersistAck(msgspec.Struct, frozen=True, array_like=True, tag="d", gc=False):
+    """Acknowledges that this version is durable at the sender."""
 
-    row: Row
+    version: Row
 
 
-Word = Beat | Same | Rows | Want | Give | Hold | Held
+Word = Digests | InSync | Versions | Pull | Delta | PersistRequest | PersistAck
 _decoder = msgspec.msgpack.Decoder(Word)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def pack(word: Word) -> bytes:
-    return _encode(word)
+def pack(message: Word) -> bytes:
+    """Encode a message."""
+    return _encode(message)
 
 
 def unpack(data: bytes) -> Word:
-    """Raises Unreadable, and nothing else whatever the bytes are."""
+    """Decode a message.
+
+    Raises Unreadable, and nothing else whatever the bytes are.
+    """
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
@@ -175,33 +200,35 @@
 
 
 class Say(NamedTuple):
+    """Send this message to a member."""
+
     to: str
     word: Word
 
 
 class Write(NamedTuple):
-    """Put this change on disk, and then call `on_written` with its number."""
+    """Write this change to disk, then call `on_written` with its number."""
 
     number: int
     change: Change
 
 
 class Changed(NamedTuple):
-    """These keys of this owner's may read otherwise from now on."""
+    """The values under these keys of this owner may have changed."""
 
     owner: str
     keys: tuple[str, ...]
 
 
 class Kept(NamedTuple):
-    """What was put up to here is durable on so many hosts, this one among them."""
+    """The own map is durable up to this sequence on so many hosts, this one included."""
 
     seq: int
     hosts: int
 
 
 class Forked(NamedTuple):
-    """Two contents under one state, or two lives of one name at once."""
+    """One version has two contents, or one name has two incarnations at the same time."""
 
     owner: str
     epoch: int
@@ -209,154 +236,175 @@
 
 
 class Levelled(NamedTuple):
-    """This member has what its peers have."""
+    """This member has caught up with its peers."""
 
 
 Action = Say | Write | Changed | Kept | Forked | Levelled
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a state became, as it stands on disk. `whole`: what was there before does not count."""
+    """A change to a map, as it is stored on disk.
 
-    row: Row | None  # None: it tells the era alone
-    items: tuple[Item, ...] = ()
-    whole: bool = False
-    floor: int = 0
-    dropped: bool = False  # the book is gone; with TOP for its sequence it left a mark
-    era: int = 0
+    `full`: it replaces what was stored before.
+    """
 
+    version: Row | None  # None: only the GC epoch is stored
+    entries: tuple[Entry, ...] = ()
+    full: bool = False
+    tombstone_floor: int = 0
+    dropped: bool = False  # the map was removed; with ENDED_SEQ as sequence it left a tombstone
+    gc_epoch: int = 0
 
-# Books
 
+# Replicas
 
-def mark(key: str, value: bytes) -> int:
+
+def entry_checksum(key: str, value: bytes) -> int:
+    """Return the checksum of an entry; a map's checksum is the XOR of those of its entries."""
     digest = hashlib.blake2b(key.encode(), digest_size=8, key=hashlib.blake2b(value, digest_size=16).digest())
     return int.from_bytes(digest.digest(), "big") >> 1
 
 
-def _row_mark(row: Row) -> int:
-    text = f"{row.owner}/{row.epoch}/{row.birth}/{row.seq}/{row.sum}"
+def _version_checksum(version: Row) -> int:
+    text = f"{version.owner}/{version.epoch}/{version.incarnation}/{version.seq}/{version.checksum}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
-def bucket(owner: str) -> int:
+def bucket_of(owner: str) -> int:
+    """Return the digest bucket that an owner's maps belong to."""
     return hashlib.blake2b(owner.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
 class Book:
-    """One writer's entries, in a state."""
-
-    __slots__ = ("_order", "covers", "deleted", "entries", "floor", "id", "seq", "since", "sum")
-
-    def __init__(self, id: BookId, since: int) -> None:
+    """A replica of one writer's versioned map, in one version."""
+
+    __slots__ = (
+        "_by_seq",
+        "changed_us",
+        "checksum",
+        "deleted",
+        "entries",
+        "id",
+        "seq",
+        "superseded",
+        "tombstone_floor",
+    )
+
+    def __init__(self, id: ReplicaId, changed_us: int) -> None:
         self.id = id
         self.seq = 0
-        self.sum = 0
-        self.since = since  # when it changed last here
-        self.entries: dict[str, Item] = {}
-        self.deleted: OrderedDict[str, Item] = OrderedDict()  # oldest first
-        self.floor = 0  # deletions up to here may be forgotten
-        self.covers: dict[tuple[int, int], int] = {}  # states of earlier lives that are taken over
-        self._order: SortedList[tuple[int, str]] = SortedList()
+        self.checksum = 0
+        self.changed_us = changed_us  # time of the last change at this member
+        self.entries: dict[str, Entry] = {}
+        self.deleted: OrderedDict[str, Entry] = OrderedDict()  # oldest first
+        self.tombstone_floor = 0  # tombstones up to this sequence may have expired
+        self.superseded: dict[tuple[int, int], int] = {}  # versions of earlier incarnations taken over
+        self._by_seq: SortedList[tuple[int, str]] = SortedList()
 
     @property
-    def row(self) -> Row:
-        return Row(*self.id, self.seq, self.sum)
+    def version(self) -> Row:
+        """The version that this replica has."""
+        return Row(*self.id, self.seq, self.checksum)
 
-    def apply(self, item: Item) -> bool:
-        """Take an entry's newer state; False if it has this one or a newer one."""
-        key = item.key
+    def apply(self, entry: Entry) -> bool:
+        """Apply a newer state of an entry; return False if this or a newer one is already here."""
+        key = entry.key
         known = self.entries.get(key)
-        if known is not None and known.seq >= item.seq:
+        if known is not None and known.seq >= entry.seq:
             return False
-        gone = self.deleted.get(key)
-        if gone is not None and gone.seq >= item.seq:
+        tombstone = self.deleted.get(key)
+        if tombstone is not None and tombstone.seq >= entry.seq:
             return False
         if known is not None:
-            self._order.remove((known.seq, key))
-            self.sum ^= mark(key, known.value or b"")
+            self._by_seq.remove((known.seq, key))
+            self.checksum ^= entry_checksum(key, known.value or b"")
             del self.entries[key]
         self.deleted.pop(key, None)
-        if item.value is None:
-            self.deleted[key] = item
-            while len(self.deleted) > DELETED_MOST:
+        if entry.value is None:
+            self.deleted[key] = entry
+            while len(self.deleted) > MAX_TOMBSTONES:
                 _, first = self.deleted.popitem(last=False)
-                self.floor = max(self.floor, first.seq)
+                self.tombstone_floor = max(self.tombstone_floor, first.seq)
         else:
-            self.entries[key] = item
-            self._order.add((item.seq, key))
-            self.sum ^= mark(key, item.value)
+            self.entries[key] = entry
+            self._by_seq.add((entry.seq, key))
+            self.checksum ^= entry_checksum(key, entry.value)
             if key.startswith(COVERS):
-                self._cover(key, item.value)
+                self._record_superseded(key, entry.value)
         return True
 
-    def _cover(self, key: str, value: bytes) -> None:
+    def _record_superseded(self, key: str, value: bytes) -> None:
         try:
-            epoch, birth = key[len(COVERS) :].split("/")
-            self.covers[int(epoch), int(birth)] = int(value)
+            epoch, incarnation = key[len(COVERS) :].split("/")
+            self.superseded[int(epoch), int(incarnation)] = int(value)
         except ValueError:
             return
 
-    def after(self, seq: int, key: str) -> Iterator[Item]:
-        """Entries and deletions behind this place, in order."""
-        gone = [item for item in self.deleted.values() if (item.seq, item.key) > (seq, key)]
-        gone.sort(key=lambda item: (item.seq, item.key))
-        place = 0
-        for at, name in self._order.irange((seq, key), inclusive=(False, True)):
-            while place < len(gone) and (gone[place].seq, gone[place].key) < (at, name):
-                yield gone[place]
-                place += 1
+    def after(self, seq: int, key: str) -> Iterator[Entry]:
+        """Yield the entries and tombstones after this position, in order."""
+        tombstones = [entry for entry in self.deleted.values() if (entry.seq, entry.key) > (seq, key)]
+        tombstones.sort(key=lambda entry: (entry.seq, entry.key))
+        position = 0
+        for at, name in self._by_seq.irange((seq, key), inclusive=(False, True)):
+            while position < len(tombstones) and (tombstones[position].seq, tombstones[position].key) < (
+                at,
+                name,
+            ):
+                yield tombstones[position]
+                position += 1
             yield self.entries[name]
-        yield from gone[place:]
+        yield from tombstones[position:]
 
 
-def _rank(item: Item) -> tuple[tuple[int, int], bytes]:
-    """Of two lives' words on one key the later written holds; the same everywhere."""
-    return item.stamp, item.value or b""
+def _write_order(entry: Entry) -> tuple[tuple[int, int], bytes]:
+    """Order two incarnations' values of one key: the one written later wins, the same at all members."""
+    return entry.origin, entry.value or b""
 
 
 def host_of(member: str) -> str:
+    """Return the host part of a member's name."""
     return member.rpartition("/")[0] or member
 
 
-def size(item: Item) -> int:
-    return len(item.key) + len(item.value or b"") + len(item.hint) + ENTRY_OVERHEAD
+def size(entry: Entry) -> int:
+    """Return the approximate size of an entry in bytes."""
+    return len(entry.key) + len(entry.value or b"") + len(entry.hint) + ENTRY_OVERHEAD
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Times in microseconds."""
-
-    compare_us: int = 1_000_000  # between two comparisons with a random peer
-    push_us: int = 50_000  # what changed in this time goes out together
-    fetch_us: int = 2_000_000  # for a part of a book to come
-    fanout: int = 3  # peers that a change is pushed to, and by each of them once more
-    # A member alone for so long begins its own book by what it has. Risk: sooner, it would not know of what
-    # others still hold for it; harm: its own words wait for so long.
+    """Intervals and limits of replication; times in microseconds."""
+
+    compare_us: int = 1_000_000  # between two digest exchanges with a random peer
+    push_us: int = 50_000  # changes within this time are pushed together
+    fetch_us: int = 2_000_000  # timeout for one chunk
+    fanout: int = 3  # peers that a change is pushed to at each hop
+    # A member without peers for this time starts its own map from what it has. A shorter time could miss
+    # entries that peers still hold for it; a longer one delays its own entries.
     lone_us: int = 3_000_000
-    keep_us: int = 3_600_000_000  # for which the mark of a book that ended is remembered
-    give_bytes_s: int = 512 * 1024  # of entries, given to all that catch up together
-    trust_us: int = 30_000_000  # a list that no service confirmed for so long only fills in
+    keep_us: int = 3_600_000_000  # retention of owner tombstones
+    give_bytes_s: int = 512 * 1024  # of entries, for all peers that catch up together
+    trust_us: int = 30_000_000  # a list that no service confirmed for this long does not overrule the own one
 
 
 @dataclass(slots=True)
 class _Fetch:
-    """A book on its way here."""
+    """A map that is being pulled."""
 
-    giver: str
-    ends_us: int
-    seq: int  # the place up to which it is here
+    source: str
+    timeout_us: int
+    seq: int  # the position reached, with `key`
     key: str
-    whole: bool  # begun from nothing
-    differs: bool  # this member has another content of the same state
-    items: list[Item] = field(default_factory=list)
+    full: bool  # a full snapshot
+    differs: bool  # this member has another content of the same version
+    entries: list[Entry] = field(default_factory=list)
     bytes: int = 0
     tries: int = 0
 
 
 @dataclass(slots=True)
-class Figures:
-    """Counts since the start; bytes are of entries."""
+class Counters:
+    """Counts since the start; bytes are those of entries."""
 
     compared: int = 0
     taken: int = 0
@@ -364,16 +412,19 @@
     given_bytes: int = 0
     pushed: int = 0
     forks: int = 0
-    spoilt: int = 0  # books whose sum was wrong once they had come
+    spoilt: int = 0  # maps whose checksum was wrong once they had arrived
     refused: int = 0
-    resurrected: int = 0  # books of an older era that were not taken
+    resurrected: int = 0  # maps of an older GC epoch that were not accepted
 
 
-Merge = Callable[[bytes, bytes], bytes]
+MergeValues = Callable[[bytes, bytes], bytes]
 
 
 class Copies:
-    """One member's copies. `disk`: what an earlier life left, as `restore` reads it."""
+    """One member's replica store.
+
+    `disk`: the changes that an earlier incarnation stored, as `_restore` reads them.
+    """
 
     def __init__(
         self,
@@ -383,494 +434,543 @@
         now: int,
         disk: Iterable[Change] = (),
         list_name: str = "",
-        merge: Merge = max,
+        merge: MergeValues = max,
     ) -> None:
-        """`list_name`: of the list service that the members hear. `merge`: of two values of one server under
-        one state of that list, what holds: commutative, associative, idempotent."""
+        """Restore the store from disk.
+
+        `list_name`: the name of the list service that the members use. `merge`: joins two values of one
+        server under one version of that list; commutative, associative and idempotent.
+        """
         self.me = me
         self.settings = settings
         self.random = random
         self.now = now
-        self.began_us = now
-        self.books: dict[BookId, Book] = {}
-        self._by_owner: dict[str, set[BookId]] = {}
-        self.marks: OrderedDict[str, tuple[int, int]] = OrderedDict()  # owner -> epoch that ended, since when
+        self.created_us = now
+        self.books: dict[ReplicaId, Book] = {}
+        self._by_owner: dict[str, set[ReplicaId]] = {}
+        self.marks: OrderedDict[str, tuple[int, int]] = OrderedDict()  # owner -> epoch that ended, and when
         self.era = 0
         self.level = False
-        self.figures = Figures()
-        self.forks: OrderedDict[str, tuple[int, int]] = OrderedDict()  # owner -> epoch and sequence, told
+        self.counters = Counters()
+        self.forks: OrderedDict[str, tuple[int, int]] = OrderedDict()  # owner -> epoch and sequence reported
         self.mine: Book | None = None
-        self.waiting: dict[str, bytes | None] = {}  # what was put before this life's book began
-        self.live: tuple[int, int, int] | None = None  # epoch, sequence, when: of this member's own service
-        self.confirmed: int | None = None  # when some member's service confirmed the list's state held here
+        self.pending_puts: dict[str, bytes | None] = {}  # puts before this incarnation's map was started
+        # Epoch, sequence and time of the last update from the own list service.
+        self.own_list_state: tuple[int, int, int] | None = None
+        # When any member's service confirmed the version of the list held here.
+        self.list_confirmed_us: int | None = None
         self.peers: list[str] = []
-        self._birth = random.getrandbits(52)
-        self._begun_us = now - settings.compare_us
+        self._incarnation = random.getrandbits(52)
+        self._incarnation_started_us = now - settings.compare_us
         self._merge = merge
         self.list_owner = LIST + list_name
-        self._heard: dict[str, tuple[bytes, bytes]] = {}  # the list as this member's own service has it
-        self._heard_seq = 0  # of that; 0: nothing was heard
-        self._level_with: set[str] = set()
-        self._fetches: dict[BookId, _Fetch] = {}
-        self._wants: OrderedDict[tuple[str, BookId], Want] = OrderedDict()
-        self._allowance = float(settings.give_bytes_s)
+        self._own_list: dict[str, tuple[bytes, bytes]] = {}  # the list from the own list service
+        self._heard_seq = 0  # its version; 0: no list was received
+        self._in_sync_peers: set[str] = set()
+        self._fetches: dict[ReplicaId, _Fetch] = {}
+        self._queued_pulls: OrderedDict[tuple[str, ReplicaId], Pull] = OrderedDict()
+        self._send_budget = float(settings.give_bytes_s)
         self._refilled_us = now
-        self._fresh: dict[BookId, tuple[int, int]] = {}  # book -> sequence before, hops of the longest way
+        self._unpushed: dict[ReplicaId, tuple[int, int]] = {}  # replica -> sequence before, most hops so far
         self._push_us: int | None = None
         self._next_compare_us = now + random.randrange(1 + settings.compare_us // 4)
         self._digests = [0] * BUCKETS
         self._writes = 0
         self._written = 0
-        self._unwritten: dict[BookId, int] = {}  # book -> the write that has its state
-        self._holds: dict[
-            tuple[str, BookId], tuple[int, int]
-        ] = {}  # who waits for which state, and its write
-        self._keepers: dict[str, int] = {}  # host -> sequence of this member's book that it holds
-        self.hosts_wanted = 1
-        self._kept = 0
-        self._settled: tuple[BookId, int, int] | None = None
+        self._unwritten: dict[ReplicaId, int] = {}  # replica -> the write that has its version
+        self._pending_acks: dict[
+            tuple[str, ReplicaId], tuple[int, int]
+        ] = {}  # requester and replica -> sequence, and the write that has it
+        self._durable_seqs: dict[str, int] = {}  # host -> sequence of the own map that is durable there
+        self.required_hosts = 1
+        self._durable_seq = 0
+        self._merged_list: tuple[ReplicaId, int, int] | None = None
         self._out: list[Action] = []
         for change in disk:
             self._restore(change)
-        for book in self.books.values():
-            book.since = now - settings.keep_us  # nobody can tell for how long it has stood like this
-        self._drop_covered()
+        for replica in self.books.values():
+            replica.changed_us = now - settings.keep_us  # its real age is unknown: taken as the oldest
+        self._drop_superseded()
 
     # Disk
 
     def _restore(self, change: Change) -> None:
-        self.era = max(self.era, change.era)
-        row = change.row
-        if row is None:
+        self.era = max(self.era, change.gc_epoch)
+        version = change.version
+        if version is None:
             return
         if change.dropped:
-            if row.id in self.books:
-                self._forget(row.id)
-            if row.seq == TOP:
-                self.marks[row.owner] = (row.epoch, self.now)
+            if version.id in self.books:
+                self._remove(version.id)
+            if version.seq == ENDED_SEQ:
+                self.marks[version.owner] = (version.epoch, self.now)
             return
-        book = self.books.get(row.id)
-        if book is None or change.whole:
-            if book is not None:
-                self._forget(row.id)
-            if len(self.books) >= BOOKS_MOST:
+        replica = self.books.get(version.id)
+        if replica is None or change.full:
+            if replica is not None:
+                self._remove(version.id)
+            if len(self.books) >= MAX_REPLICAS:
                 return
-            book = Book(row.id, self.now)
+            replica = Book(version.id, self.now)
         else:
-            self._digest(book)
-        for item in change.items:
-            book.apply(item)
-        book.seq = max(book.seq, row.seq)
-        book.floor = max(book.floor, change.floor)
-        if row.id in self.books:
-            self._digest(book)
+            self._toggle_digest(replica)
+        for entry in change.entries:
+            replica.apply(entry)
+        replica.seq = max(replica.seq, version.seq)
+        replica.tombstone_floor = max(replica.tombstone_floor, change.tombstone_floor)
+        if version.id in self.books:
+            self._toggle_digest(replica)
         else:
-            self._add(book)
+            self._add(replica)
 
     def snapshot(self) -> Iterator[Change]:
-        """All of it, as it stands on disk."""
-        yield Change(None, era=self.era)
-        for book in self.books.values():
-            yield Change(book.row, tuple(book.after(0, "")), whole=True, floor=book.floor)
+        """Yield the full state as changes to be stored on disk."""
+        yield Change(None, gc_epoch=self.era)
+        for replica in self.books.values():
+            yield Change(
+                replica.version,
+                tuple(replica.after(0, "")),
+                full=True,
+                tombstone_floor=replica.tombstone_floor,
+            )
         for owner, (epoch, _) in self.marks.items():
-            yield Change(Row(owner, epoch, 0, TOP), (), dropped=True)
+            yield Change(Row(owner, epoch, 0, ENDED_SEQ), (), dropped=True)
 
     def _write(self, change: Change) -> int:
         self._writes += 1
-        if change.row is not None and not change.dropped:
-            self._unwritten[change.row.id] = self._writes
+        if change.version is not None and not change.dropped:
+            self._unwritten[change.version.id] = self._writes
         self._out.append(Write(self._writes, change))
         return self._writes
 
     def on_written(self, number: int, now: int) -> list[Action]:
-        """Everything up to this write is durable."""
+        """Note that all writes up to this number are durable."""
         self.now = max(now, self.now)
         self._written = max(number, self._written)
         for id in [id for id, at in self._unwritten.items() if at <= self._written]:
             del self._unwritten[id]
-        for (to, id), (seq, at) in list(self._holds.items()):
+        for (to, id), (seq, at) in list(self._pending_acks.items()):
             if at <= self._written:
-                del self._holds[to, id]
-                book = self.books.get(id)
-                if book is not None and book.seq >= seq:
-                    self._say(to, Held(book.row))
-        self._tell_kept()
+                del self._pending_acks[to, id]
+                replica = self.books.get(id)
+                if replica is not None and replica.seq >= seq:
+                    self._send(to, PersistAck(replica.version))
+        self._report_durable()
         return self._take()
 
-    # This member's own book
+    # This member's own map
 
     def put(self, key: str, value: bytes, now: int) -> int:
-        """Have this entry in this member's book. Returns the sequence that has it, 0 while the book has not
-        begun. Raises ValueError if it is too large or there is no room."""
-        if len(key) > KEY_MOST or len(value) > VALUE_MOST or key.startswith(COVERS):
-            raise ValueError(f"an entry of {len(key)} characters and {len(value)} bytes")
-        return self._own(key, value, now)
+        """Put an entry into this member's own map.
+
+        Returns the sequence of the entry, or 0 while the map has not been started. Raises ValueError if the
+        entry is too large or there is no room.
+        """
+        if len(key) > MAX_KEY_CHARS or len(value) > MAX_VALUE_BYTES or key.startswith(COVERS):
+            raise ValueError(f"entry too large or key reserved: {len(key)} characters, {len(value)} bytes")
+        return self._write_own(key, value, now)
 
     def delete(self, key: str, now: int) -> int:
-        """Have no such entry in it."""
-        return self._own(key, None, now)
+        """Delete an entry from this member's own map; return as `put` does."""
+        return self._write_own(key, None, now)
 
-    def _own(self, key: str, value: bytes | None, now: int) -> int:
+    def _write_own(self, key: str, value: bytes | None, now: int) -> int:
         self.now = max(now, self.now)
         if self.mine is None:
-            if len(self.waiting) >= ITEMS_MOST and key not in self.waiting:
-                raise ValueError("too many entries before the book has begun")
-            self.waiting[key] = value
+            if len(self.pending_puts) >= MAX_MESSAGE_ENTRIES and key not in self.pending_puts:
+                raise ValueError("too many entries before the own map was started")
+            self.pending_puts[key] = value
             return 0
         known = self.mine.entries.get(key)
         if (known is None and value is None) or (known is not None and known.value == value):
             return self.mine.seq
-        if known is None and len(self.mine.entries) >= ENTRIES_MOST:
-            raise ValueError("the book is full")
+        if known is None and len(self.mine.entries) >= MAX_ENTRIES:
+            raise ValueError("the own map has its maximum number of entries")
         seq = self.mine.seq + 1
-        self._commit(self.mine, [Item(key, seq, value, stamp=(self.mine.id.epoch, seq))], seq)
+        self._commit(self.mine, [Entry(key, seq, value, origin=(self.mine.id.epoch, seq))], seq)
         return seq
 
     def _begin(self) -> None:
-        """A new life's book, above all that is known of earlier ones, with what they had."""
-        lives = sorted((book for book in self.books.values() if book.id.owner == self.me), key=lambda b: b.id)
+        """Start a new incarnation's map, with an epoch above all known ones and with their entries."""
+        incarnations = sorted(
+            (replica for replica in self.books.values() if replica.id.owner == self.me), key=lambda b: b.id
+        )
         ended = self.marks.pop(self.me, (0, 0))[0]
-        epoch = 1 + max([ended, *(book.id.epoch for book in lives)])
+        epoch = 1 + max([ended, *(replica.id.epoch for replica in incarnations)])
         fork = self.mine is not None and any(
-            book.id.epoch == self.mine.id.epoch and book is not self.mine for book in lives
+            replica.id.epoch == self.mine.id.epoch and replica is not self.mine for replica in incarnations
         )
         if fork and self.mine is not None:
-            self._fork(self.me, self.mine.id.epoch, self.mine.seq)
-        latest: dict[str, Item] = {}
-        for book in lives:  # the latest written word holds, whichever life took it over
-            for item in (*book.entries.values(), *book.deleted.values()):
-                known = latest.get(item.key)
-                if not item.key.startswith(COVERS) and (known is None or _rank(item) > _rank(known)):
-                    latest[item.key] = item
-        self._begun_us = self.now
-        self._birth = self.random.getrandbits(52)
-        self.mine = Book(BookId(self.me, epoch, self._birth), self.now)
+            self._report_fork(self.me, self.mine.id.epoch, self.mine.seq)
+        latest: dict[str, Entry] = {}
+        for replica in incarnations:  # the value written last wins, whichever incarnation took it over
+            for entry in (*replica.entries.values(), *replica.deleted.values()):
+                known = latest.get(entry.key)
+                if not entry.key.startswith(COVERS) and (
+                    known is None or _write_order(entry) > _write_order(known)
+                ):
+                    latest[entry.key] = entry
+        self._incarnation_started_us = self.now
+        self._incarnation = self.random.getrandbits(52)
+        self.mine = Book(ReplicaId(self.me, epoch, self._incarnation), self.now)
         self._add(self.mine)
-        covers: dict[tuple[int, int], int] = {}
-        for book in lives:
-            for life, seq in (*book.covers.items(), ((book.id.epoch, book.id.birth), book.seq)):
-                covers[life] = max(seq, covers.get(life, 0))
-        items = [
-            Item(f"{COVERS}{life[0]}/{life[1]}", at, b"%d" % covers[life])
-            for at, life in enumerate(sorted(covers)[-LIVES_MOST:], 1)
+        superseded: dict[tuple[int, int], int] = {}
+        for replica in incarnations:
+            for incarnation, seq in (
+                *replica.superseded.items(),
+                ((replica.id.epoch, replica.id.incarnation), replica.seq),
+            ):
+                superseded[incarnation] = max(seq, superseded.get(incarnation, 0))
+        entries = [
+            Entry(f"{COVERS}{incarnation[0]}/{incarnation[1]}", at, b"%d" % superseded[incarnation])
+            for at, incarnation in enumerate(sorted(superseded)[-MAX_INCARNATIONS:], 1)
         ]
-        for item in sorted(latest.values(), key=_rank):
-            items.append(msgspec.structs.replace(item, seq=len(items) + 1))
-        for key, value in self.waiting.items():
-            seq = len(items) + 1
-            items.append(Item(key, seq, value, stamp=(epoch, seq)))
-        self.waiting.clear()
-        self._commit(self.mine, items, len(items))
-        self._drop_covered()
-
-    def _adopt(self, book: Book) -> None:
-        """A book of this member's that another life wrote has come whole."""
+        for entry in sorted(latest.values(), key=_write_order):
+            entries.append(msgspec.structs.replace(entry, seq=len(entries) + 1))
+        for key, value in self.pending_puts.items():
+            seq = len(entries) + 1
+            entries.append(Entry(key, seq, value, origin=(epoch, seq)))
+        self.pending_puts.clear()
+        self._commit(self.mine, entries, len(entries))
+        self._drop_superseded()
+
+    def _take_over(self, replica: Book) -> None:
+        """Take over the entries of another incarnation of this member, whose map has arrived in full."""
         if self.mine is None:
             return
-        if book.id.epoch >= self.mine.id.epoch:
-            # Risk: two that go by one name and live would begin anew with each other's every word, until the
-            # view has one of them stand back. What waits is taken up with the next comparison.
-            if self.now - self._begun_us >= self.settings.compare_us:
+        if replica.id.epoch >= self.mine.id.epoch:
+            # Two live members with one name would otherwise start a new incarnation at each other's every
+            # message, until the view makes one of them withdraw. The rest is taken over with the next
+            # comparison.
+            if self.now - self._incarnation_started_us >= self.settings.compare_us:
                 self._begin()
             return
-        items: list[Item] = []
+        entries: list[Entry] = []
         seq = self.mine.seq
-        for item in (*book.entries.values(), *book.deleted.values()):
-            known = self.mine.entries.get(item.key) or self.mine.deleted.get(item.key)
-            if item.key.startswith(COVERS) or (known is not None and _rank(known) >= _rank(item)):
+        for entry in (*replica.entries.values(), *replica.deleted.values()):
+            known = self.mine.entries.get(entry.key) or self.mine.deleted.get(entry.key)
+            if entry.key.startswith(COVERS) or (
+                known is not None and _write_order(known) >= _write_order(entry)
+            ):
                 continue
             seq += 1
-            items.append(msgspec.structs.replace(item, seq=seq))
+            entries.append(msgspec.structs.replace(entry, seq=seq))
         seq += 1
-        items.append(Item(f"{COVERS}{book.id.epoch}/{book.id.birth}", seq, b"%d" % book.seq))
-        self._commit(self.mine, items, seq)
-        self._drop_covered()
+        entries.append(
+            Entry(f"{COVERS}{replica.id.epoch}/{replica.id.incarnation}", seq, b"%d" % replica.seq)
+        )
+        self._commit(self.mine, entries, seq)
+        self._drop_superseded()
+
+    def is_superseded(self, version: Row) -> bool:
+        """Whether a later incarnation of the owner has taken this version over.
 
-    def covered(self, row: Row) -> bool:
-        """Whether a later life of its owner has taken this state over; of a list's, its next beginning."""
-        of_list = row.owner.startswith(LIST)
+        For a list service any map of a later epoch supersedes the earlier ones.
+        """
+        of_list = version.owner.startswith(LIST)
         return any(
-            book.id.epoch > row.epoch and (of_list or book.covers.get((row.epoch, row.birth), -1) >= row.seq)
-            for book in self._lives(row.owner)
+            replica.id.epoch > version.epoch
+            and (of_list or replica.superseded.get((version.epoch, version.incarnation), -1) >= version.seq)
+            for replica in self._incarnations(version.owner)
         )
 
-    def _lives(self, owner: str) -> list[Book]:
+    def _incarnations(self, owner: str) -> list[Book]:
         return [self.books[id] for id in self._by_owner.get(owner, ())]
 
-    def _drop_covered(self) -> None:
-        for book in list(self.books.values()):
-            if book is not self.mine and len(self._by_owner[book.id.owner]) > 1 and self.covered(book.row):
-                self._drop(book)
-
-    def _add(self, book: Book) -> None:
-        self.books[book.id] = book
-        self._by_owner.setdefault(book.id.owner, set()).add(book.id)
-        self._digest(book)
-
-    def _drop(self, book: Book, mark: bool = False) -> None:
-        self._forget(book.id)
-        seq = TOP if mark else book.seq
-        self._write(Change(Row(*book.id, seq), dropped=True))
-        self._out.append(Changed(book.id.owner, tuple(book.entries)))
-
-    def _forget(self, id: BookId) -> None:
-        book = self.books.pop(id)
-        self._digest(book)
-        lives = self._by_owner[id.owner]
-        lives.discard(id)
-        if not lives:
+    def _drop_superseded(self) -> None:
+        for replica in list(self.books.values()):
+            if (
+                replica is not self.mine
+                and len(self._by_owner[replica.id.owner]) > 1
+                and self.is_superseded(replica.version)
+            ):
+                self._drop(replica)
+
+    def _add(self, replica: Book) -> None:
+        self.books[replica.id] = replica
+        self._by_owner.setdefault(replica.id.owner, set()).add(replica.id)
+        self._toggle_digest(replica)
+
+    def _drop(self, replica: Book, leave_tombstone: bool = False) -> None:
+        self._remove(replica.id)
+        seq = ENDED_SEQ if leave_tombstone else replica.seq
+        self._write(Change(Row(*replica.id, seq), dropped=True))
+        self._out.append(Changed(replica.id.owner, tuple(replica.entries)))
+
+    def _remove(self, id: ReplicaId) -> None:
+        replica = self.books.pop(id)
+        self._toggle_digest(replica)
+        incarnations = self._by_owner[id.owner]
+        incarnations.discard(id)
+        if not incarnations:
             del self._by_owner[id.owner]
-        for table in (self._fresh, self._fetches, self._unwritten):
+        for table in (self._unpushed, self._fetches, self._unwritten):
             table.pop(id, None)
 
-    def _digest(self, book: Book) -> None:
-        """Take its row into the digests, or out of them."""
-        self._digests[bucket(book.id.owner)] ^= _row_mark(book.row)
-
-    def _commit(self, book: Book, items: Iterable[Item], seq: int) -> None:
-        """The book has these newer entries, and this state."""
-        self._digest(book)
-        before = book.seq
-        taken = tuple(item for item in items if book.apply(item))
-        book.seq = max(book.seq, seq)
-        book.since = self.now
-        self._digest(book)
-        self._write(Change(book.row, taken))
-        self._out.append(Changed(book.id.owner, tuple(item.key for item in taken)))
-        self._pass_on(book, before, 0)
-
-    def _pass_on(self, book: Book, before: int, hops: int) -> None:
-        """Have what came behind this sequence told to a few peers."""
-        first, known = self._fresh.get(book.id, (before, 0))
-        self._fresh[book.id] = (first, max(known, hops))
+    def _toggle_digest(self, replica: Book) -> None:
+        """Add the version of a replica to the digests, or remove it (XOR)."""
+        self._digests[bucket_of(replica.id.owner)] ^= _version_checksum(replica.version)
+
+    def _commit(self, replica: Book, entries: Iterable[Entry], seq: int) -> None:
+        """Apply newer entries to a replica and set its sequence."""
+        self._toggle_digest(replica)
+        before = replica.seq
+        taken = tuple(entry for entry in entries if replica.apply(entry))
+        replica.seq = max(replica.seq, seq)
+        replica.changed_us = self.now
+        self._toggle_digest(replica)
+        self._write(Change(replica.version, taken))
+        self._out.append(Changed(replica.id.owner, tuple(entry.key for entry in taken)))
+        self._schedule_push(replica, before, 0)
+
+    def _schedule_push(self, replica: Book, before: int, hops: int) -> None:
+        """Schedule a push to a few peers of the entries after this sequence."""
+        first, known = self._unpushed.get(replica.id, (before, 0))
+        self._unpushed[replica.id] = (first, max(known, hops))
         if self._push_us is None:
             self._push_us = self.now + self.settings.push_us
 
-    def _fork(self, owner: str, epoch: int, seq: int) -> None:
-        self.figures.forks += 1
+    def _report_fork(self, owner: str, epoch: int, seq: int) -> None:
+        self.counters.forks += 1
         self.forks[owner] = (epoch, seq)
         self.forks.move_to_end(owner)
-        if len(self.forks) > FETCHES_MOST * 16:
+        if len(self.forks) > MAX_FETCHES * 16:
             self.forks.popitem(last=False)
         self._out.append(Forked(owner, epoch, seq))
 
     # Time
 
     def next_us(self) -> int:
-        """When to call `on_time` next."""
+        """Return when `on_time` is to be called next."""
         due = [self._next_compare_us]
         if self._push_us is not None:
             due.append(self._push_us)
         if self._fetches:
-            due.append(min(item.ends_us for item in self._fetches.values()))
-        if self._wants:
-            due.append(self._affordable_us())
+            due.append(min(fetch.timeout_us for fetch in self._fetches.values()))
+        if self._queued_pulls:
+            due.append(self._budget_available_us())
         if self.mine is None:
-            due.append(self._begins_us())
+            due.append(self._start_deadline_us())
         return min(due)
 
-    def _begins_us(self) -> int:
-        """When this life's book begins in any case. Risk: peers that never answer would keep its words back
-        for ever."""
-        return self.began_us + self.settings.lone_us * (4 if self.peers else 1)
+    def _start_deadline_us(self) -> int:
+        """Return when this incarnation's map is started at the latest.
+
+        Without this limit, peers that never answer would hold this member's entries back for ever.
+        """
+        return self.created_us + self.settings.lone_us * (4 if self.peers else 1)
 
     def on_time(self, now: int, peers: Iterable[str]) -> list[Action]:
-        """Do what is due. `peers`: the living members as the view has them, with or without this one."""
-        late = now - self.next_us()
+        """Do what is due.
+
+        `peers`: the living members according to the view, with or without this one.
+        """
+        lateness_us = now - self.next_us()
         self.now = max(now, self.now)
         self.peers = sorted(name for name in peers if name != self.me)
-        if late > 2 * self.settings.compare_us and self.level:
-            self.level = False  # it was stopped: what went on meanwhile it has yet to hear
-            self._level_with.clear()
-        if self.mine is None and self._begins_us() <= self.now:
+        if lateness_us > 2 * self.settings.compare_us and self.level:
+            self.level = False  # the process was suspended: it may have missed changes
+            self._in_sync_peers.clear()
+        if self.mine is None and self._start_deadline_us() <= self.now:
             self._begin()
         for id, fetch in list(self._fetches.items()):
-            if fetch.ends_us <= self.now:
-                self._overdue(id, fetch)
+            if fetch.timeout_us <= self.now:
+                self._retry_fetch(id, fetch)
         if self._push_us is not None and self._push_us <= self.now:
-            self._push()
-        self._serve()
+            self._push_changes()
+        self._serve_pulls()
         if self._next_compare_us <= self.now:
-            spread = 0.5 + self.random.random()
-            self._next_compare_us = self.now + int(self.settings.compare_us * spread)
+            jitter = 0.5 + self.random.random()
+            self._next_compare_us = self.now + int(self.settings.compare_us * jitter)
             if not self.level:
-                self._next_compare_us = self.now + int(self.settings.compare_us * spread / 4)
-            for book in self._lives(self.me) if self.mine is not None else ():
-                if book is not self.mine and book.id in self.books:
-                    self._adopt(book)
-            self._compare()
-            self._ask_keepers()
-            self._sweep()
+                self._next_compare_us = self.now + int(self.settings.compare_us * jitter / 4)
+            for replica in self._incarnations(self.me) if self.mine is not None else ():
+                if replica is not self.mine and replica.id in self.books:
+                    self._take_over(replica)
+            self._send_digests()
+            self._request_persistence()
+            self._purge_tombstones()
         return self._take()
 
     def _take(self) -> list[Action]:
         out, self._out = self._out, []
         return out
 
-    def _say(self, to: str, word: Word) -> None:
-        self._out.append(Say(to, word))
+    def _send(self, to: str, message: Word) -> None:
+        self._out.append(Say(to, message))
 
-    def _compare(self) -> None:
-        fresh = [name for name in self.peers if name not in self._level_with] if not self.level else []
-        among = fresh or self.peers
-        if among:
-            self._say(among[self.random.randrange(len(among))], self._beat())
+    def _send_digests(self) -> None:
+        unsynced = [name for name in self.peers if name not in self._in_sync_peers] if not self.level else []
+        candidates = unsynced or self.peers
+        if candidates:
+            self._send(candidates[self.random.randrange(len(candidates))], self._beat())
 
-    def _beat(self) -> Beat:
-        live = None
-        if self.live is not None:
-            epoch, seq, at = self.live
-            live = (epoch, seq, max(0, self.now - at) // 1_000)
-        return Beat(tuple(self._digests), self.era, self.level, live)
+    def _beat(self) -> Digests:
+        list_state = None
+        if self.own_list_state is not None:
+            epoch, seq, at = self.own_list_state
+            list_state = (epoch, seq, max(0, self.now - at) // 1_000)
+        return Digests(tuple(self._digests), self.era, self.level, list_state)
 
-    def _sweep(self) -> None:
+    def _purge_tombstones(self) -> None:
         limit = self.now - self.settings.keep_us
-        for owner in [owner for owner, (_, since) in self.marks.items() if since <= limit]:
+        for owner in [owner for owner, (_, ended_us) in self.marks.items() if ended_us <= limit]:
             del self.marks[owner]
-            self._raise_era(self.era + 1)
+            self._raise_gc_epoch(self.era + 1)
 
     def retire(self, owner: str, now: int) -> list[Action]:
-        """This member is gone for good: its books end, and leave a mark."""
+        """Drop the maps of a member that has left for good, and leave a tombstone."""
         self.now = max(now, self.now)
         if owner != self.me:
-            self._retire(owner, max((book.id.epoch for book in self._lives(owner)), default=-1))
+            self._retire(owner, max((replica.id.epoch for replica in self._incarnations(owner)), default=-1))
         return self._take()
 
     def _retire(self, owner: str, epoch: int) -> None:
-        books = [book for book in self._lives(owner) if book.id.epoch <= epoch]
-        if not books:
+        replicas = [replica for replica in self._incarnations(owner) if replica.id.epoch <= epoch]
+        if not replicas:
             return
         self.marks[owner] = (epoch, self.now)
-        for book in books:
-            self._drop(book, mark=True)
-        while len(self.marks) > MARKS_MOST:
+        for replica in replicas:
+            self._drop(replica, leave_tombstone=True)
+        while len(self.marks) > MAX_OWNER_TOMBSTONES:
             self.marks.popitem(last=False)
-            self._raise_era(self.era + 1)
+            self._raise_gc_epoch(self.era + 1)
 
-    def _raise_era(self, era: int) -> None:
-        if era > self.era:
-            self.era = era
-            self._write(Change(None, era=era))
+    def _raise_gc_epoch(self, gc_epoch: int) -> None:
+        if gc_epoch > self.era:
+            self.era = gc_epoch
+            self._write(Change(None, gc_epoch=gc_epoch))
 
-    # Words
+    # Messages
 
-    def on_word(self, sender: str, word: Word, now: int) -> list[Action]:
-        """What a member says."""
+    def on_word(self, sender: str, message: Word, now: int) -> list[Action]:
+        """Handle a message from a member."""
         self.now = max(now, self.now)
-        match word:
-            case Beat():
-                self._on_beat(sender, word)
-            case Same(era):
-                self._on_era(sender, era, None)
-                self._levelled_with(sender)
-            case Rows():
-                self._on_rows(sender, word)
-            case Want():
-                self._on_want(sender, word)
-            case Give():
-                self._on_give(sender, word)
-            case Hold(row):
-                self._on_hold(sender, row)
-            case Held(row):
-                self._on_held(sender, row)
+        match message:
+            case Digests():
+                self._on_digests(sender, message)
+            case InSync(gc_epoch):
+                self._on_gc_epoch(sender, gc_epoch, None)
+                self._on_in_sync(sender)
+            case Versions():
+                self._on_versions(sender, message)
+            case Pull():
+                self._on_pull(sender, message)
+            case Delta():
+                self._on_delta(sender, message)
+            case PersistRequest(version):
+                self._on_hold(sender, version)
+            case PersistAck(version):
+                self._on_persist_ack(sender, version)
         return self._take()
 
-    def _on_beat(self, sender: str, beat: Beat) -> None:
-        self._on_live(beat.live)
-        differ = tuple(at for at in range(BUCKETS) if beat.digests[at] != self._digests[at])
-        if differ and beat.era != self.era:
-            differ = tuple(range(BUCKETS))  # who is behind has to look at all of it
-        if not differ:
-            self._on_era(sender, beat.era, None)
-            self._levelled_with(sender)
-            if not beat.level:
-                self._say(sender, Same(self.era))
+    def _on_digests(self, sender: str, message: Digests) -> None:
+        self._on_list_state(message.list_state)
+        differing = tuple(at for at in range(BUCKETS) if message.digests[at] != self._digests[at])
+        if differing and message.gc_epoch != self.era:
+            differing = tuple(range(BUCKETS))  # a member that is behind has to compare all buckets
+        if not differing:
+            self._on_gc_epoch(sender, message.gc_epoch, None)
+            self._on_in_sync(sender)
+            if not message.caught_up:
+                self._send(sender, InSync(self.era))
             return
-        self._say(sender, self._rows(differ, asks=True))
+        self._send(sender, self._version_message(differing, wants_reply=True))
 
-    def _rows(self, buckets: tuple[int, ...], asks: bool) -> Rows:
+    def _version_message(self, buckets: tuple[int, ...], wants_reply: bool) -> Versions:
         wanted = set(buckets)
-        rows = [book.row for book in self.books.values() if bucket(book.id.owner) in wanted]
-        rows += [
-            Row(owner, epoch, 0, TOP) for owner, (epoch, _) in self.marks.items() if bucket(owner) in wanted
+        versions = [
+            replica.version for replica in self.books.values() if bucket_of(replica.id.owner) in wanted
         ]
-        whole = len(rows) <= ROWS_MOST
-        if not whole:
-            rows = self.random.sample(rows, ROWS_MOST)
-        return Rows(buckets, tuple(rows), self.era, asks, whole)
-
-    def _on_rows(self, sender: str, word: Rows) -> None:
-        self.figures.compared += 1
-        theirs = {row.id for row in word.rows}
-        if word.whole:
-            self._on_era(sender, word.era, (theirs, set(word.buckets)))
+        versions += [
+            Row(owner, epoch, 0, ENDED_SEQ)
+            for owner, (epoch, _) in self.marks.items()
+            if bucket_of(owner) in wanted
+        ]
+        complete = len(versions) <= MAX_VERSIONS
+        if not complete:
+            versions = self.random.sample(versions, MAX_VERSIONS)
+        return Versions(buckets, tuple(versions), self.era, wants_reply, complete)
+
+    def _on_versions(self, sender: str, message: Versions) -> None:
+        self.counters.compared += 1
+        remote_ids = {version.id for version in message.versions}
+        if message.complete:
+            self._on_gc_epoch(sender, message.gc_epoch, (remote_ids, set(message.buckets)))
         behind = ahead = False
-        for row in word.rows:
-            if row.seq == TOP:
-                self._on_mark(row)
+        for version in message.versions:
+            if version.seq == ENDED_SEQ:
+                self._on_tombstone(version)
                 continue
-            if self._ended(row) or self.covered(row):
+            if self._is_ended(version) or self.is_superseded(version):
                 ahead = True
                 continue
-            if word.era < self.era and row.id not in self.books and self._stranger(row.owner, sender):
-                # Risk: a book whose end nobody remembers any more would come back with one that was away.
-                self.figures.resurrected += 1
+            if (
+                message.gc_epoch < self.era
+                and version.id not in self.books
+                and self._is_unknown_member(version.owner, sender)
+            ):
+                # Its tombstone may have expired: a member that was away must not bring the map back.
+                self.counters.resurrected += 1
                 continue
-            book = self.books.get(row.id)
-            if book is None or book.seq < row.seq:
+            replica = self.books.get(version.id)
+            if replica is None or replica.seq < version.seq:
                 behind = True
-                self._want(sender, row)
-            elif book.seq == row.seq and book.sum != row.sum:
-                self._differ(sender, book, row)
+                self._start_fetch(sender, version)
+            elif replica.seq == version.seq and replica.checksum != version.checksum:
+                self._on_conflict(sender, replica, version)
                 behind = True
-            elif book.seq > row.seq:
+            elif replica.seq > version.seq:
                 ahead = True
         if not ahead:
-            wanted = set(word.buckets)
-            ahead = any(bucket(id.owner) in wanted and id not in theirs for id in self.books)
-        if ahead and word.asks:
-            self._say(sender, self._rows(word.buckets, asks=False))
-        if not behind and word.whole:
-            self._levelled_with(sender)
-
-    def _stranger(self, owner: str, sender: str) -> bool:
+            wanted = set(message.buckets)
+            ahead = any(bucket_of(id.owner) in wanted and id not in remote_ids for id in self.books)
+        if ahead and message.wants_reply:
+            self._send(sender, self._version_message(message.buckets, wants_reply=False))
+        if not behind and message.complete:
+            self._on_in_sync(sender)
+
+    def _is_unknown_member(self, owner: str, sender: str) -> bool:
         return owner not in (self.me, sender) and owner not in self.peers and not owner.startswith(LIST)
 
-    def _ended(self, row: Row) -> bool:
-        return row.owner in self.marks and row.epoch <= self.marks[row.owner][0]
+    def _is_ended(self, version: Row) -> bool:
+        return version.owner in self.marks and version.epoch <= self.marks[version.owner][0]
 
-    def _on_mark(self, row: Row) -> None:
-        if row.owner == self.me:
-            if self.mine is not None and row.epoch >= self.mine.id.epoch:
-                self.marks[self.me] = (row.epoch, self.now)
-                self._begin()  # it was given up, and is back
+    def _on_tombstone(self, version: Row) -> None:
+        if version.owner == self.me:
+            if self.mine is not None and version.epoch >= self.mine.id.epoch:
+                self.marks[self.me] = (version.epoch, self.now)
+                self._begin()  # it was retired, and is back
             return
-        self._retire(row.owner, row.epoch)
+        self._retire(version.owner, version.epoch)
+
+    def _on_gc_epoch(self, sender: str, gc_epoch: int, shown: tuple[set[ReplicaId], set[int]] | None) -> None:
+        """Handle a peer's GC epoch.
 
-    def _on_era(self, sender: str, era: int, shown: tuple[set[BookId], set[int]] | None) -> None:
-        """Marks were forgotten that this member may never have heard of: what stood unchanged here for as
-        long and is not there has ended."""
-        if era <= self.era:
+        If it is higher, tombstones have expired that this member may never have received. Maps that did not
+        change here for as long and that the peer does not have are then taken as ended.
+        """
+        if gc_epoch <= self.era:
             return
         if shown is None:
-            self._raise_era(era)
+            self._raise_gc_epoch(gc_epoch)
             return
-        theirs, buckets = shown
+        remote_ids, buckets = shown
         limit = self.now - self.settings.keep_us
-        for book in list(self.books.values()):
-            id = book.id
-            old = book.since <= limit and id not in theirs and bucket(id.owner) in buckets
-            if old and self._stranger(id.owner, sender):
-                self.figures.resurrected += 1
-                self._drop(book)
+        for replica in list(self.books.values()):
+            id = replica.id
+            old = replica.changed_us <= limit and id not in remote_ids and bucket_of(id.owner) in buckets
+            if old and self._is_unknown_member(id.owner, sender):
+                self.counters.resurrected += 1
+                self._drop(replica)
         if len(buckets) == BUCKETS:
-            self._raise_era(era)
+            self._raise_gc_epoch(gc_epoch)
 
-    def _levelled_with(self, sender: str) -> None:
+    def _on_in_sync(self, sender: str) -> None:
         if self.level or sender not in self.peers:
             return
-        self._level_with.add(sender)
-        if len(self._level_with & set(self.peers)) >= min(FEW, len(self.peers)):
+        self._in_sync_peers.add(sender)
+        if len(self._in_sync_peers & set(self.peers)) >= min(CAUGHT_UP_PEERS, len(self.peers)):
             self.level = True
             if self.mine is None:
                 self._begin()
@@ -878,417 +978,486 @@
 
     # Catching up
 
-    def _want(self, giver: str, row: Row, whole: bool = False, differs: bool = False) -> None:
-        """Take this book from there, from where this member stands in it."""
-        id = row.id
+    def _start_fetch(self, source: str, version: Row, full: bool = False, differs: bool = False) -> None:
+        """Start to pull a map from a peer, from the position that this member has reached."""
+        id = version.id
         fetch = self._fetches.get(id)
-        if fetch is not None and fetch.giver:
+        if fetch is not None and fetch.source:
             return
         if fetch is None:
-            if len(self._fetches) >= FETCHES_MOST:
-                return  # with the next comparison
-            book = self.books.get(id)
-            if book is None and len(self.books) >= BOOKS_MOST:
-                self.figures.refused += 1
+            if len(self._fetches) >= MAX_FETCHES:
+                return  # retried with the next comparison
+            replica = self.books.get(id)
+            if replica is None and len(self.books) >= MAX_REPLICAS:
+                self.counters.refused += 1
                 return
-            whole = whole or book is None
-            seq = 0 if whole or book is None else book.seq
-            key = "" if whole else LAST
-            fetch = self._fetches[id] = _Fetch(giver, 0, seq, key, whole, differs)
-        fetch.giver = giver
-        self._ask(id, fetch)
-
-    def _ask(self, id: BookId, fetch: _Fetch) -> None:
-        fetch.ends_us = self.now + self.settings.fetch_us
-        self._say(fetch.giver, Want(*id, fetch.seq, fetch.key, fetch.whole))
-
-    def _overdue(self, id: BookId, fetch: _Fetch) -> None:
-        """A giver went away in the middle: go on by another one, from where it stopped."""
+            full = full or replica is None
+            seq = 0 if full or replica is None else replica.seq
+            key = "" if full else LAST_KEY
+            fetch = self._fetches[id] = _Fetch(source, 0, seq, key, full, differs)
+        fetch.source = source
+        self._send_pull(id, fetch)
+
+    def _send_pull(self, id: ReplicaId, fetch: _Fetch) -> None:
+        fetch.timeout_us = self.now + self.settings.fetch_us
+        self._send(fetch.source, Pull(*id, fetch.seq, fetch.key, fetch.full))
+
+    def _retry_fetch(self, id: ReplicaId, fetch: _Fetch) -> None:
+        """Go on with another peer, from the same position, after a fetch has timed out."""
         fetch.tries += 1
-        place = Row(*id, fetch.seq)
-        if fetch.tries > FETCH_TRIES or not self.peers or self._ended(place) or self.covered(place):
+        position = Row(*id, fetch.seq)
+        if (
+            fetch.tries > FETCH_TRIES
+            or not self.peers
+            or self._is_ended(position)
+            or self.is_superseded(position)
+        ):
             del self._fetches[id]
             return
-        fetch.giver = self.peers[self.random.randrange(len(self.peers))]
-        self._ask(id, fetch)
-
-    def _on_want(self, sender: str, want: Want) -> None:
-        if want.id not in self.books:
-            self._say(
-                sender, self._rows((bucket(want.owner),), asks=False)
-            )  # it has ended, or never was here
+        fetch.source = self.peers[self.random.randrange(len(self.peers))]
+        self._send_pull(id, fetch)
+
+    def _on_pull(self, sender: str, pull: Pull) -> None:
+        if pull.id not in self.books:
+            self._send(
+                sender, self._version_message((bucket_of(pull.owner),), wants_reply=False)
+            )  # it has ended, or was never here
             return
-        if len(self._wants) >= WANTS_MOST and (sender, want.id) not in self._wants:
-            self.figures.refused += 1
+        if len(self._queued_pulls) >= MAX_QUEUED_PULLS and (sender, pull.id) not in self._queued_pulls:
+            self.counters.refused += 1
             return
-        self._wants[sender, want.id] = want
-        self._serve()
+        self._queued_pulls[sender, pull.id] = pull
+        self._serve_pulls()
 
-    def _affordable_us(self) -> int:
-        """When a byte may be given again."""
-        lacking = max(0.0, 1.0 - self._allowance)
-        return self._refilled_us + 1 + int(lacking * 1e6 / self.settings.give_bytes_s)
+    def _budget_available_us(self) -> int:
+        """Return when the send budget allows a byte again."""
+        missing = max(0.0, 1.0 - self._send_budget)
+        return self._refilled_us + 1 + int(missing * 1e6 / self.settings.give_bytes_s)
 
-    def _serve(self) -> None:
-        """Give what was asked for, as far as the bytes of this second go."""
+    def _serve_pulls(self) -> None:
+        """Answer the queued pulls as far as the send budget goes."""
         rate = float(self.settings.give_bytes_s)
-        self._allowance = min(rate, self._allowance + (self.now - self._refilled_us) / 1e6 * rate)
+        self._send_budget = min(rate, self._send_budget + (self.now - self._refilled_us) / 1e6 * rate)
         self._refilled_us = self.now
-        while self._wants and self._allowance >= 1.0:
-            (sender, id), want = self._wants.popitem(last=False)
-            book = self.books.get(id)
-            if book is not None:
-                self._allowance -= self._give(sender, book, want)
-
-    def _give(self, to: str, book: Book, want: Want) -> int:
-        """The next part of it. Returns its size in bytes."""
-        place, whole = (want.seq, want.key), want.whole
-        if want.seq < book.floor and place != (0, ""):
-            place, whole = (0, ""), True  # deletions behind that place may be forgotten here
-        items, used, last = self._part(book, place)
-        upto = (book.seq, LAST) if last else (items[-1].seq, items[-1].key)
-        self.figures.given_bytes += used
-        self._say(to, Give(book.row, *place, *upto, items, book.floor, last, whole))
+        while self._queued_pulls and self._send_budget >= 1.0:
+            (sender, id), pull = self._queued_pulls.popitem(last=False)
+            replica = self.books.get(id)
+            if replica is not None:
+                self._send_budget -= self._send_delta(sender, replica, pull)
+
+    def _send_delta(self, to: str, replica: Book, pull: Pull) -> int:
+        """Send the next chunk that a pull asks for; return its size in bytes."""
+        position, full = (pull.seq, pull.key), pull.full
+        if pull.seq < replica.tombstone_floor and position != (0, ""):
+            position, full = (0, ""), True  # tombstones after that position may have expired here
+        entries, used, last = self._next_chunk(replica, position)
+        up_to = (replica.seq, LAST_KEY) if last else (entries[-1].seq, entries[-1].key)
+        self.counters.given_bytes += used
+        self._send(
+            to, Delta(replica.version, *position, *up_to, entries, replica.tombstone_floor, last, full)
+        )
         return used + ENTRY_OVERHEAD
 
-    def _part(self, book: Book, place: tuple[int, str]) -> tuple[tuple[Item, ...], int, bool]:
-        """What comes behind the place, as much as goes into one word; its bytes; whether that is all."""
-        items: list[Item] = []
+    def _next_chunk(self, replica: Book, position: tuple[int, str]) -> tuple[tuple[Entry, ...], int, bool]:
+        """Return the entries after a position that fit one message, their bytes, and if that is all."""
+        entries: list[Entry] = []
         used = 0
-        for item in book.after(*place):
-            if items and (used + size(item) > CHUNK or len(items) >= ITEMS_MOST):
-                return tuple(items), used, False
-            items.append(item)
-            used += size(item)
-        return tuple(items), used, True
-
-    def _push(self) -> None:
-        """Tell a few peers what is new; they tell a few more."""
-        fresh, self._fresh, self._push_us = self._fresh, {}, None
-        most = 2 + len(self.peers).bit_length()
-        for id, (seq, hops) in fresh.items():
-            book = self.books.get(id)
-            if book is None or hops >= most or not self.peers:
+        for entry in replica.after(*position):
+            if entries and (used + size(entry) > MAX_CHUNK_BYTES or len(entries) >= MAX_MESSAGE_ENTRIES):
+                return tuple(entries), used, False
+            entries.append(entry)
+            used += size(entry)
+        return tuple(entries), used, True
+
+    def _push_changes(self) -> None:
+        """Push new entries to a few peers, which forward them to a few more."""
+        unpushed, self._unpushed, self._push_us = self._unpushed, {}, None
+        max_hops = 2 + len(self.peers).bit_length()
+        for id, (seq, hops) in unpushed.items():
+            replica = self.books.get(id)
+            if replica is None or hops >= max_hops or not self.peers:
                 continue
-            if seq < book.floor and seq:
-                continue  # a comparison brings it
-            items, _, last = self._part(book, (seq, LAST))
+            if seq < replica.tombstone_floor and seq:
+                continue  # left to the next comparison
+            entries, _, last = self._next_chunk(replica, (seq, LAST_KEY))
             if not last:
                 continue
-            give = Give(book.row, seq, LAST, book.seq, LAST, items, book.floor, True, False, hops)
+            delta = Delta(
+                replica.version,
+                seq,
+                LAST_KEY,
+                replica.seq,
+                LAST_KEY,
+                entries,
+                replica.tombstone_floor,
+                True,
+                False,
+                hops,
+            )
             count = min(len(self.peers), self.settings.fanout)
             for name in self.random.sample(self.peers, count):
-                self.figures.pushed += 1
-                self._say(name, give)
-
-    def _on_give(self, sender: str, give: Give) -> None:
-        row = give.goal
-        id = row.id
-        if self._ended(row) or self.covered(row) or (row.owner == self.me and self._is_mine(id)):
+                self.counters.pushed += 1
+                self._send(name, delta)
+
+    def _on_delta(self, sender: str, delta: Delta) -> None:
+        version = delta.version
+        id = version.id
+        if (
+            self._is_ended(version)
+            or self.is_superseded(version)
+            or (version.owner == self.me and self._is_own(id))
+        ):
             self._fetches.pop(id, None)
             return
         fetch = self._fetches.get(id)
-        if fetch is not None and self._gather(id, fetch, sender, give):
+        if fetch is not None and self._append_chunk(id, fetch, sender, delta):
             return
-        if give.last and not give.whole:
-            self._pushed(sender, give)
+        if delta.last and not delta.full:
+            self._on_push(sender, delta)
 
-    def _is_mine(self, id: BookId) -> bool:
+    def _is_own(self, id: ReplicaId) -> bool:
         return self.mine is not None and self.mine.id == id
 
-    def _gather(self, id: BookId, fetch: _Fetch, sender: str, give: Give) -> bool:
-        """Put a part to the others. False if it does not go with them."""
-        if give.whole and not fetch.whole:  # the giver has forgotten what this member would need to know
-            fetch.whole, fetch.seq, fetch.key = True, 0, ""
-            fetch.items.clear()
+    def _append_chunk(self, id: ReplicaId, fetch: _Fetch, sender: str, delta: Delta) -> bool:
+        """Append a chunk to a fetch; return False if it does not continue it."""
+        if delta.full and not fetch.full:  # the sender no longer has the tombstones for a delta
+            fetch.full, fetch.seq, fetch.key = True, 0, ""
+            fetch.entries.clear()
             fetch.bytes = 0
-        if (give.after, give.after_key) != (fetch.seq, fetch.key) or give.whole != fetch.whole:
+        if (delta.after, delta.after_key) != (fetch.seq, fetch.key) or delta.full != fetch.full:
             return False
-        fetch.items.extend(give.items)
-        fetch.bytes += sum(map(size, give.items))
-        fetch.seq, fetch.key, fetch.tries = give.upto, give.upto_key, 0
-        if len(fetch.items) > 2 * ENTRIES_MOST or fetch.bytes > BOOK_BYTES_MOST:
-            self.figures.refused += 1
+        fetch.entries.extend(delta.entries)
+        fetch.bytes += sum(map(size, delta.entries))
+        fetch.seq, fetch.key, fetch.tries = delta.up_to, delta.up_to_key, 0
+        if len(fetch.entries) > 2 * MAX_ENTRIES or fetch.bytes > MAX_REPLICA_BYTES:
+            self.counters.refused += 1
             del self._fetches[id]
             return True
-        if not give.last:
-            fetch.giver = sender
-            self._ask(id, fetch)
+        if not delta.last:
+            fetch.source = sender
+            self._send_pull(id, fetch)
             return True
         del self._fetches[id]
-        self.figures.taken += 1
-        self.figures.taken_bytes += fetch.bytes
-        if fetch.whole:
-            self._take_whole(sender, fetch, give)
+        self.counters.taken += 1
+        self.counters.taken_bytes += fetch.bytes
+        if fetch.full:
+            self._apply_snapshot(sender, fetch, delta)
         else:
-            self._take_more(sender, fetch.items, give, pushed=False)
+            self._apply_delta(sender, fetch.entries, delta, pushed=False)
         return True
 
-    def _pushed(self, sender: str, give: Give) -> None:
-        """All that is new since a state, in one word that nobody asked for."""
-        book = self.books.get(give.goal.id)
-        if book is None and give.after == 0 and len(self.books) < BOOKS_MOST:
-            if self._stranger(give.goal.owner, sender) and self.era:
-                return  # a comparison tells whether it ended
-            book = Book(give.goal.id, self.now)
-            self._add(book)
-        if book is None or give.after > book.seq:
-            self._want(sender, give.goal)
-        elif give.goal.seq > book.seq:
-            self._take_more(sender, give.items, give)
-
-    def _take_more(self, sender: str, items: Iterable[Item], give: Give, pushed: bool = True) -> None:
-        """The book gets from its state to that of the giver. `pushed`: it is news, and passed on."""
-        book = self.books.get(give.goal.id)
-        if book is None or give.goal.seq <= book.seq:
+    def _on_push(self, sender: str, delta: Delta) -> None:
+        """Handle a pushed delta: all changes since a version, in one unrequested message."""
+        replica = self.books.get(delta.version.id)
+        if replica is None and delta.after == 0 and len(self.books) < MAX_REPLICAS:
+            if self._is_unknown_member(delta.version.owner, sender) and self.era:
+                return  # a comparison shows whether it has ended
+            replica = Book(delta.version.id, self.now)
+            self._add(replica)
+        if replica is None or delta.after > replica.seq:
+            self._start_fetch(sender, delta.version)
+        elif delta.version.seq > replica.seq:
+            self._apply_delta(sender, delta.entries, delta)
+
+    def _apply_delta(self, sender: str, entries: Iterable[Entry], delta: Delta, pushed: bool = True) -> None:
+        """Advance a replica to the sender's version.
+
+        `pushed`: the delta came as a push and is forwarded.
+        """
+        replica = self.books.get(delta.version.id)
+        if replica is None or delta.version.seq <= replica.seq:
             return
-        self._digest(book)
-        before = book.seq
-        taken = tuple(item for item in items if book.apply(item))
-        good = book.sum == give.goal.sum
-        self._digest(book)
-        if not good:
-            # Other entries than the giver's, from a fork or a torn copy: all of it anew. Its sequence stays.
-            self.figures.spoilt += 1
-            self._write(Change(book.row, taken))
-            self._want(sender, give.goal, whole=True)
+        self._toggle_digest(replica)
+        before = replica.seq
+        taken = tuple(entry for entry in entries if replica.apply(entry))
+        matches = replica.checksum == delta.version.checksum
+        self._toggle_digest(replica)
+        if not matches:
+            # The entries differ from the sender's, after a fork or a torn write: pull a full snapshot. The
+            # sequence stays.
+            self.counters.spoilt += 1
+            self._write(Change(replica.version, taken))
+            self._start_fetch(sender, delta.version, full=True)
             return
-        self._digest(book)
-        book.seq = give.goal.seq
-        book.since = self.now
-        self._digest(book)
-        self._write(Change(book.row, taken))
-        self._out.append(Changed(book.id.owner, tuple(item.key for item in taken)))
+        self._toggle_digest(replica)
+        replica.seq = delta.version.seq
+        replica.changed_us = self.now
+        self._toggle_digest(replica)
+        self._write(Change(replica.version, taken))
+        self._out.append(Changed(replica.id.owner, tuple(entry.key for entry in taken)))
         if pushed:
-            self._pass_on(book, before, give.hops + 1)
-        self._after_arrival(book)
-
-    def _take_whole(self, sender: str, fetch: _Fetch, give: Give) -> None:
-        """A book that came from its start takes the place of the one that is here."""
-        id = give.goal.id
-        fresh = Book(id, self.now)
-        for item in fetch.items:
-            fresh.apply(item)
-        fresh.seq, fresh.floor = give.goal.seq, max(fresh.floor, give.floor)
-        if fresh.sum != give.goal.sum:
-            self.figures.spoilt += 1
+            self._schedule_push(replica, before, delta.hops + 1)
+        self._after_update(replica)
+
+    def _apply_snapshot(self, sender: str, fetch: _Fetch, delta: Delta) -> None:
+        """Replace a replica by a full snapshot."""
+        id = delta.version.id
+        updated = Book(id, self.now)
+        for entry in fetch.entries:
+            updated.apply(entry)
+        updated.seq, updated.tombstone_floor = (
+            delta.version.seq,
+            max(updated.tombstone_floor, delta.tombstone_floor),
+        )
+        if updated.checksum != delta.version.checksum:
+            self.counters.spoilt += 1
             return
         known = self.books.get(id)
         if known is not None:
-            if known.seq > fresh.seq:
+            if known.seq > updated.seq:
                 return
-            if known.seq == fresh.seq and known.sum != fresh.sum:
-                fresh = self._settle(known, fresh)
-            self._digest(known)
-            fresh.covers = {**known.covers, **fresh.covers}
-            self.books[id] = fresh
-            self._digest(fresh)
-            keys = {*known.entries, *fresh.entries}
+            if known.seq == updated.seq and known.checksum != updated.checksum:
+                updated = self._settle(known, updated)
+            self._toggle_digest(known)
+            updated.superseded = {**known.superseded, **updated.superseded}
+            self.books[id] = updated
+            self._toggle_digest(updated)
+            keys = {*known.entries, *updated.entries}
         else:
-            self._add(fresh)
-            keys = set(fresh.entries)
-        self._write(Change(fresh.row, tuple(fresh.after(0, "")), whole=True, floor=fresh.floor))
+            self._add(updated)
+            keys = set(updated.entries)
+        self._write(
+            Change(
+                updated.version,
+                tuple(updated.after(0, "")),
+                full=True,
+                tombstone_floor=updated.tombstone_floor,
+            )
+        )
         self._out.append(Changed(id.owner, tuple(sorted(keys))))
-        self._after_arrival(fresh)
-
-    def _after_arrival(self, book: Book) -> None:
-        if book.id.owner == self.me and book is not self.mine:
-            self._adopt(book)
-        elif len(self._by_owner[book.id.owner]) > 1:
-            self._drop_covered()
-            self._look_for_twins(book)
-
-    def _look_for_twins(self, book: Book) -> None:
-        """Two lives of one name in one epoch: a cloned name, or a disk that was put back."""
-        owner, epoch, _ = book.id
+        self._after_update(updated)
+
+    def _after_update(self, replica: Book) -> None:
+        if replica.id.owner == self.me and replica is not self.mine:
+            self._take_over(replica)
+        elif len(self._by_owner[replica.id.owner]) > 1:
+            self._drop_superseded()
+            self._detect_duplicates(replica)
+
+    def _detect_duplicates(self, replica: Book) -> None:
+        """Report two incarnations of one name in one epoch: a cloned name or a restored disk."""
+        owner, epoch, _ = replica.id
         same = [id for id in self._by_owner.get(owner, ()) if id.epoch == epoch]
         if len(same) > 1 and self.forks.get(owner, (-1, 0))[0] < epoch:
-            self._fork(owner, epoch, book.seq)
+            self._report_fork(owner, epoch, replica.seq)
 
-    # Contents that differ under one state
+    # Conflicting contents of one version
 
-    def _differ(self, sender: str, book: Book, row: Row) -> None:
-        if self.forks.get(row.owner) != (row.epoch, row.seq):
-            self._fork(row.owner, row.epoch, row.seq)
-        if row.owner.startswith(LIST) or row.sum > book.sum:
-            self._want(sender, row, whole=True, differs=True)
+    def _on_conflict(self, sender: str, replica: Book, version: Row) -> None:
+        if self.forks.get(version.owner) != (version.epoch, version.seq):
+            self._report_fork(version.owner, version.epoch, version.seq)
+        if version.owner.startswith(LIST) or version.checksum > replica.checksum:
+            self._start_fetch(sender, version, full=True, differs=True)
 
     def _settle(self, known: Book, other: Book) -> Book:
-        """One content of two, the same whoever settles it and in whatever order: of a list the more careful
-        word on each server, and none on one that either has not; else the higher sum."""
+        """Merge two contents of one version, with the same result for any member and any order.
+
+        For a list: the more cautious value of each server, and no entry for a server that either content
+        lacks. For other maps: the content with the higher checksum.
+        """
         if not known.id.owner.startswith(LIST):
-            return known if known.sum > other.sum else other
-        fresh = Book(known.id, self.now)
-        for key, item in known.entries.items():
-            twin = other.entries.get(key)
-            if twin is not None and item.value is not None and twin.value is not None:
-                value = self._merge(item.value, twin.value)
-                fresh.apply(Item(key, max(item.seq, twin.seq), value, item.hint))
-        fresh.seq, fresh.floor = known.seq, known.seq  # who is behind takes it whole
-        return fresh
-
-    # Durable at several hosts
+            return known if known.checksum > other.checksum else other
+        updated = Book(known.id, self.now)
+        for key, entry in known.entries.items():
+            counterpart = other.entries.get(key)
+            if counterpart is not None and entry.value is not None and counterpart.value is not None:
+                value = self._merge(entry.value, counterpart.value)
+                updated.apply(Entry(key, max(entry.seq, counterpart.seq), value, entry.hint))
+        updated.seq, updated.tombstone_floor = (
+            known.seq,
+            known.seq,
+        )  # a peer that is behind pulls a full snapshot
+        return updated
+
+    # Durability on several hosts
 
     def hold(self, hosts: int, now: int) -> list[Action]:
-        """Have what this member has put held at so many hosts, its own among them; `Kept` tells when."""
+        """Require that the own map is durable on so many hosts, this one included.
+
+        `Kept` reports each sequence for which that is so.
+        """
         self.now = max(now, self.now)
-        self.hosts_wanted = hosts
-        self._ask_keepers()
-        self._tell_kept()
+        self.required_hosts = hosts
+        self._request_persistence()
+        self._report_durable()
         return self._take()
 
-    def _ask_keepers(self) -> None:
+    def _request_persistence(self) -> None:
         mine = self.mine
-        if mine is None or self.hosts_wanted < 2 or self._kept >= mine.seq:
+        if mine is None or self.required_hosts < 2 or self._durable_seq >= mine.seq:
             return
-        have = {host for host, seq in self._keepers.items() if seq >= mine.seq}
-        lacking = self.hosts_wanted - 1 - len(have)
+        durable_on = {host for host, seq in self._durable_seqs.items() if seq >= mine.seq}
+        missing = self.required_hosts - 1 - len(durable_on)
         hosts: dict[str, list[str]] = {}
         for name in self.peers:
-            if host_of(name) != host_of(self.me) and host_of(name) not in have:
+            if host_of(name) != host_of(self.me) and host_of(name) not in durable_on:
                 hosts.setdefault(host_of(name), []).append(name)
-        for host in self.random.sample(sorted(hosts), min(max(0, lacking), len(hosts))):
+        for host in self.random.sample(sorted(hosts), min(max(0, missing), len(hosts))):
             name = hosts[host][self.random.randrange(len(hosts[host]))]
-            self._say(name, Hold(mine.row))
-
-    def _on_hold(self, sender: str, row: Row) -> None:
-        book = self.books.get(row.id)
-        if book is None or book.seq < row.seq:
-            if not (self._ended(row) or self.covered(row)):
-                self._want(sender, row)
-            return  # asked again, once it is here
-        at = self._unwritten.get(row.id, 0)
+            self._send(name, PersistRequest(mine.version))
+
+    def _on_hold(self, sender: str, version: Row) -> None:
+        replica = self.books.get(version.id)
+        if replica is None or replica.seq < version.seq:
+            if not (self._is_ended(version) or self.is_superseded(version)):
+                self._start_fetch(sender, version)
+            return  # the sender asks again later
+        at = self._unwritten.get(version.id, 0)
         if at <= self._written:
-            self._say(sender, Held(book.row))
-        elif len(self._holds) < HOLDS_MOST:
-            self._holds[sender, row.id] = (book.seq, at)
+            self._send(sender, PersistAck(replica.version))
+        elif len(self._pending_acks) < MAX_PENDING_ACKS:
+            self._pending_acks[sender, version.id] = (replica.seq, at)
 
-    def _on_held(self, sender: str, row: Row) -> None:
-        if self.mine is not None and row.id == self.mine.id:
+    def _on_persist_ack(self, sender: str, version: Row) -> None:
+        if self.mine is not None and version.id == self.mine.id:
             host = host_of(sender)
-            self._keepers[host] = max(row.seq, self._keepers.get(host, 0))
-            self._tell_kept()
+            self._durable_seqs[host] = max(version.seq, self._durable_seqs.get(host, 0))
+            self._report_durable()
 
-    def _tell_kept(self) -> None:
+    def _report_durable(self) -> None:
         mine = self.mine
-        if mine is None or self._unwritten.get(mine.id, 0) > self._written or self.hosts_wanted < 1:
+        if mine is None or self._unwritten.get(mine.id, 0) > self._written or self.required_hosts < 1:
             return
-        held = sorted(self._keepers.values(), reverse=True)
-        if len(held) < self.hosts_wanted - 1:
+        held = sorted(self._durable_seqs.values(), reverse=True)
+        if len(held) < self.required_hosts - 1:
             return
-        seq = mine.seq if self.hosts_wanted == 1 else min(mine.seq, held[self.hosts_wanted - 2])
-        if seq > self._kept:
-            self._kept = seq
-            self._out.append(Kept(seq, self.hosts_wanted))
+        seq = mine.seq if self.required_hosts == 1 else min(mine.seq, held[self.required_hosts - 2])
+        if seq > self._durable_seq:
+            self._durable_seq = seq
+            self._out.append(Kept(seq, self.required_hosts))
 
     # The list
 
     def heard(
         self, seq: int, complete: bool, servers: Mapping[str, tuple[bytes, bytes] | None], now: int
     ) -> list[Action]:
-        """What this member's own list service says: each server's value and hint, None for one that is gone.
-        `seq` counts the service's states from 1."""
+        """Handle an update of the list from this member's own list service.
+
+        `servers` has each server's value and hint, None for one that was removed. `seq` counts the service's
+        versions from 1.
+        """
         self.now = max(now, self.now)
         if complete:
-            self._heard = {}
-        for key, told in servers.items():
-            if told is None:
-                self._heard.pop(key, None)
+            self._own_list = {}
+        for key, value_and_hint in servers.items():
+            if value_and_hint is None:
+                self._own_list.pop(key, None)
             else:
-                self._heard[key] = told
+                self._own_list[key] = value_and_hint
         self._heard_seq = seq
-        self._confirm()
+        self._confirm_list()
         return self._take()
 
     def current(self, now: int) -> list[Action]:
-        """The service is there and has nothing further to say."""
+        """Note that the list service is reachable and has no further changes."""
         self.now = max(now, self.now)
         if self._heard_seq:
-            self._confirm()
+            self._confirm_list()
         return self._take()
 
     def listed(self) -> Book | None:
-        """The list's copy: its latest beginning."""
-        lives = self._lives(self.list_owner)
-        return max(lives, key=lambda book: book.id.epoch) if lives else None
+        """Return the replica of the list with the highest epoch."""
+        incarnations = self._incarnations(self.list_owner)
+        return max(incarnations, key=lambda replica: replica.id.epoch) if incarnations else None
 
     def list_age_us(self) -> int | None:
-        """How long ago any member's service confirmed the copy of the list; None if this life never heard."""
-        return None if self.confirmed is None else max(0, self.now - self.confirmed)
-
-    def _confirm(self) -> None:
-        book = self.listed()
-        if book is None:
-            book = Book(BookId(self.list_owner, 1, 0), self.now)
-            self._add(book)
-        if self._heard_seq < book.seq:
-            # Behind, or put back to an earlier state: that is told by nobody's service being ahead of it.
-            since = max(self.began_us, self.confirmed if self.confirmed is not None else self.began_us)
-            if self.now - since < self.settings.trust_us:
+        """Return how long ago any member's service confirmed the replica of the list.
+
+        None if that has not happened in this incarnation.
+        """
+        return None if self.list_confirmed_us is None else max(0, self.now - self.list_confirmed_us)
+
+    def _confirm_list(self) -> None:
+        replica = self.listed()
+        if replica is None:
+            replica = Book(ReplicaId(self.list_owner, 1, 0), self.now)
+            self._add(replica)
+        if self._heard_seq < replica.seq:
+            # The service lags, or was restored to an earlier version. It was restored if no member's service
+            # has confirmed the newer version for `trust_us`.
+            last_confirmed_us = max(
+                self.created_us,
+                self.list_confirmed_us if self.list_confirmed_us is not None else self.created_us,
+            )
+            if self.now - last_confirmed_us < self.settings.trust_us:
                 return
-            book = Book(BookId(self.list_owner, book.id.epoch + 1, 0), self.now)
-            self._add(book)
-        if self._heard_seq > book.seq:
-            items = [
-                Item(key, self._heard_seq, *told)
-                for key, told in self._heard.items()
-                if key not in book.entries or book.entries[key].value != told[0]
+            replica = Book(ReplicaId(self.list_owner, replica.id.epoch + 1, 0), self.now)
+            self._add(replica)
+        if self._heard_seq > replica.seq:
+            entries = [
+                Entry(key, self._heard_seq, *value_and_hint)
+                for key, value_and_hint in self._own_list.items()
+                if key not in replica.entries or replica.entries[key].value != value_and_hint[0]
+            ]
+            entries += [
+                Entry(key, self._heard_seq, None) for key in replica.entries if key not in self._own_list
             ]
-            items += [Item(key, self._heard_seq, None) for key in book.entries if key not in self._heard]
-            self._commit(book, items, self._heard_seq)
-            self._drop_covered()
-        elif self._heard_sum() != book.sum and self._settled != (book.id, book.seq, book.sum):
-            self._fork(self.list_owner, book.id.epoch, book.seq)
-            other = Book(book.id, self.now)
-            for key, told in self._heard.items():
-                other.apply(Item(key, self._heard_seq, *told))
+            self._commit(replica, entries, self._heard_seq)
+            self._drop_superseded()
+        elif self._own_list_checksum() != replica.checksum and self._merged_list != (
+            replica.id,
+            replica.seq,
+            replica.checksum,
+        ):
+            self._report_fork(self.list_owner, replica.id.epoch, replica.seq)
+            other = Book(replica.id, self.now)
+            for key, value_and_hint in self._own_list.items():
+                other.apply(Entry(key, self._heard_seq, *value_and_hint))
             other.seq = self._heard_seq
-            fresh = self._settle(book, other)
-            self._digest(book)
-            self.books[book.id] = fresh
-            self._digest(fresh)
-            self._write(Change(fresh.row, tuple(fresh.after(0, "")), whole=True, floor=fresh.floor))
-            self._out.append(Changed(self.list_owner, tuple(fresh.entries)))
-            self._settled = (fresh.id, fresh.seq, fresh.sum)
-            book = fresh
-        self.live = (book.id.epoch, book.seq, self.now)
-        self.confirmed = self.now
-
-    def _heard_sum(self) -> int:
+            updated = self._settle(replica, other)
+            self._toggle_digest(replica)
+            self.books[replica.id] = updated
+            self._toggle_digest(updated)
+            self._write(
+                Change(
+                    updated.version,
+                    tuple(updated.after(0, "")),
+                    full=True,
+                    tombstone_floor=updated.tombstone_floor,
+                )
+            )
+            self._out.append(Changed(self.list_owner, tuple(updated.entries)))
+            self._merged_list = (updated.id, updated.seq, updated.checksum)
+            replica = updated
+        self.own_list_state = (replica.id.epoch, replica.seq, self.now)
+        self.list_confirmed_us = self.now
+
+    def _own_list_checksum(self) -> int:
         total = 0
-        for key, (value, _) in self._heard.items():
-            total ^= mark(key, value)
+        for key, (value, _) in self._own_list.items():
+            total ^= entry_checksum(key, value)
         return total
 
-    def _on_live(self, live: tuple[int, int, int] | None) -> None:
-        book = self.listed()
-        if live is None or book is None:
+    def _on_list_state(self, list_state: tuple[int, int, int] | None) -> None:
+        replica = self.listed()
+        if list_state is None or replica is None:
             return
-        epoch, seq, age_ms = live
-        if (epoch, seq) >= (book.id.epoch, book.seq):
+        epoch, seq, age_ms = list_state
+        if (epoch, seq) >= (replica.id.epoch, replica.seq):
             at = self.now - age_ms * 1_000
-            self.confirmed = at if self.confirmed is None else max(at, self.confirmed)
+            self.list_confirmed_us = at if self.list_confirmed_us is None else max(at, self.list_confirmed_us)
 
     # Reading
 
     def owners(self) -> list[str]:
+        """Return the owners of all maps, sorted."""
         return sorted(self._by_owner)
 
-    def values(self, key: str) -> list[tuple[BookId, bytes]]:
-        """What anybody says under this key, by book: to be joined."""
+    def values(self, key: str) -> list[tuple[ReplicaId, bytes]]:
+        """Return all members' values under this key, by map, for the caller to join."""
         found = []
-        for id, book in self.books.items():
-            item = book.entries.get(key)
-            if item is not None and item.value is not None:
-                found.append((id, item.value))
+        for id, replica in self.books.items():
+            entry = replica.entries.get(key)
+            if entry is not None and entry.value is not None:
+                found.append((id, entry.value))
         return found
 
     def digest(self) -> str:
-        """Of all that is held here: the same at members that have the same."""
+        """Return one digest of the whole state; the same at members that have the same state."""
         text = ",".join(f"{value:08x}" for value in self._digests)
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
     @property
     def behind(self) -> int:
-        """Books that are known to be ahead elsewhere and are being taken."""
+        """The number of maps that are being pulled because a peer is ahead."""
         return len(self._fetches)
--- a/sorrelfront/fleet/copier.py
+++ b/sorrelfront/fleet/copier.py
@@ -1,5 +1,8 @@
-"""One member's copies: carries words, time, disk and the list between `decisions.fleet.copies` and what is
-around it. Decides nothing."""
+"""Runs one member's replica store.
+
+It connects `decisions.fleet.copies` to the network, the clock, the disk and the list service, and decides
+nothing.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
     pack,
     unpack,
 )
-from sorrelfront.decisions.fleet.servers import DRAIN, Careful, Seen
+from sorrelfront.decisions.fleet.servers import DRAIN_PREFIX, ConservativeView, ReplicatedServer
 from sorrelfront.decisions.fleet.words import Unreadable
 from sorrelfront.decisions.interface import Backend, State
 from sorrelfront.fleet.carrier import now_us
@@ -36,30 +39,30 @@
 
 log = logging.getLogger("sorrelfront.fleet")
 
-WRITES_MOST = 4_096  # changes that wait for the disk; beyond these a snapshot takes their place
-DISK_AGAIN_S = 1.0  # after a disk that failed
-# An entry on a drain stands for so long after its server left the list: longer than a rolling restart keeps
-# an agent away from its service.
-DRAIN_KEPT_US = 60_000_000
+MAX_QUEUED_WRITES = 4_096  # beyond these a snapshot replaces them
+DISK_RETRY_S = 1.0  # after a failed write
+# How long an entry on a drain is kept after its server left the list: longer than a rolling restart keeps an
+# agent from its list service.
+DRAIN_RETENTION_US = 60_000_000
 
-_change = msgspec.msgpack.Decoder(Change)
+_change_decoder = msgspec.msgpack.Decoder(Change)
 _encode = msgspec.msgpack.Encoder().encode
 
 
 def changes(payloads: list[bytes]) -> list[Change]:
-    """What a ledger has kept; what cannot be read ends it."""
+    """Decode the payloads of a replica log, up to the first one that cannot be read."""
     found = []
     for payload in payloads:
         try:
-            found.append(_change.decode(payload))
+            found.append(_change_decoder.decode(payload))
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-            log.warning("a change of the copies is not used: %s", fault)
+            log.warning("a stored change and all after it are not used: %s", fault)
             break
     return found
 
 
 def settings(table: dict[str, Any]) -> Settings:
-    """The times of the file's [fleet]: a comparison for each probe."""
+    """Derive the replication settings from the file's [fleet] table, with one comparison for each probe."""
     probe_us = int(table["probe_ms"] * 1_000)
     return Settings(
         compare_us=probe_us,
@@ -74,95 +77,103 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """What a copier needs of what is around it."""
+    """What a replicator uses of its surroundings."""
 
     say: Callable[[str, bytes], None]
-    members: Callable[[], list[str]]  # that live, by the view
-    known: Callable[[], set[str]]  # that the view knows, the dead among them
+    members: Callable[[], list[str]]  # the living ones, according to the view
+    known: Callable[[], set[str]]  # all that the view knows, dead ones included
     write: Callable[[list[bytes]], Awaitable[None]]  # durable once it returns; raises OSError
-    snapshot: Callable[[list[bytes]], Awaitable[None]]  # the same, in place of all that was
+    snapshot: Callable[[list[bytes]], Awaitable[None]]  # the same, replacing all that was written
     wants_snapshot: Callable[[], bool]
     update: Callable[[Update], None]  # to the agent
 
 
 class Copier:
-    """`start` it, give it words and what the list service says, `close` it."""
+    """Replicates state with the other members of the fleet.
+
+    Call `start`, hand over messages and updates of the list service, and `close` it at the end.
+    """
 
     def __init__(
         self, name: str, list_name: str, settings: Settings, ports: Ports, disk: list[Change]
     ) -> None:
-        """`list_name`: of the list service that the fleet's members hear; empty for none whose states can be
-        compared between members."""
+        """Restore the store from `disk`.
+
+        `list_name`: the name of the list service that the fleet's members use; empty if its versions cannot
+        be compared between members.
+        """
         random = Random()  # no two members act alike
         self.copies = Copies(name, settings, random, now_us(), disk, list_name, servers.merge)
-        self.careful = Careful()
-        self.by_copy = False  # the agent goes by the copy: its own service has not spoken in this life
-        self._listed = bool(list_name)
+        self.conservative_view = ConservativeView()
+        self.serving_from_replica = False  # its own service has sent nothing in this incarnation
+        self._list_replicated = bool(list_name)
         self._ports = ports
         self._queue: list[Write] = []
-        self._overflow = False
-        self._work = asyncio.Event()
+        self._snapshot_needed = False
+        self._has_work = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._timer: asyncio.TimerHandle | None = None
         self._due_us = 0
         self._closed = False
         self._addresses: dict[str, Address] = {}
-        self._unlisted: dict[str, int] = {}  # servers with an entry on a drain, and since when not listed
-        self._forgotten: dict[str, int] = {}  # owners whom the view does not know -> since when
-        self._stale = False  # copies have changed since the agent was told
-        self._watches: dict[str, Callable[[str], None]] = {}  # beginnings of keys -> told of each change
-        self.counts = dict.fromkeys(("heard", "unreadable", "written", "unwritten", "held_back"), 0)
-        self.fault = ""
+        self._unlisted_since: dict[str, int] = {}  # servers with an entry on a drain that left the list
+        self._unknown_since: dict[str, int] = {}  # owners unknown to the view -> since when
+        self._agent_outdated = False  # replicas have changed since the agent's last update
+        self._watchers: dict[str, Callable[[str], None]] = {}  # prefix of keys -> called for each change
+        self.counters = dict.fromkeys(("heard", "unreadable", "written", "unwritten", "held_back"), 0)
+        self.write_error = ""
 
     def start(self) -> None:
+        """Start the task that writes to disk, and replication to a second host."""
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._write())]
-        self._tasks[0].add_done_callback(_ended)
-        self._do(self.copies.hold(2, now_us()))
+        self._tasks = [loop.create_task(self._write_loop())]
+        self._tasks[0].add_done_callback(_log_failure)
+        self._perform(self.copies.hold(2, now_us()))
 
     def close(self) -> None:
+        """Stop the timer and the tasks."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
         for task in self._tasks:
             task.cancel()
 
-    # What other parts have copied
+    # Entries of other components
 
-    def watch(self, beginning: str, changed: Callable[[str], None]) -> None:
-        """Have this called with each key of this beginning that may read otherwise, and with all that are
-        there now."""
-        self._watches[beginning] = changed
-        keys = {key for book in self.copies.books.values() for key in book.entries}
+    def watch(self, prefix: str, changed: Callable[[str], None]) -> None:
+        """Call `changed` for each key of this prefix that may have changed, and now for all present ones."""
+        self._watchers[prefix] = changed
+        keys = {key for replica in self.copies.books.values() for key in replica.entries}
         for key in sorted(keys):
-            if key.startswith(beginning):
+            if key.startswith(prefix):
                 changed(key)
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Have this in this member's own book; None: no such entry. What has no room is told in the log."""
+        """Put an entry into this member's own map; None deletes it. An entry without room is logged."""
         try:
             if value is None:
                 self.copies.delete(key, now_us())
             else:
                 self.copies.put(key, value, now_us())
         except ValueError as fault:
-            log.warning("not copied: %s", fault)
-        self._do(self.copies._take())
+            log.warning("an entry is not replicated: %s", fault)
+        self._perform(self.copies._take())
 
-    # Words and time
+    # Messages and time
 
     def hear(self, sender: str, data: bytes) -> None:
+        """Handle an encoded message from a member."""
         try:
-            word = unpack(data)
+            message = unpack(data)
         except Unreadable:
-            self.counts["unreadable"] += 1
+            self.counters["unreadable"] += 1
             return
-        self.counts["heard"] += 1
-        self._do(self.copies.on_word(sender, word, now_us()))
+        self.counters["heard"] += 1
+        self._perform(self.copies.on_word(sender, message, now_us()))
 
     def _on_time(self) -> None:
         self._timer = None
-        self._do(self.copies.on_time(now_us(), self._ports.members()))
+        self._perform(self.copies.on_time(now_us(), self._ports.members()))
 
     def _schedule(self) -> None:
         if self._closed:
@@ -176,115 +187,124 @@
         delay_s = max(0.0, (due - now_us()) / 1e6)
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_time)
 
-    def _do(self, actions: list[Action]) -> None:
+    def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Say(to, word):
-                    self._ports.say(to, pack(word))
+                case Say(to, message):
+                    self._ports.say(to, pack(message))
                 case Write():
-                    self._put(action)
+                    self._enqueue(action)
                 case Changed(owner, keys):
-                    if owner == self.copies.list_owner or any(key.startswith(DRAIN) for key in keys):
-                        self._stale = True
-                    self._tell_watches(keys)
+                    if owner == self.copies.list_owner or any(key.startswith(DRAIN_PREFIX) for key in keys):
+                        self._agent_outdated = True
+                    self._notify_watchers(keys)
                 case Forked(owner, epoch, seq):
-                    log.error("two contents under one state: %s, epoch %d, sequence %d", owner, epoch, seq)
+                    log.error(
+                        "conflicting contents of one version: owner %s, epoch %d, sequence %d",
+                        owner,
+                        epoch,
+                        seq,
+                    )
                 case Levelled():
-                    self._stale = True
-                    log.info("the copies are level with the peers'")
+                    self._agent_outdated = True
+                    log.info("the replicas have caught up with the peers")
                 case Kept():
                     pass
-        if self._stale:
-            self._stale = False
-            self._apply()
+        if self._agent_outdated:
+            self._agent_outdated = False
+            self._update_agent()
         self._schedule()
 
-    def _tell_watches(self, keys: Iterable[str]) -> None:
-        for beginning, changed in self._watches.items():
+    def _notify_watchers(self, keys: Iterable[str]) -> None:
+        for prefix, changed in self._watchers.items():
             for key in keys:
-                if key.startswith(beginning):
+                if key.startswith(prefix):
                     changed(key)
 
     # Disk
 
-    def _put(self, write: Write) -> None:
-        if len(self._queue) >= WRITES_MOST:
+    def _enqueue(self, write: Write) -> None:
+        if len(self._queue) >= MAX_QUEUED_WRITES:
             self._queue = [write]
-            self._overflow = True
+            self._snapshot_needed = True
         else:
             self._queue.append(write)
-        self._work.set()
+        self._has_work.set()
 
-    async def _write(self) -> None:
-        """One write after the other, each of all that waits by then."""
+    async def _write_loop(self) -> None:
+        """Write all queued changes at once, then those that were queued meanwhile."""
         while True:
-            await self._work.wait()
-            self._work.clear()
+            await self._has_work.wait()
+            self._has_work.clear()
             queue, self._queue = self._queue, []
             if not queue:
                 continue
             try:
-                if self._overflow or self._ports.wants_snapshot():
-                    # It has what is in the queue too.
+                if self._snapshot_needed or self._ports.wants_snapshot():
+                    # The snapshot includes the queued changes.
                     await self._ports.snapshot([_encode(change) for change in self.copies.snapshot()])
-                    self._overflow = False
+                    self._snapshot_needed = False
                 else:
                     await self._ports.write([_encode(write.change) for write in queue])
             except (OSError, ValueError) as fault:
-                self.counts["unwritten"] += 1
-                if not self.fault:
-                    log.warning("copies are not written: %s", fault)
-                self.fault = str(fault)
-                self._overflow = True
+                self.counters["unwritten"] += 1
+                if not self.write_error:
+                    log.warning("replicas are not written to disk: %s", fault)
+                self.write_error = str(fault)
+                self._snapshot_needed = True
                 self._queue = [queue[-1], *self._queue]
-                self._work.set()
-                await asyncio.sleep(DISK_AGAIN_S)
+                self._has_work.set()
+                await asyncio.sleep(DISK_RETRY_S)
                 continue
-            self.fault = ""
-            self.counts["written"] += len(queue)
-            self._do(self.copies.on_written(queue[-1].number, now_us()))
+            self.write_error = ""
+            self.counters["written"] += len(queue)
+            self._perform(self.copies.on_written(queue[-1].number, now_us()))
 
     # The list
 
     def heard(self, update: Update) -> Update:
-        """This member's own list service speaks. Returns what the agent is told of it."""
-        self.by_copy = False
-        if not self._listed:
+        """Handle an update from this member's own list service; return the update for the agent."""
+        self.serving_from_replica = False
+        if not self._list_replicated:
             return update
         now, seq = now_us(), update.revision + 1
-        self.careful.heard(seq, update.complete, update.backends)
+        self.conservative_view.on_list(seq, update.complete, update.backends)
         if update.complete:
             self._addresses = {}
         self._addresses.update(update.addresses)
         for backend in update.backends:
-            self._note(seq, backend, now)
-        said = {
+            self._replicate_drain(seq, backend, now)
+        values = {
             backend.id: None if backend.state is State.GONE else (
-                servers.pack(backend), _hint(update.addresses.get(backend.id))
+                servers.encode(backend), _encode_hint(update.addresses.get(backend.id))
             )
             for backend in update.backends
         }  # fmt: skip
-        actions = self.copies.heard(seq, update.complete, said, now)
-        # What the agent is told by this update: of the servers in it, and of others what copies say anew.
-        told = {backend.id: backend for backend in self.careful.changes(self._seen())}
+        actions = self.copies.heard(seq, update.complete, values, now)
+        # The agent's update has the servers of this one and those whose replicated state has changed.
+        updated = {
+            backend.id: backend for backend in self.conservative_view.changes(self._replicated_servers())
+        }
         for backend in update.backends:
-            told[backend.id] = self.careful.told.get(backend.id, backend)
-        self._do(actions)
-        return update._replace(backends=tuple(told.values()), addresses=self._reached(told.values()))
-
-    def _note(self, seq: int, backend: Backend, now: int) -> None:
-        """Tell all what this member was told: a drain told to any is told to all."""
-        key = DRAIN + backend.id
+            updated[backend.id] = self.conservative_view.delivered.get(backend.id, backend)
+        self._perform(actions)
+        return update._replace(
+            backends=tuple(updated.values()), addresses=self._addresses_of(updated.values())
+        )
+
+    def _replicate_drain(self, seq: int, backend: Backend, now: int) -> None:
+        """Put what this member was told of a server into its own map, so that all members apply a drain."""
+        key = DRAIN_PREFIX + backend.id
         try:
             if backend.state is State.READY:
                 if self.copies.mine is not None and key in self.copies.mine.entries:
                     self.copies.delete(key, now)
             else:
-                self.copies.put(key, servers.pack_drain(seq, backend), now)
+                self.copies.put(key, servers.encode_drain(seq, backend), now)
         except ValueError as fault:
-            log.warning("a drain is not told to the fleet: %s", fault)
+            log.warning("a drain is not replicated: %s", fault)
 
-    def _reached(self, backends: Iterable[Backend]) -> dict[str, Address]:
+    def _addresses_of(self, backends: Iterable[Backend]) -> dict[str, Address]:
         return {
             backend.id: self._addresses[backend.id]
             for backend in backends
@@ -292,118 +312,124 @@
         }
 
     def current(self) -> None:
-        """This member's own service is there, and has nothing further to say."""
-        if self._listed and self.careful.seq:
-            self._do(self.copies.current(now_us()))
+        """Note that this member's own list service is reachable and has no further changes."""
+        if self._list_replicated and self.conservative_view.seq:
+            self._perform(self.copies.current(now_us()))
+
+    def _replicated_servers(self) -> dict[str, ReplicatedServer]:
+        """Return each listed server as the replicas have it.
 
-    def _seen(self) -> dict[str, Seen]:
-        """Each server as the copies have it, as long as somebody's service stands behind the list."""
-        book = self.copies.listed()
+        The replicated list is left out if no member's service has confirmed it lately.
+        """
+        replica = self.copies.listed()
         age_us = self.copies.list_age_us()
-        fresh = book is not None and age_us is not None and age_us <= self.copies.settings.trust_us
-        found: dict[str, Seen] = {}
-        for name in self.careful.own:
+        confirmed = replica is not None and age_us is not None and age_us <= self.copies.settings.trust_us
+        found: dict[str, ReplicatedServer] = {}
+        for name in self.conservative_view.own_list:
             drains = []
-            for _, value in self.copies.values(DRAIN + name):
-                drain = servers.unpack_drain(value)
+            for _, value in self.copies.values(DRAIN_PREFIX + name):
+                drain = servers.decode_drain(value)
                 if drain is not None:
                     drains.append(drain)
             listed, seq = None, 0
-            if fresh and book is not None:
-                seq = book.seq
-                item = book.entries.get(name)
-                listed = None if item is None or item.value is None else servers.unpack(name, item.value)
-            if drains or seq > self.careful.seq:
-                found[name] = Seen(seq, listed, tuple(drains))
+            if confirmed and replica is not None:
+                seq = replica.seq
+                entry = replica.entries.get(name)
+                listed = None if entry is None or entry.value is None else servers.decode(name, entry.value)
+            if drains or seq > self.conservative_view.seq:
+                found[name] = ReplicatedServer(seq, listed, tuple(drains))
         return found
 
-    def _apply(self) -> None:
-        """Tell the agent what follows from copies."""
-        if self.careful.seq:
-            changed = tuple(self.careful.changes(self._seen()))
+    def _update_agent(self) -> None:
+        """Tell the agent what follows from the replicas."""
+        if self.conservative_view.seq:
+            changed = tuple(self.conservative_view.changes(self._replicated_servers()))
             if changed:
-                held = sum(backend.state is not State.READY for backend in changed)
-                self.counts["held_back"] += held
-                log.info("%d servers are held otherwise, by what others were told", len(changed))
-                self._ports.update(Update(self.careful.seq, False, changed, self._reached(changed)))
+                held_back = sum(backend.state is not State.READY for backend in changed)
+                self.counters["held_back"] += held_back
+                log.info("%d servers changed state by what other members were told", len(changed))
+                self._ports.update(
+                    Update(self.conservative_view.seq, False, changed, self._addresses_of(changed))
+                )
             return
-        book = self.copies.listed()
-        # Risk: a copy that is older than the peers' would send to servers that have been told to drain since.
-        if not self._listed or book is None or not self.copies.level:
+        replica = self.copies.listed()
+        # A replica older than the peers' could send requests to servers that were told to drain since.
+        if not self._list_replicated or replica is None or not self.copies.level:
             return
         backends, addresses = [], {}
-        for name, item in sorted(book.entries.items()):
-            backend = servers.unpack(name, item.value or b"")
-            place = _place(item.hint)
-            if backend is None or place is None:
+        for name, entry in sorted(replica.entries.items()):
+            backend = servers.decode(name, entry.value or b"")
+            address = _decode_hint(entry.hint)
+            if backend is None or address is None:
                 continue
-            drains = [servers.unpack_drain(value) for _, value in self.copies.values(DRAIN + name)]
+            drains = [servers.decode_drain(value) for _, value in self.copies.values(DRAIN_PREFIX + name)]
             if any(
-                drain is not None and drain.seq > book.seq and drain.started_us >= backend.started_us
+                drain is not None and drain.seq > replica.seq and drain.started_us >= backend.started_us
                 for drain in drains
             ):
                 backend = backend._replace(state=State.DRAINING)
             backends.append(backend)
-            addresses[name] = place
-        if not self.by_copy:
+            addresses[name] = address
+        if not self.serving_from_replica:
             age_us = self.copies.list_age_us()
             age = "of unknown age" if age_us is None else f"confirmed {age_us / 1e6:.1f} s ago"
             log.warning(
-                "serving by the fleet's copy of the list, %s: the list service has not spoken; %d servers",
+                "serving by the fleet's copy of the list, %s: the list service has sent nothing; %d servers",
                 age, len(backends),
             )  # fmt: skip
-        self.by_copy = True
-        self._ports.update(Update(book.seq - 1, True, tuple(backends), addresses))
+        self.serving_from_replica = True
+        self._ports.update(Update(replica.seq - 1, True, tuple(backends), addresses))
 
-    # Now and then
+    # Periodic work
 
     def beat(self) -> None:
-        """End books of members that the view has forgotten, and entries on drains that are of no use."""
+        """Retire the maps of members unknown to the view, and delete obsolete entries on drains."""
         now = now_us()
         known = self._ports.known()
         for owner in self.copies.owners():
             if owner in known or owner == self.copies.list_owner:
-                self._forgotten.pop(owner, None)
-            elif now - self._forgotten.setdefault(owner, now) > self.copies.settings.keep_us:
-                del self._forgotten[owner]
-                self._do(self.copies.retire(owner, now))
+                self._unknown_since.pop(owner, None)
+            elif now - self._unknown_since.setdefault(owner, now) > self.copies.settings.keep_us:
+                del self._unknown_since[owner]
+                self._perform(self.copies.retire(owner, now))
         mine = self.copies.mine
-        for key in [] if mine is None else [key for key in mine.entries if key.startswith(DRAIN)]:
-            name = key[len(DRAIN) :]
-            if name in self.careful.own:
-                self._unlisted.pop(name, None)
-            elif now - self._unlisted.setdefault(name, now) > DRAIN_KEPT_US:
-                del self._unlisted[name]
+        for key in [] if mine is None else [key for key in mine.entries if key.startswith(DRAIN_PREFIX)]:
+            name = key[len(DRAIN_PREFIX) :]
+            if name in self.conservative_view.own_list:
+                self._unlisted_since.pop(name, None)
+            elif now - self._unlisted_since.setdefault(name, now) > DRAIN_RETENTION_US:
+                del self._unlisted_since[name]
                 self.copies.delete(key, now)
-        self._stale = bool(self.careful.seq)
-        self._do(self.copies._take())
+        self._agent_outdated = bool(self.conservative_view.seq)
+        self._perform(self.copies._take())
 
     def figures(self) -> dict[str, Any]:
-        """For `ctl status`: how far it is, and what it found."""
+        """Return the state and the counters for `ctl status`."""
         copies = self.copies
         age_us = copies.list_age_us()
-        book = copies.listed()
+        replica = copies.listed()
         return {
             "level": copies.level, "behind": copies.behind, "digest": copies.digest(),
-            "books": len(copies.books), "entries": sum(len(item.entries) for item in copies.books.values()),
+            "books": len(copies.books),
+            "entries": sum(len(replica.entries) for replica in copies.books.values()),
             "forked": {owner: list(at) for owner, at in copies.forks.items()}, "era": copies.era,
-            "list": None if book is None else [book.id.epoch, book.seq - 1],
-            "list_age_ms": None if age_us is None else age_us // 1_000, "by_copy": self.by_copy,
-            "waiting_for_disk": len(self._queue), "fault": self.fault,
-            **self.counts, **asdict(copies.figures),
+            "list": None if replica is None else [replica.id.epoch, replica.seq - 1],
+            "list_age_ms": None if age_us is None else age_us // 1_000, "by_copy": self.serving_from_replica,
+            "waiting_for_disk": len(self._queue), "fault": self.write_error,
+            **self.counters, **asdict(copies.counters),
         }  # fmt: skip
 
 
-def _ended(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        log.error("keeping copies failed", exc_info=task.exception())
+        log.error("replication failed", exc_info=task.exception())
 
 
-def _hint(address: Address | None) -> bytes:
+def _encode_hint(address: Address | None) -> bytes:
     return b"" if address is None else "{}:{}".format(*address).encode()
 
 
-def _place(hint: bytes) -> Address | None:
+def _decode_hint(hint: bytes) -> Address | None:
     try:
         return parse_address(hint.decode())
     except (Malformed, UnicodeDecodeError):
--- a/tests/daemon/test_ledger.py
+++ b/tests/daemon/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: what was synced is there, and a tear loses what lies behind it alone."""
+"""The replica log: what was synced is there, and a tear loses only what follows it."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from sorrelfront.daemon.ledger import Ledger
 
 
-def begun(path: Path, *payloads: bytes) -> Ledger:
-    made = Ledger(path)
-    made.load()
-    made.snapshot(list(payloads))
-    return made
+def start_log(path: Path, *payloads: bytes) -> Ledger:
+    replica_log = Ledger(path)
+    replica_log.load()
+    replica_log.snapshot(list(payloads))
+    return replica_log
 
 
-def test_a_snapshot_and_what_came_after_are_there_in_order(tmp_path: Path) -> None:
-    made = begun(tmp_path / "c", b"one", b"two")
-    made.write([b"three"])
-    made.write([b"four", b""])
+def test_a_snapshot_and_later_changes_are_loaded_in_order(tmp_path: Path) -> None:
+    replica_log = start_log(tmp_path / "c", b"one", b"two")
+    replica_log.write([b"three"])
+    replica_log.write([b"four", b""])
     assert Ledger(tmp_path / "c").load() == [b"one", b"two", b"three", b"four", b""]
 
 
 @pytest.mark.parametrize("cut", range(1, 30))
-def test_a_torn_tail_loses_the_tail_alone(tmp_path: Path, cut: int) -> None:
-    made = begun(tmp_path / "c", b"one")
-    made.write([b"two"])
-    made.write([b"three"])
+def test_a_torn_tail_loses_only_what_follows_the_tear(tmp_path: Path, cut: int) -> None:
+    replica_log = start_log(tmp_path / "c", b"one")
+    replica_log.write([b"two"])
+    replica_log.write([b"three"])
     (tail,) = tmp_path.glob("c.tail-*")
     data = tail.read_bytes()
     tail.write_bytes(data[:-cut])
@@ -39,46 +39,46 @@
     frame = ledger.FRAME.size
     kept = 3 if cut == 0 else 2 if cut <= frame + 5 else 1
     assert found == whole[:kept]
-    assert (again.torn > 0) == (cut not in (frame + 5, 2 * frame + 8))
+    assert (again.torn_bytes > 0) == (cut not in (frame + 5, 2 * frame + 8))
 
 
-def test_zeros_at_the_end_are_no_entries(tmp_path: Path) -> None:
-    made = begun(tmp_path / "c", b"one")
-    made.write([b"two"])
+def test_zeros_at_the_end_are_not_entries(tmp_path: Path) -> None:
+    replica_log = start_log(tmp_path / "c", b"one")
+    replica_log.write([b"two"])
     (tail,) = tmp_path.glob("c.tail-*")
     tail.write_bytes(tail.read_bytes() + bytes(40))
     assert Ledger(tmp_path / "c").load() == [b"one", b"two"]
 
 
-def test_a_new_snapshot_leaves_one_tail_and_takes_the_place_of_all_before(tmp_path: Path) -> None:
-    made = begun(tmp_path / "c", b"one")
-    made.write([b"two"])
-    made.snapshot([b"both"])
-    made.write([b"three"])
+def test_a_new_snapshot_leaves_one_tail_and_replaces_all_earlier_changes(tmp_path: Path) -> None:
+    replica_log = start_log(tmp_path / "c", b"one")
+    replica_log.write([b"two"])
+    replica_log.snapshot([b"both"])
+    replica_log.write([b"three"])
     assert Ledger(tmp_path / "c").load() == [b"both", b"three"]
     assert len([*tmp_path.glob("c.tail-*")]) == 1
 
 
-def test_a_cut_between_tail_and_snapshot_leaves_the_state_before(
+def test_a_failure_between_tail_and_snapshot_leaves_the_earlier_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = begun(tmp_path / "c", b"one")
-    made.write([b"two"])
+    replica_log = start_log(tmp_path / "c", b"one")
+    replica_log.write([b"two"])
 
     def full(path: Path, data: bytes) -> None:
         raise OSError(errno.ENOSPC, "full")
 
     monkeypatch.setattr(records, "write", full)
     with pytest.raises(OSError):
-        made.snapshot([b"both"])
-    made.write([b"three"])
+        replica_log.snapshot([b"both"])
+    replica_log.write([b"three"])
     assert Ledger(tmp_path / "c").load() == [b"one", b"two", b"three"]
 
 
-def test_a_disk_that_fills_up_in_a_frame_gives_the_tail_up(
+def test_a_disk_that_fills_up_within_a_frame_closes_the_tail(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = begun(tmp_path / "c", b"one")
+    replica_log = start_log(tmp_path / "c", b"one")
 
     class Full(records.Disk):
         def append(self, descriptor: int, data: bytes) -> None:
@@ -88,22 +88,22 @@
     with monkeypatch.context() as patch:
         patch.setattr(records, "disk", Full())
         with pytest.raises(OSError):
-            made.write([b"two"])
-    assert made.wants_snapshot
-    made.snapshot([b"one", b"two"])
+            replica_log.write([b"two"])
+    assert replica_log.wants_snapshot
+    replica_log.snapshot([b"one", b"two"])
     assert Ledger(tmp_path / "c").load() == [b"one", b"two"]
 
 
-def test_a_tail_that_grew_wants_a_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ledger, "TAIL_LEAST", 100)
-    made = begun(tmp_path / "c", b"one")
-    assert not made.wants_snapshot
-    made.write([b"x" * 200])
-    assert made.wants_snapshot
+def test_a_tail_that_has_grown_needs_a_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(ledger, "MIN_COMPACTION_BYTES", 100)
+    replica_log = start_log(tmp_path / "c", b"one")
+    assert not replica_log.wants_snapshot
+    replica_log.write([b"x" * 200])
+    assert replica_log.wants_snapshot
 
 
-def test_a_spoilt_snapshot_is_set_aside(tmp_path: Path) -> None:
-    begun(tmp_path / "c", b"one")
+def test_a_corrupt_snapshot_is_set_aside(tmp_path: Path) -> None:
+    start_log(tmp_path / "c", b"one")
     (tmp_path / "c").write_bytes(b"nothing")
     assert Ledger(tmp_path / "c").load() == []
     assert (tmp_path / "c.bad").exists()
--- a/tests/programs/test_copies.py
+++ b/tests/programs/test_copies.py
@@ -1,5 +1,8 @@
-"""Two daemons by their real command, without the lab's seams: one returns while the list service is out, and
-serves by what the other knows. The service manager's notification and events in the log say when."""
+"""Two daemons, run by their real command: one restarts while the list service is down.
+
+It has to serve by what the other one knows. The daemons run without the lab's hooks: the tests wait for
+notifications to the service manager and for events in the log.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 class Host:
-    """One daemon, and what it tells its service manager."""
+    """One daemon and the socket on which it notifies its service manager."""
 
     def __init__(self, folder: Path, name: str, registry: str, listen: str, join: str) -> None:
         folder.mkdir()
@@ -33,7 +36,7 @@
         self._manager.setblocking(False)
         self._manager.bind(str(folder / "notify"))
         self.fleet.environ["NOTIFY_SOCKET"] = str(folder / "notify")
-        self._read = 0
+        self._next_line = 0
 
     async def start(self) -> None:
         await self.fleet.start()
@@ -44,19 +47,19 @@
                 pass
 
     async def logged(self, text: str) -> None:
-        """Wait for an event in the log, behind those that were waited for."""
+        """Wait for an event in the log, after those that were waited for before."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 lines = self.fleet.log.read_text().splitlines() if self.fleet.log.exists() else []
-                for at in range(self._read, len(lines)):
+                for at in range(self._next_line, len(lines)):
                     with contextlib.suppress(ValueError):
                         if text in json.loads(lines[at])["event"]:
-                            self._read = at + 1
+                            self._next_line = at + 1
                             return
                 await asyncio.sleep(0.02)
 
     async def power_off(self) -> None:
-        """Every process of it at once."""
+        """Kill every process of the host at once."""
         pids = [item["pid"] for item in (await self.fleet.status()).values()]
         self.fleet.process.kill()
         for pid in pids:
@@ -72,7 +75,7 @@
 
 
 @contextlib.asynccontextmanager
-async def two(folder: Path, registry: Registry) -> AsyncIterator[tuple[Host, Host]]:
+async def two_hosts(folder: Path, registry: Registry) -> AsyncIterator[tuple[Host, Host]]:
     places = ["{}:{}".format(*free_address()) for _ in range(2)]
     a = Host(folder / "a", "a", registry.address, places[0], places[1])
     b = Host(folder / "b", "b", registry.address, places[1], places[0])
@@ -81,7 +84,7 @@
     try:
         for host in (a, b):
             await host.notified("READY=1")
-            await host.logged("the copies are level")
+            await host.logged("the replicas have caught up")
         yield a, b
     finally:
         for host in (a, b):
@@ -89,18 +92,18 @@
 
 
 @looped
-async def test_a_host_that_returns_while_the_list_is_out_serves_by_its_neighbours_copy(
+async def test_a_host_restarted_while_the_list_is_down_serves_by_its_peers_replica(
     tmp_path: Path,
 ) -> None:
     server, drained = await Backend(answer(b"served")).start(), await Backend(answer(b"served")).start()
     registry = await Registry().start()
     registry.change(member("s1", server.address), member("s2", drained.address))
-    async with two(tmp_path, registry) as (a, b):
+    async with two_hosts(tmp_path, registry) as (a, b):
         await a.fleet.ready()
         await b.fleet.ready()
         await b.power_off()
-        registry.change(member("s2", drained.address, "draining"))  # told to the one that is up alone
-        await held_out(a)
+        registry.change(member("s2", drained.address, "draining"))  # sent only to the daemon that is up
+        await wait_until_excluded(a)
         registry.stop()
         before = len(drained.seen)
         await b.start()
@@ -110,25 +113,25 @@
         for number in range(20):
             client.send(request(f"r{number}"))
             assert (await client.answer())[0] == 200
-        assert len(drained.seen) == before  # its own disk held it for ready
-        # On a crowded machine it may have been stopped for longer than two comparisons, and has then to find
-        # its peers again before it calls itself level.
+        assert len(drained.seen) == before  # its own disk had it as ready
+        # On a busy machine the process may have been suspended for longer than two comparison intervals. It
+        # has to be in sync with its peers again before it reports that it has caught up.
         async with asyncio.timeout(PATIENCE_S):
-            while not (told := (await b.fleet.status())["i0"]["fleet"]["copies"])["level"]:
+            while not (status := (await b.fleet.status())["i0"]["fleet"]["copies"])["level"]:
                 await asyncio.sleep(0.02)
-        assert told["by_copy"] and not told["forked"]
+        assert status["by_copy"] and not status["forked"]
     server.stop()
     drained.stop()
 
 
-async def held_out(host: Host) -> None:
+async def wait_until_excluded(host: Host) -> None:
     async with asyncio.timeout(PATIENCE_S):
         while (await host.fleet.status())["i0"]["ready_servers"] != 1:
             await asyncio.sleep(0.02)
 
 
 @looped
-async def test_without_the_key_nothing_of_it_is_there(tmp_path: Path) -> None:
+async def test_without_the_setting_nothing_is_replicated(tmp_path: Path) -> None:
     server, registry = await Backend(answer(b"served")).start(), await Registry().start()
     registry.change(member("s1", server.address))
     host = Host(tmp_path / "a", "a", registry.address, "{}:{}".format(*free_address()), "127.0.0.1:1")
--- a/tests/storm/test_copies.py
+++ b/tests/storm/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies between real processes: what neighbours know serves one that returns; those that differ settle."""
+"""Replication between real processes: a restarted host serves by its peers' state, and members converge."""
 
 from __future__ import annotations
 
@@ -35,9 +35,8 @@
 relay_us = 1000000
 """
 Event = dict[str, Any]
-SPREAD_S = (
-    1.0  # for a drain that one member was told to be held to by all: a comparison or two, and half a second
-)
+# Within which all members apply a drain that one member was told: one or two comparisons, and half a second.
+SPREAD_S = 1.0
 
 
 def storm(
@@ -49,13 +48,13 @@
     return verdict, read(folder / "history.jsonl") if folder is not None else []
 
 
-def held(name: str, faults: str, seconds: float, folder: Path, hosts: int = 3) -> list[Event]:
+def run_without_breach(name: str, faults: str, seconds: float, folder: Path, hosts: int = 3) -> list[Event]:
     verdict, events = storm(name, faults, seconds, folder, hosts)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
     return events
 
 
-def at(events: list[Event], what: str, phase: str = "begin") -> float:
+def fault_time(events: list[Event], what: str, phase: str = "begin") -> float:
     return next(
         float(event["t"])
         for event in events
@@ -82,27 +81,27 @@
 LIST_OUT = fault("list-down", 1.0, 6.5) + fault("power", 1.5, 0.5, "h1 h2 h3")
 
 
-def test_all_are_started_while_the_list_is_out_and_serve_by_their_copies(tmp_path: Path) -> None:
-    events = held("list-out", LIST_OUT, 8.0, tmp_path)
-    back, up = at(events, "list-down", "over"), at(events, "power", "over")
+def test_all_hosts_restarted_while_the_list_is_down_serve_by_their_replicas(tmp_path: Path) -> None:
+    events = run_without_breach("list-out", LIST_OUT, 8.0, tmp_path)
+    list_back, hosts_up = fault_time(events, "list-down", "over"), fault_time(events, "power", "over")
     for host in ("h1", "h2", "h3"):
-        assert served(events, host, up, back) > 20
-    told = [event["line"] for event in events if event["kind"] == "said"]
-    assert sum("serving by the fleet's copy of the list" in line for line in told) >= 6
+        assert served(events, host, hosts_up, list_back) > 20
+    lines = [event["line"] for event in events if event["kind"] == "said"]
+    assert sum("serving by the fleet's copy of the list" in line for line in lines) >= 6
     last = {(event["host"], event["instance"]): event for event in events if event["kind"] == "copies"}
-    assert not any(event["by_copy"] for event in last.values())  # the service's own word came back
+    assert not any(event["by_copy"] for event in last.values())  # the list service is back
 
 
-def test_without_copies_nobody_serves_until_the_list_is_back(tmp_path: Path) -> None:
+def test_without_replication_no_host_serves_until_the_list_is_back(tmp_path: Path) -> None:
     _, events = storm("list-out-alone", LIST_OUT, 8.0, tmp_path, copies=False)
-    back, up = at(events, "list-down", "over"), at(events, "power", "over")
-    assert not any(served(events, host, up, back) for host in ("h1", "h2", "h3"))
+    list_back, hosts_up = fault_time(events, "list-down", "over"), fault_time(events, "power", "over")
+    assert not any(served(events, host, hosts_up, list_back) for host in ("h1", "h2", "h3"))
 
 
-def test_a_drain_told_to_any_is_told_to_one_whose_list_is_cut_off(tmp_path: Path) -> None:
+def test_a_drain_reaches_a_host_that_is_cut_off_from_the_list(tmp_path: Path) -> None:
     faults = fault("cut", 0.5, 6.0, "h1", "list") + fault("server-drain", 2.0, to="s1")
-    events = held("drain", faults, 7.0, tmp_path)
-    drained, healed = at(events, "server-drain"), at(events, "cut", "over")
+    events = run_without_breach("drain", faults, 7.0, tmp_path)
+    drained, healed = fault_time(events, "server-drain"), fault_time(events, "cut", "over")
     assert arrivals(events, "h1", "s1", 0, drained) > 0
     assert arrivals(events, "h1", "s1", drained + SPREAD_S, healed) == 0
     assert arrivals(events, "h1", "s2", drained + SPREAD_S, healed) > 0
@@ -116,10 +115,17 @@
 )
 
 
-def test_an_older_disk_acts_on_nothing_before_it_is_level(tmp_path: Path) -> None:
-    """And a planted defect that does is found: it sends to servers that its host was told to drain."""
-    events = held("old-disk", OLD_DISK, 8.0, tmp_path / "well")
-    assert served(events, "h1", at(events, "power", "over"), at(events, "list-down", "over")) > 20
+def test_an_older_disk_is_not_used_before_it_has_caught_up(tmp_path: Path) -> None:
+    """A member with an older disk acts on nothing before it has caught up with its peers.
+
+    The planted defect does: it sends requests to servers that its host was told to drain, and has to be
+    found.
+    """
+    events = run_without_breach("old-disk", OLD_DISK, 8.0, tmp_path / "well")
+    assert (
+        served(events, "h1", fault_time(events, "power", "over"), fault_time(events, "list-down", "over"))
+        > 20
+    )
     for seed in range(1, 6):
         verdict, _ = storm("old-disk", OLD_DISK, 8.0, None, plant="trusts-old-copies", seed=seed)
         if verdict["rules"]["drains"]["breaches"]:
@@ -142,7 +148,7 @@
 
 
 @pytest.mark.parametrize("name", STORMS)
-def test_members_hold_the_same_copies_after(name: str, tmp_path: Path) -> None:
-    events = held(name, STORMS[name], 5.0, tmp_path, hosts=4)
+def test_members_converge_after_the_faults(name: str, tmp_path: Path) -> None:
+    events = run_without_breach(name, STORMS[name], 5.0, tmp_path, hosts=4)
     last = {(event["host"], event["instance"]): event for event in events if event["kind"] == "copies"}
     assert len(last) == 8 and len({event["digest"] for event in last.values()}) == 1
