--- a/sorrelfront/agent.py
+++ b/sorrelfront/agent.py
@@ -1,4 +1,4 @@
-"""The only caller of the decision module: events in, actions out. It carries decisions out and makes none."""
+"""Passes events to the decision module and carries out the actions it returns; makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -21,38 +21,45 @@
 
 log = logging.getLogger(__name__)
 
-# Taken off each deadline: an answer leaves some time after the module's word, on a core that others share.
+# Subtracted from each deadline: on a shared CPU core an answer is sent some time after it was decided on.
 DEADLINE_MARGIN_US = 5_000
-# Given to the module past its deadline before the agent answers in its place; the rules' slack is longer.
+# How long past the deadline the agent waits for a decision before it answers the request itself. This is less
+# than the slack that the rules allow.
 OVERDUE_US = 10_000
-# The least rate of a long body from its client, in bytes a second: a front ends slower ones. It bounds how
-# long a request may be on its way to its server.
+# Minimum rate of a streamed request body, in bytes per second; a front ends slower ones. It bounds the time
+# that a request takes to reach its server.
 UPLOAD_RATE_LEAST = 16_000
-# When all places for requests are taken; about how long a request holds one.
+# Sent with a refusal when the maximum number of requests is in flight: about how long one request takes.
 FULL_RETRY_AFTER_US = 500_000
-NAMES_SHOWN = 8  # servers that one line of the log names
+MAX_NAMES_LOGGED = 8  # maximum number of servers named in one log line
 
 E = TypeVar("E")
 
 
 class Clock:
-    """Monotonic microseconds, anchored once to Unix time, in which starts of backends are told."""
+    """Monotonic clock in microseconds with an offset to Unix time that is set once.
+
+    Start times of backends are given in Unix time.
+    """
 
     def __init__(self) -> None:
         self._anchor_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def __call__(self) -> int:
+        """Return the current time in microseconds."""
         return self._anchor_us + time.monotonic_ns() // 1000
 
 
-class Running(Protocol):
-    """An attempt under way."""
+class AttemptHandle(Protocol):
+    """An attempt in flight."""
 
-    def cancel(self) -> object: ...
+    def cancel(self) -> object:
+        """Cancel the attempt."""
+        ...
 
 
 class Upstream(Protocol):
-    """What carries attempts out."""
+    """Executes attempts on backends."""
 
     def begin(
         self,
@@ -61,36 +68,54 @@
         timeout_us: int,
         fit: Callable[[], bool],
         done: Callable[[Ended], None],
-    ) -> Running | None:
-        """As `attempt`, where that takes no waiting for a connection. `done` is called once, in a later step,
-        also if it is called off. None: nothing has begun."""
+    ) -> AttemptHandle | None:
+        """Start an attempt like `attempt` does, if that needs no wait for a connection.
+
+        `done` is called exactly once, in a later step of the event loop, even if the attempt is cancelled.
+        Returns None if nothing was started.
+        """
 
-    async def attempt(
-        self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]
-    ) -> Ended: ...
+    async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
+        """Send the request to the backend at this address and return how the attempt ended.
 
-    def forget(self, address: Address) -> None: ...
+        `fit` returns whether the attempt may still be sent.
+        """
+        ...
 
-    def reload(self, config: Config) -> None: ...
+    def forget(self, address: Address) -> None:
+        """Close the idle connections to this address."""
+        ...
 
-    def close(self) -> None: ...
+    def reload(self, config: Config) -> None:
+        """Apply the limits of another configuration."""
+        ...
+
+    def close(self) -> None:
+        """Close all idle connections."""
+        ...
 
 
 class Source(Protocol):
-    """What tells of the list of backends."""
+    """Membership source: delivers the list of backends and its updates."""
 
-    def subscribe(self) -> None: ...
+    def subscribe(self) -> None:
+        """Request the list and subscribe to its updates."""
+        ...
 
-    def reload(self, config: Config) -> None: ...
+    def reload(self, config: Config) -> None:
+        """Apply another configuration."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop delivering updates and release all resources."""
+        ...
 
 
-MakeSource = Callable[[Config, Callable[[Update], None], Callable[[], None]], Source]
+SourceFactory = Callable[[Config, Callable[[Update], None], Callable[[], None]], Source]
 
 
 class Held:
-    """A request that is owed its final answer."""
+    """A request in flight: taken, without its final answer yet."""
 
     __slots__ = ("answer", "attempts", "call", "id", "outcome", "overdue", "told")
 
@@ -99,13 +124,13 @@
         self.call = call
         self.answer = answer
         self.attempts = 0
-        self.outcome: api.Outcome | None = None  # of the attempt that ended last
+        self.outcome: api.Outcome | None = None  # of the last attempt that ended
         self.overdue: asyncio.TimerHandle | None = None
-        self.told: Callable[[], None] | None = None  # called once the answer is there, in the same step
+        self.told: Callable[[], None] | None = None  # called as soon as the answer is set, synchronously
 
 
 class Tally:
-    """Requests of one class by their final answers, since the start."""
+    """Counts the requests of one class by type of final answer, since the start."""
 
     __slots__ = ("failed", "refused", "served")
 
@@ -114,26 +139,29 @@
 
 
 def close(answer: Final) -> None:
-    """Nobody will have this answer."""
+    """Discard an answer that will not be delivered, and close its stream."""
     if isinstance(answer, Answer) and answer.stream is not None:
         answer.stream.close()
 
 
-def _id(call: Call) -> str:
-    """The request's id, as its client named it."""
+def _log_id(call: Call) -> str:
+    """Return the client's id of the request as text, truncated for the log."""
     return call.client_id.decode("latin-1")[:64]
 
 
-def _about(call: Call) -> dict[str, str]:
-    """Fields of a log event about this call."""
-    return {"class": call.class_name, "call": _id(call)}
+def _log_fields(call: Call) -> dict[str, str]:
+    """Return the structured log fields of this call."""
+    return {"class": call.class_name, "call": _log_id(call)}
 
 
 class Agent:
-    """One Balancer on real time, real backends and a real list."""
+    """Runs one Balancer with a real clock, real backends and a membership source."""
 
-    def __init__(self, config: Config, upstream: Upstream, source: MakeSource) -> None:
-        """`source` is told where to hand updates, and where to tell that it failed."""
+    def __init__(self, config: Config, upstream: Upstream, make_source: SourceFactory) -> None:
+        """Create an agent; `start` has to be called before requests are taken.
+
+        `make_source` is called with the configuration, a callback for updates and a callback for failures.
+        """
         self._config = config
         self._upstream = upstream
         self.now = Clock()
@@ -142,12 +170,12 @@
         self._classes = {cls.name: cls for cls in config.settings.classes}
         self._directory = Directory()
         self._orders = Orders()
-        self.listed = False  # the membership source has told of the list
-        self._early = False  # asked for ahead of the module's time, and heard since
-        self._source = source(config, self._on_update, self._on_failure)
+        self.listed = False  # the membership source has delivered a list
+        self._subscribed_early = False  # subscribed before the decision module asked for it
+        self._source = make_source(config, self._on_update, self._on_failure)
         self._held: dict[int, Held] = {}
-        self._open_ids: set[bytes] = set()  # of the held requests, as their clients named them
-        self._running: dict[tuple[int, int], Running] = {}
+        self._open_ids: set[bytes] = set()  # client ids of the requests in flight
+        self._running: dict[tuple[int, int], AttemptHandle] = {}
         self._closed = False
         self._count = 0
         self.tallies = {name: Tally() for name in self._classes}
@@ -155,43 +183,53 @@
 
     @property
     def events(self) -> EventCounter:
+        """Counter of refused, failed and retried requests and of failed attempts."""
         return self._events
 
     @property
     def served(self) -> int:
+        """Number of requests that got an answer from a backend, since the start."""
         return sum(tally.served for tally in self.tallies.values())
 
     @property
     def refused(self) -> int:
+        """Number of requests that were refused, since the start."""
         return sum(tally.refused for tally in self.tallies.values())
 
     @property
     def failed(self) -> int:
+        """Number of requests that failed, since the start."""
         return sum(tally.failed for tally in self.tallies.values())
 
     def start(self) -> None:
-        self._run(self.balancer.start())
-        self._hear(self._config.known, api.ListKind.CACHED)
+        """Start the decision module with the cached list; subscribe at once if the source is local."""
+        self._execute(self.balancer.start())
+        self._apply_with_orders(self._config.known, api.ListKind.CACHED)
         if self.pushed:
             self._source.subscribe()
 
     @property
     def pushed(self) -> bool:
-        """Whether the list comes from this machine, at no cost. The module asks only where asking costs, and
-        what is known there counts as told from the first moment."""
+        """Whether the list comes from this machine, at no cost.
+
+        The decision module requests the list only from a remote source. With a local source the cached list
+        counts as received from the start.
+        """
         return not self._config.settings.subscribe
 
     def ask(self) -> None:
-        """Ask for the list now, ahead of the time that the module has drawn. Risk: started beside another
-        version, this one would serve for seconds by the list it was started with, and miss a drain. Harm: of
-        many that are started together, all ask together."""
-        self._early = True
+        """Request the list now instead of at the random time that the decision module has chosen.
+
+        Otherwise a process started beside another version would use its initial list for seconds and miss a
+        drain. The drawback is that many processes that start together also request the list together.
+        """
+        self._subscribed_early = True
         self._source.subscribe()
 
     def reload(self, config: Config) -> None:
-        """Go by another configuration. What is held goes on, under the terms it was taken on."""
+        """Apply another configuration. Requests in flight keep the settings they were taken with."""
         if config.listen != self._config.listen:
-            log.warning("listen is another address; that takes a restart")
+            log.warning("the listen address was changed; this takes effect after a restart")
         self._config = config
         self._classes = {cls.name: cls for cls in config.settings.classes}
         for name in self._classes:
@@ -201,13 +239,13 @@
         self._source.reload(config)
 
     def place(self, number: int, agents: int) -> None:
-        """Have the slice of the servers begin elsewhere: at `number` of `agents` parts of the list."""
+        """Move the start of this agent's subset of servers to part `number` of the list's `agents` parts."""
         settings = replace(self._config.settings, number=number, agents=agents)
         self._config = replace(self._config, settings=settings)
         self._tell(self.balancer.on_settings, settings)
 
     def close(self) -> None:
-        """The end: what is still owed is failed, what is out is called off, and nothing more begins."""
+        """Fail all requests in flight, cancel all attempts and start nothing more."""
         self._closed = True
         self.fail_all()
         self._source.close()
@@ -217,47 +255,53 @@
 
     @property
     def owed(self) -> int:
-        """How many requests still wait for their final answer."""
+        """Number of requests without a final answer yet."""
         return len(self._held)
 
     @property
     def offered(self) -> int:
-        """How many requests have been taken."""
+        """Number of requests received since the start, refused ones included."""
         return self._count
 
     @property
     def attempts(self) -> int:
-        """How many attempts are under way, called-off ones too until they have ended."""
+        """Number of attempts in flight, including cancelled ones that have not ended yet."""
         return len(self._running)
 
     @property
     def longest_deadline_us(self) -> int:
+        """Longest deadline of all request classes, in microseconds."""
         return max(cls.deadline_us for cls in self._classes.values())
 
     def request_class(self, name: str) -> api.RequestClass | None:
+        """Return the request class with this name, or None if there is none."""
         return self._classes.get(name)
 
     def has_open(self, client_id: bytes) -> bool:
-        """Whether a request under this id still waits for its answer."""
+        """Return whether a request with this client id is in flight."""
         return client_id in self._open_ids
 
     # Events
 
     def take(self, call: Call) -> Held:
-        """A request has come whole. Its final answer will be the held future's result."""
+        """Accept a request; the `answer` future of the returned object gets its final answer.
+
+        The request is complete, except for the body if that is streamed.
+        """
         now = self.now()
         self._count += 1
         held = Held(self._count, call, self._loop.create_future())
         if len(self._held) >= self._config.most_held:
             self.tallies[call.class_name].refused += 1
-            self._events.add(Event.REFUSED, api.EndReason.UNSENT, _id(call))
+            self._events.add(Event.REFUSED, api.EndReason.UNSENT, _log_id(call))
             held.answer.set_result(Refused(FULL_RETRY_AFTER_US))
             return held
         self._held[held.id] = held
         self._open_ids.add(call.client_id)
         left_us = call.budget_us - DEADLINE_MARGIN_US
         if call.upload is not None:
-            # Its time counts from its last byte (`whole`), and until then from when that must have come.
+            # Its deadline counts from its last byte (`whole`); until then, from the latest time at which that
+            # byte has to arrive.
             longest = STREAM_MOST if call.upload.length is None else call.upload.length
             left_us += longest * 1_000_000 // UPLOAD_RATE_LEAST
         held.overdue = self._loop.call_later((left_us + OVERDUE_US) / 1e6, self._overdue, held)
@@ -275,7 +319,7 @@
         return held
 
     def whole(self, held: Held) -> None:
-        """The last byte of a body that was passed on while it came is here: its time counts from now."""
+        """Record that the last byte of a streamed body has arrived; its deadline counts from now."""
         if held.id in self._held and held.overdue is not None:
             held.overdue.cancel()
             left_us = held.call.budget_us - DEADLINE_MARGIN_US + OVERDUE_US
@@ -283,31 +327,34 @@
             self._tell(self.balancer.on_whole, api.Whole(held.id, self.now() + left_us - OVERDUE_US), held)
 
     def abandon(self, held: Held) -> None:
-        """The client has gone away."""
+        """Drop a request whose client has disconnected."""
         if self._end(held):
             self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     def _overdue(self, held: Held) -> None:
-        # Whatever goes wrong with a decision, a request that was taken is answered. Where this process stood
-        # still, its timer may also come ahead of the end of an attempt whose time was up before it.
+        # A request that was taken is answered even if deciding on it went wrong. After this process was
+        # suspended, this timer may also run before the timeout of an attempt that expired earlier.
         late_s = 0.0 if held.overdue is None else self._loop.time() - held.overdue.when()
-        log.error("request %d was overdue, %.3f s ago", held.id, late_s, extra=_about(held.call))
+        log.error("no answer to request %d by its deadline, timer %.3f s late", held.id, late_s,
+                  extra=_log_fields(held.call))  # fmt: skip
         self._finish(held, Failed())
         self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     def _on_update(self, update: Update) -> None:
         self.listed = True
-        self._hear(update, api.ListKind.FULL if update.complete else api.ListKind.DELTA)
+        self._apply_with_orders(update, api.ListKind.FULL if update.complete else api.ListKind.DELTA)
 
-    def _hear(self, update: Update, kind: api.ListKind) -> None:
-        """What the list says, as operators' orders leave it."""
-        self._apply(update._replace(backends=self._orders.heard(update.backends, update.complete)), kind)
+    def _apply_with_orders(self, update: Update, kind: api.ListKind) -> None:
+        """Apply a list from the source with the operators' orders laid over it."""
+        self._apply_update(
+            update._replace(backends=self._orders.heard(update.backends, update.complete)), kind
+        )
 
-    def _apply(self, update: Update, kind: api.ListKind) -> None:
+    def _apply_update(self, update: Update, kind: api.ListKind) -> None:
         withdrawn = self._directory.apply(update)
         if withdrawn:
-            names = ", ".join(sorted(withdrawn)[:NAMES_SHOWN])
-            log.info("list %d (%s): nothing new goes to %d of the servers: %s", update.revision, kind.value,
+            names = ", ".join(sorted(withdrawn)[:MAX_NAMES_LOGGED])
+            log.info("list %d (%s): no new attempts go to %d of the servers: %s", update.revision, kind.value,
                      len(withdrawn), names)  # fmt: skip
         for address in withdrawn.values():
             self._upstream.forget(address)
@@ -316,50 +363,53 @@
     # Operators
 
     def put_out(self, servers: Iterable[str]) -> None:
-        """These servers, and no others, are out by hand from here on: nothing new goes to them."""
+        """Replace the set of servers that operators have disabled; no new attempts go to these."""
         changed = self._orders.ordered(servers)
         if changed:
-            self._apply(Update(0, False, changed, {}), api.ListKind.DELTA)
+            self._apply_update(Update(0, False, changed, {}), api.ListKind.DELTA)
 
     def knows(self, server: str) -> bool:
-        """Whether this server is listed, or out by hand."""
+        """Return whether this server is listed or disabled by operators."""
         return self._orders.knows(server)
 
     @property
     def targets(self) -> int:
-        """How many servers the list has."""
+        """Number of servers in the list."""
         return self._orders.listed
 
     @property
     def avoided(self) -> int:
-        """How many of these are sent nothing now: out by hand, or shut by the decisions."""
+        """Number of listed servers that get no attempts now.
+
+        They are disabled by operators or closed by the decision module.
+        """
         now = self.now()
         return len(self._orders.listed_out()) + sum(not item.open(now) for item in self.balancer.ready)
 
     def _on_failure(self) -> None:
-        self._early = False
+        self._subscribed_early = False
         self._tell(self.balancer.on_list, api.BackendList(api.ListKind.FAILED))
 
     def _tell(
         self, handler: Callable[[E, int], list[api.Action]], event: E, held: Held | None = None
     ) -> None:
-        """Hand an event to the module and carry out what it answers."""
+        """Pass an event to the decision module and execute the actions that it returns."""
         try:
-            self._run(handler(event, self.now()))
+            self._execute(handler(event, self.now()))
         except Exception:
-            about = _about(held.call) if held is not None else None
-            log.exception("deciding on %s failed", type(event).__name__, extra=about)
+            log_fields = _log_fields(held.call) if held is not None else None
+            log.exception("the decision on %s raised an exception", type(event).__name__, extra=log_fields)
             if held is not None and self._finish(held, Failed()):
                 self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     # Actions
 
-    def _run(self, actions: list[api.Action]) -> None:
+    def _execute(self, actions: list[api.Action]) -> None:
         for action in actions:
             match action:
                 case api.Send() | api.SetTimer() | api.Subscribe() if self._closed:
-                    # Risk: a timer that was set before the end opens a call to the list service that nobody
-                    # closes.
+                    # A timer set before `close` would open a request to the list service that is never
+                    # closed.
                     continue
                 case api.Send():
                     self._send(action)
@@ -376,14 +426,14 @@
                 case api.SetTimer(delay_us, tag):
                     self._loop.call_later(delay_us / 1e6, self._tell, self.balancer.on_timer, api.Timer(tag))
                 case api.Subscribe():
-                    if not self._early:
+                    if not self._subscribed_early:
                         self._source.subscribe()
-                    self._early = False
+                    self._subscribed_early = False
 
     def _count_end(self, event: Event, reason: api.EndReason, request_id: int) -> None:
         held = self._held.get(request_id)
         if held is not None:
-            self._events.add(event, reason, _id(held.call))
+            self._events.add(event, reason, _log_id(held.call))
 
     def _answer(self, request_id: int, answer: Final) -> None:
         held = self._held.get(request_id)
@@ -391,7 +441,7 @@
             self._finish(held, answer)
 
     def _end(self, held: Held) -> bool:
-        """It is owed nothing more. False if it was not owed anything."""
+        """Remove a request from those in flight. Returns False if it was not in flight."""
         if self._held.pop(held.id, None) is None:
             return False
         self._open_ids.discard(held.call.client_id)
@@ -413,29 +463,29 @@
             close(answer)
         else:
             held.answer.set_result(answer)
-            # Risk: a circle of request and connection that waits for a collection.
+            # Cleared, since a reference cycle of request and connection would wait for the garbage collector.
             told, held.told = held.told, None
             if told is not None:
                 told()
         return True
 
     def fail_all(self) -> None:
-        """Answer every request that is still owed its answer as failed: there is no time left for more."""
+        """Answer every request in flight as failed, because there is no time left."""
         for held in [*self._held.values()]:
             self.fail(held)
 
     def fail(self, held: Held) -> None:
-        """Answer this request as failed, if it is still owed its answer, and call off what is out for it."""
+        """Answer this request as failed, if it is in flight, and have its attempts cancelled."""
         if self._finish(held, Failed()):
             self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     def _send(self, action: api.Send) -> None:
         held = self._held.get(action.request_id)
         if held is None:
-            log.error("an attempt for request %d, which is not held", action.request_id)
+            log.error("an attempt was decided on for request %d, which is not in flight", action.request_id)
             return
         if held.outcome is not None:
-            self._events.add(Event.RETRIED, held.outcome, _id(held.call))
+            self._events.add(Event.RETRIED, held.outcome, _log_id(held.call))
         key = (held.id, held.attempts)
         held.attempts += 1
         started = self.now()
@@ -444,47 +494,56 @@
         if address is not None:
             running = self._upstream.begin(
                 held.call, address, action.timeout_us,
-                partial(self._may_begin, held, action), partial(self._done, held, key, started),
+                partial(self._may_send, held, action), partial(self._on_attempt_done, held, key, started),
             )  # fmt: skip
             if running is not None:
                 self._running[key] = running
                 return
         task = self._running[key] = asyncio.create_task(self._exchange(held, key, action, started))
-        task.add_done_callback(lambda done: self._broke_off(held, key, backend, done, started))
+        task.add_done_callback(lambda done: self._on_task_done(held, key, backend, done, started))
 
-    def _may_begin(self, held: Held, action: api.Send) -> bool:
-        """Asked whenever an attempt that was decided on goes a step further. Risk: by the time its connection
-        is up, its client has left, its server drains, or its servers have forgotten the attempt before it."""
+    def _may_send(self, held: Held, action: api.Send) -> bool:
+        """Return whether an attempt may still be sent; checked before each of its steps.
+
+        By the time its connection is established, its client may have disconnected, its server may drain, or
+        the deduplication window of an earlier attempt may have passed.
+        """
         if held.id not in self._held or self.now() >= action.begin_before_us:
             return False
-        # Risk: on a core that others share a turn of the loop lasts, and its client's end waits in the kernel
-        # for as long.
+        # On a shared CPU core one iteration of the event loop can take long, and until it ends the client's
+        # disconnect is known only to the kernel.
         if held.call.left is not None and held.call.left():
             return False
         return self._directory.is_ready(action.backend)
 
-    def _done(self, held: Held, key: tuple[int, int], started: int, ended: Ended) -> None:
-        """An attempt without a task of the agent's has ended."""
+    def _on_attempt_done(self, held: Held, key: tuple[int, int], started: int, ended: Ended) -> None:
+        """Handle the end of an attempt that `Upstream.begin` has started."""
         del self._running[key]
         self._ended(held, key, ended, self._elapsed_us(held, started))
 
-    def _broke_off(
+    def _on_task_done(
         self, held: Held, key: tuple[int, int], backend: str, task: asyncio.Task[None], started: int
     ) -> None:
-        """Told however the task ends; one that ran to its end has told its outcome itself. Risk: one that is
-        cancelled before its first step runs none of its own code, and the module would count the attempt as
-        pending for ever."""
+        """Report the end of an attempt whose task was cancelled or has raised.
+
+        It is called for every task that ends; a task that completed has reported its outcome itself. A task
+        cancelled before its first step runs none of its own code, and without this callback the decision
+        module would count the attempt as pending forever.
+        """
         if self._running.pop(key, None) is None:
             return
         ended = Ended(api.Outcome.CANCELLED)
         if not task.cancelled():
-            about = {**_about(held.call), "server": backend}
-            log.error("an attempt failed", exc_info=task.exception(), extra=about)
+            log_fields = {**_log_fields(held.call), "server": backend}
+            log.error("an attempt raised an exception", exc_info=task.exception(), extra=log_fields)
             ended = Ended(api.Outcome.UNKNOWN)
         self._ended(held, key, ended, self._elapsed_us(held, started))
 
     def _elapsed_us(self, held: Held, started: int) -> int:
-        """How long the server had for it. Risk: a client that sends slowly makes its server look slow."""
+        """Return how long the server had for the attempt, in microseconds.
+
+        The time of a streamed body is left out, since a slow client would make its server look slow.
+        """
         upload, now = held.call.upload, self.now()
         if upload is None:
             return now - started
@@ -493,16 +552,18 @@
         return min(now - started, int((time.monotonic() - upload.whole_at) * 1e6))
 
     async def _exchange(self, held: Held, key: tuple[int, int], action: api.Send, started: int) -> None:
-        """One attempt, and what follows from it, in one step: told by a callback, it would cost a turn of the
-        loop."""
+        """Run one attempt and report its outcome.
+
+        Both happen in one step, because a callback would cost an iteration of the event loop.
+        """
         backend = action.backend
         address = self._directory.address(backend)
-        # Risk: told as unsent for want of room, a request whose server has left the list between decision and
-        # first step would be refused, where others could serve it.
+        # The server may have left the list between the decision and this step. UNSENT would mean that this
+        # process has no room, and the request would be refused although other servers could serve it.
         ended = Ended(api.Outcome.UNREACHABLE)
         if address is not None:
             ended = await self._upstream.attempt(
-                held.call, address, action.timeout_us, partial(self._may_begin, held, action)
+                held.call, address, action.timeout_us, partial(self._may_send, held, action)
             )
         del self._running[key]
         self._ended(held, key, ended, self._elapsed_us(held, started))
@@ -511,15 +572,15 @@
         if ended.answer is not None and not self._finish(held, ended.answer):
             close(ended.answer)
         finished = held.id not in self._held
-        # Risk: a peer that writes its answer slowly, piece by piece, passes for one with a queue, and what
-        # would be served in time is refused. What was waited for is the answer's first byte.
+        # The time until the answer's first byte. Counted to its last byte, a server that writes its answer
+        # slowly would look like one with a queue, and requests that it could serve in time would be refused.
         waited_us = max(0, elapsed_us - ended.tail_us)
         outcome = held.outcome = ended.outcome
         if outcome is not api.Outcome.OK:
-            self._events.add(Event.ATTEMPT, outcome, _id(held.call))
+            self._events.add(Event.ATTEMPT, outcome, _log_id(held.call))
         if outcome is api.Outcome.UNREACHABLE and held.id not in self._held:
-            # Risk: a server is shut as unreachable since nothing was begun for a client that had left. Harm:
-            # one that could not be reached in fact shows by the next attempt.
+            # Nothing may have been sent only because the client had disconnected, and the server must not be
+            # closed as unreachable for that. If it is in fact unreachable, the next attempt shows it.
             outcome = api.Outcome.UNSENT
         event = api.AttemptEnded(*key, outcome, waited_us, finished)
         self._tell(self.balancer.on_attempt_ended, event, held)
