--- a/sorrelfront/__init__.py
+++ b/sorrelfront/__init__.py
@@ -1,1 +1,1 @@
-"""A client-side load balancer: what `sorrelfront.decisions` decides is carried out on real sockets."""
+"""A client-side load balancer: carries out the decisions of `sorrelfront.decisions` on real sockets."""
--- a/sorrelfront/errors.py
+++ b/sorrelfront/errors.py
@@ -1,25 +1,28 @@
-"""The package's types of error that operators meet: what happened, and what they can do."""
+"""Base class of the errors that are shown to operators, with a remedy for each."""
 
 from __future__ import annotations
 
 
 class SorrelfrontError(Exception):
-    """The base of all. `str` of one says what happened, in one line. `remedy`, on each class or given to an
-    instance, says what an operator can do, in one sentence."""
+    """Base class of all errors that are shown to operators.
+
+    `str` of an error says in one line what happened. `remedy`, set on each class or passed to an instance,
+    says in one sentence what an operator can do.
+    """
 
     remedy: str
 
-    def __init__(self, *what: object, remedy: str = "") -> None:
-        super().__init__(*what)
+    def __init__(self, *details: object, remedy: str = "") -> None:
+        super().__init__(*details)
         if remedy:
             self.remedy = remedy
 
     def __init_subclass__(cls) -> None:
-        """Raises TypeError for a type that tells operators nothing to do."""
+        """Raise TypeError for a subclass without a remedy."""
         super().__init_subclass__()
         if not getattr(cls, "remedy", ""):
             raise TypeError(f"{cls.__name__} has no remedy")
 
     def told(self) -> str:
-        """Both, in one line."""
+        """Return the error text and the remedy in one line."""
         return " ".join(f"{self}; {self.remedy}".split())
--- a/sorrelfront/lists.py
+++ b/sorrelfront/lists.py
@@ -1,4 +1,4 @@
-"""Lists of backends: how they are written, and where each listed backend is reached. No I/O."""
+"""Backend lists: parsing of updates, and the addresses and states of the listed backends. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from sorrelfront.errors import SorrelfrontError
 from sorrelfront.messages import Address, Update
 
-PORT = re.compile(r"[0-9]{1,5}")
-STATES = {"ready": api.State.READY, "draining": api.State.DRAINING, "gone": api.State.GONE}
+PORT_PATTERN = re.compile(r"[0-9]{1,5}")
+STATE_BY_PHASE = {"ready": api.State.READY, "draining": api.State.DRAINING, "gone": api.State.GONE}
 
 
 class Malformed(SorrelfrontError):
-    """A list that does not say what it must."""
+    """A list or an address that cannot be parsed."""
 
     remedy = (
         "Look at what the list service sends for this server: the fields and their form "
@@ -24,10 +24,13 @@
 
 
 def parse_address(text: Any) -> Address:
-    """An IPv4 address and a port. Risk: a name would be looked up, and there is no DNS."""
+    """Parse an IPv4 address with a port.
+
+    Host names are rejected, because there is no DNS. Raises Malformed.
+    """
     host, _, port = str(text).rpartition(":")
     try:
-        if PORT.fullmatch(port) and 0 < int(port) < 65_536:
+        if PORT_PATTERN.fullmatch(port) and 0 < int(port) < 65_536:
             return str(IPv4Address(host)), int(port)
     except AddressValueError:
         pass
@@ -35,11 +38,11 @@
 
 
 def parse_update(value: Any) -> Update:
-    """A list in discovery's form; fields that it does not know are passed over."""
+    """Parse a list in the discovery service's format; unknown fields are ignored. Raises Malformed."""
     try:
         backends, addresses = [], {}
         for member in value["members"]:
-            backend = _backend(member)
+            backend = _parse_backend(member)
             backends.append(backend)
             if backend.state is not api.State.GONE:
                 addresses[backend.id] = parse_address(member["host_port"])
@@ -50,8 +53,8 @@
         raise Malformed(str(fault)) from None
 
 
-def _backend(member: dict[str, Any]) -> api.Backend:
-    state = STATES.get(member["phase"])
+def _parse_backend(member: dict[str, Any]) -> api.Backend:
+    state = STATE_BY_PHASE.get(member["phase"])
     if state is None:
         raise Malformed(f"phase is unknown: {member['phase']!r}")
     return api.Backend(
@@ -66,15 +69,18 @@
 
 
 class Directory:
-    """Where the listed backends are reached, and which of them want nothing new."""
+    """Addresses of the listed backends, and which of them accept new requests."""
 
     def __init__(self) -> None:
         self._addresses: dict[str, Address] = {}
-        self._ready: dict[str, int] = {}  # and when each started
+        self._ready: dict[str, int] = {}  # start time of each, in microseconds
 
     def apply(self, update: Update) -> dict[str, Address]:
-        """Take on what discovery says. Returns the processes that want nothing new, by server, with their
-        addresses: they drain, are gone, or have been started anew."""
+        """Apply an update from the discovery service.
+
+        Returns the addresses, by server, of the processes that no longer accept new requests: they drain, are
+        gone, or were replaced by a restart or at another address.
+        """
         addresses, ready = self._addresses, self._ready
         if update.complete:
             self._addresses, self._ready = {}, {}
@@ -95,7 +101,9 @@
         }
 
     def address(self, backend: str) -> Address | None:
+        """Return the address of a backend, or None if it is not listed."""
         return self._addresses.get(backend)
 
     def is_ready(self, backend: str) -> bool:
+        """Return whether a backend is listed as ready for new requests."""
         return backend in self._ready
--- a/sorrelfront/log_limits.py
+++ b/sorrelfront/log_limits.py
@@ -1,4 +1,4 @@
-"""How many log records of one kind are passed, in whichever program."""
+"""Rate limit for log records, used by all programs of the package."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 from collections.abc import Callable
 
 SPAN_S = 10.0
-BURST = 20  # records of one kind in a span: a peer that fails fast would fill a disk with its failures
-MAX_KINDS = 512  # kinds that are counted apart; further ones share a count
+BURST = 20  # records of one kind in SPAN_S; a peer that fails often could otherwise fill the disk
+MAX_KINDS = 512  # kinds that are counted separately; all others share one count
 
 
 class RateLimit(logging.Filter):
-    """Passes at most BURST records of one kind (a place in the code) in SPAN_S seconds.
+    """Passes at most BURST records of one kind (one place in the code) in SPAN_S seconds.
 
-    The next one that is passed has `left_out`, how many of its kind were not.
+    The next record that passes has the attribute `left_out`: the number of suppressed records of its kind.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
         self._clock = clock
-        self._kinds: dict[tuple[str, int], tuple[float, int]] = {}  # since when, and how many
+        self._kinds: dict[tuple[str, int], tuple[float, int]] = {}  # start of the window, and count
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether the record is within the limit of its kind."""
         kind = (record.pathname, record.lineno)
         if kind not in self._kinds and len(self._kinds) >= MAX_KINDS:
             kind = ("", 0)
--- a/sorrelfront/messages.py
+++ b/sorrelfront/messages.py
@@ -1,4 +1,4 @@
-"""What the parts of the agent hand to each other: a request as taken, and the answer to it."""
+"""Data types shared by fronts, agent and upstreams: requests, answers, attempt results and list updates."""
 
 from __future__ import annotations
 
@@ -13,39 +13,46 @@
 
 
 class Upload(Protocol):
-    """A body that is passed on while it comes."""
+    """A request body that is streamed from the client to the server."""
 
     @property
-    def length(self) -> int | None: ...
+    def length(self) -> int | None:
+        """Declared length in bytes; None if it is not declared."""
+        ...
 
     @property
     def whole_at(self) -> float | None:
-        """When its last byte came, on the monotonic clock; None while more is to come."""
+        """Monotonic time in seconds at which the last byte arrived; None until then."""
 
     def begin(self) -> bool:
-        """Take it from its start. False if that is no longer to be had."""
+        """Start to read from the beginning. Returns False if the beginning is no longer available."""
 
     async def read(self) -> bytes:
-        """The next piece, empty at the end. Raises ConnectionError."""
+        """Return the next piece, empty at the end. Raises ConnectionError if the body is truncated."""
 
 
 class Stream(Protocol):
-    """The body of an answer that goes on while it comes. Whoever has it closes it, whatever happens."""
+    """The streamed body of an answer. Whoever holds it must close it in every case."""
 
     @property
-    def length(self) -> int | None: ...
+    def length(self) -> int | None:
+        """Declared length in bytes; None if it is not declared."""
+        ...
 
     async def read(self) -> bytes:
-        """The next piece, empty at the end. Raises OSError if the rest does not come."""
+        """Return the next piece, empty at the end. Raises OSError if the body is truncated."""
 
     def close(self) -> None:
-        """Nobody wants more of it."""
+        """Discard the rest of the body."""
 
 
 @dataclass(slots=True)
 class Call:
-    """A client's request, read to its last byte: what the module is told, and what backends are sent. The
-    payload is opaque to the agent: a front made it, and the upstream of the same protocol reads it."""
+    """A client's request: the data for the decision module and the payload for backends.
+
+    It is complete, except for a body that is streamed (`upload`). The payload is opaque to the agent: a front
+    created it, and the upstream of the same protocol reads it.
+    """
 
     client_id: bytes
     class_name: str
@@ -55,46 +62,47 @@
     tenant: str = ""
     cost_hint_us: int = 0
     is_retry: bool = False
-    repeatable: bool = False  # a second execution does no harm, or is dropped
-    upload: Upload | None = None  # the body, if it is too long to be held
-    # Whether the client has left by now, though nobody has been told yet. None: the front cannot tell.
+    repeatable: bool = False  # a second execution is harmless or is deduplicated
+    upload: Upload | None = None  # the body, if it is too long to be buffered
+    # Returns whether the client has disconnected, even if this has not been reported yet. None if the front
+    # cannot detect it.
     left: Callable[[], bool] | None = None
 
 
 class Refused(NamedTuple):
-    """A final answer: nothing has run that a repeat could double. Trying again may help after this time."""
+    """A final answer: a retry cannot execute anything twice, and may succeed after this time."""
 
     retry_after_us: int
 
 
 class Failed(NamedTuple):
-    """A final answer that promises nothing: it may have run."""
+    """A final answer without any guarantee: the request may have run."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer of a backend's, or of a front's own, in the words of its protocol."""
+    """A final answer from a backend or from a front itself, in the terms of its protocol."""
 
     status: int
     headers: Headers = field(default_factory=list)
     body: bytes | bytearray = b""
-    stream: Stream | None = None  # the body, if it is too long to be held
+    stream: Stream | None = None  # the body, if it is too long to be buffered
 
 
 @dataclass(slots=True)
 class Ended:
-    """How an attempt ended; a 200 carries the answer to pass on."""
+    """Result of an attempt; `answer` is set if it ended with a 200 that is to be passed on."""
 
     outcome: api.Outcome
     answer: Answer | None = None
-    tail_us: int = 0  # from the answer's first byte to its last
+    tail_us: int = 0  # time from the first to the last byte of the answer
 
 
 Final = Answer | Refused | Failed
 
 
 class Update(NamedTuple):
-    """What a membership source has heard: the whole list or what changed in it."""
+    """An update from a membership source: the whole list (`complete`) or only the changes."""
 
     revision: int
     complete: bool
--- a/sorrelfront/signals.py
+++ b/sorrelfront/signals.py
@@ -1,4 +1,4 @@
-"""Signals that stay harmless from the first line of a program to its last."""
+"""Signal handlers that stay in place until the process ends."""
 
 from __future__ import annotations
 
@@ -10,20 +10,24 @@
 
 
 def ignore_from_here(*numbers: signal.Signals) -> None:
-    """For a program's last lines: the interpreter puts the default back for a handler, but leaves what is
-    ignored."""
+    """Ignore these signals until the process ends; called right before a program exits.
+
+    At exit the interpreter restores the default action of handled signals, but leaves ignored ones ignored.
+    """
     for number in numbers:
         signal.signal(number, signal.SIG_IGN)
 
 
 def on_signal(number: signal.Signals, callback: Callable[[], None]) -> None:
-    """Have the running loop call this for each such signal. Risk: the loop's own handlers go with the loop
-    and leave the default behind, so a second SIGTERM during the last steps kills, and it looks like a crash.
+    """Call `callback` in the running event loop whenever this signal arrives.
+
+    The loop's own signal handlers are removed with the loop, which restores the default action. A second
+    SIGTERM during the last steps would then kill the process and look like a crash.
     """
     loop = asyncio.get_running_loop()
 
     def handle(_: int, frame: FrameType | None) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has closed: nothing is left to be done
+        with contextlib.suppress(RuntimeError):  # the loop is closed, and the program is ending
             loop.call_soon_threadsafe(callback)
 
     signal.signal(number, handle)
--- a/sorrelfront/terms.py
+++ b/sorrelfront/terms.py
@@ -1,4 +1,4 @@
-"""What one agent goes by: its terms, checked, whoever read them from wherever."""
+"""Validated configuration of one agent, independent of the format it was read from."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """Configuration of one agent."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    memory_bytes: int
-    sockets: int
+    memory_bytes: int  # memory limit of the process
+    sockets: int  # maximum number of open file descriptors
     settings: Settings
-    known: Update
-    most_held: int
-    idle_us: int
-    control: Address | None = None  # where operators call, if anywhere
+    known: Update  # the cached list of backends
+    most_held: int  # maximum number of requests in flight
+    idle_us: int  # the backends' idle timeout
+    control: Address | None = None  # address of the control interface, if there is one
--- a/sorrelfront/upstreams/__init__.py
+++ b/sorrelfront/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""What servers speak: one attempt carried out, one outcome told, connections kept."""
+"""Upstream protocols: run attempts on servers, report their outcomes and pool connections."""
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sorrelfront.decisions.interface import EndReason, Outcome
-from sorrelfront.events import SPAN_S, Event, EventCounter
+from sorrelfront.events import REPORT_INTERVAL_S, Event, EventCounter
 from sorrelfront.fronts.http1 import RejectReason
 from sorrelfront.upstreams.http1 import ServerCloseReason
 from tests.loopback import Backend, answer, looped, request, world
@@ -24,10 +24,10 @@
     events.add(Event.RETRIED, Outcome.RESET)
     events.report()
     assert not caplog.messages
-    now = SPAN_S
+    now = REPORT_INTERVAL_S
     events.report()
     assert caplog.messages == ["in 5.0 s: refused infeasible 3 (last r2); retried reset 1"]
-    now = 2 * SPAN_S
+    now = 2 * REPORT_INTERVAL_S
     events.report()
     assert len(caplog.messages) == 1
 
