--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, backends and a small driver that the tests share."""
+"""Settings, backends and helpers to drive a Balancer, shared by the tests."""
 
 from __future__ import annotations
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""An agent in the test's process, with stand-ins around it."""
+"""Runs an agent in the test's process, with fake clients, backends and discovery on loopback."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class World:
-    """An agent in this process, with what it stands between."""
+    """An agent in this process with its listener and its upstream."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -68,7 +68,7 @@
 
 
 def looped(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
-    """A test that is a coroutine, run to its end in a loop of its own."""
+    """Run a coroutine test to its end in its own event loop."""
 
     @functools.wraps(test)
     def run(*args: P.args, **more: P.kwargs) -> None:
@@ -78,7 +78,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition that nothing announces."""
+    """Poll until a condition holds that signals no event. Raises TimeoutError after PATIENCE_S."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/net/test_connecting.py
+++ b/tests/net/test_connecting.py
@@ -1,6 +1,6 @@
-"""What has changed by the time a connection to a backend is up: nothing begins on it that may not begin now.
+"""Requests whose situation changes during the connect to a backend: what may no longer be sent is not sent.
 
-Verdicts come from the backends' books. A connection is late for as long as the test holds it back.
+The tests check what the backends received. A connect takes as long as the test delays it.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from tests.loopback import Backend, Registry, World, answer, looped, member, request, until, world
 
 OK = answer(b"served")
-WINDOW_US = 4_000_000  # of class book
+WINDOW_US = 4_000_000  # deduplication window of class book
 
 
-class LateConnections:
-    """Holds back each connection to these addresses, all of them if none is named, until told."""
+class DelayedConnects:
+    """Delays each connect to these addresses, or to all if none is given, until `go` is set."""
 
     def __init__(self, made: World, *addresses: str) -> None:
         self.waiting = 0
@@ -42,20 +42,22 @@
 
 
 @looped
-async def test_a_keyed_request_is_not_repeated_on_a_connection_that_came_up_behind_its_window() -> None:
+async def test_keyed_request_is_not_retried_if_the_connect_ends_after_its_window() -> None:
+    """The first attempt may have run, and the second connect ends after the deduplication window."""
+
     async def resets(_: bytes, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     first, second = await Backend(resets).start(), await Backend(OK).start()
     async with world(first, second, connectTimeoutUs=0) as made:
-        late = LateConnections(made, second.address)
-        made.agent.balancer.servers["b1"].observe(1_000.0, made.agent.now())  # the other is asked first
+        delayed = DelayedConnects(made, second.address)
+        made.agent.balancer.servers["b1"].observe(1_000.0, made.agent.now())  # tried second
         client = await made.client()
         client.send(request("a", "book", b"x"))
-        await until(lambda: late.waiting == 1)
-        real = made.agent.now
-        made.agent.now = lambda: real() + WINDOW_US  # type: ignore[assignment]
-        late.go.set()
+        await until(lambda: delayed.waiting == 1)
+        real_now = made.agent.now
+        made.agent.now = lambda: real_now() + WINDOW_US  # type: ignore[assignment]
+        delayed.go.set()
         assert (await client.answer())[0] == 503
         await until(lambda: made.agent.attempts == 0)
         assert len(first.seen) == 1 and second.seen == []
@@ -63,38 +65,38 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @looped
-async def test_nothing_begins_for_a_client_that_left_while_its_connection_came_up(may_cancel: bool) -> None:
+async def test_nothing_is_sent_for_a_client_that_left_during_the_connect(may_cancel: bool) -> None:
     backend = await Backend(OK).start()
     async with world(backend, connectTimeoutUs=0, mayCancel=may_cancel) as made:
-        late = LateConnections(made)
+        delayed = DelayedConnects(made)
         client = await made.client()
         client.send(request("a", "pay", b"x"))
-        await until(lambda: late.waiting == 1)
+        await until(lambda: delayed.waiting == 1)
         client.close()
         await until(lambda: made.agent.owed == 0)
-        late.go.set()
+        delayed.go.set()
         await until(lambda: made.agent.attempts == 0)
         next_one = await made.client()
         next_one.send(request("b", "pay", b"x"))
         assert (await next_one.answer())[0] == 200
         assert [b"x-call-id: b\r" in seen.lower() for seen in backend.seen] == [True]
-        assert made.upstream.open == 1  # the one that came up for nobody is closed
+        assert made.upstream.open == 1  # the unused connection is closed
 
 
 @looped
-async def test_nothing_begins_for_a_client_whose_end_waits_in_the_kernel() -> None:
-    """Its end has come and nobody was told yet: the turn that would tell goes to the connection."""
+async def test_nothing_is_sent_for_a_client_whose_close_is_not_reported_yet() -> None:
+    """The client's close has arrived, but the event loop has not reported it before the connect completes."""
     backend = await Backend(OK).start()
     async with world(backend, connectTimeoutUs=0) as made:
-        late = LateConnections(made)
+        delayed = DelayedConnects(made)
         client = await made.client()
         client.send(request("a", "pay", b"x"))
-        await until(lambda: late.waiting == 1)
+        await until(lambda: delayed.waiting == 1)
         (connection,) = made.listener._clients
-        connection.wire._unwatch()  # the loop is not told of what comes from here on
+        connection.wire._unwatch()  # the loop does not report input from here on
         client.close()
         await until(connection.wire.hung_up)
-        late.go.set()
+        delayed.go.set()
         await until(lambda: made.agent.attempts == 0)
         assert backend.seen == [] and made.upstream.open == 0
         connection.cancel()
@@ -104,8 +106,11 @@
 
 @pytest.mark.parametrize("more", ["", "Connection: close\r\n"])
 @looped
-async def test_who_asked_and_left_before_it_was_accepted_is_not_sent_for(more: str) -> None:
-    """Descriptors were out, and its request and its end waited in the queue; taken at once, or by a task."""
+async def test_nothing_is_sent_for_a_client_that_left_before_it_was_accepted(more: str) -> None:
+    """With no free descriptors, the request and the close wait in the accept queue.
+
+    Depending on its headers, the request is then handled directly or by a task.
+    """
     backend = await Backend(OK).start()
     async with world(backend) as made:
         made.listener._pause()
@@ -119,35 +124,35 @@
 
 
 @looped
-async def test_nothing_begins_at_a_server_that_drains_by_the_time_its_connection_is_up() -> None:
+async def test_nothing_is_sent_to_a_server_that_drains_by_the_end_of_the_connect() -> None:
     draining, other = await Backend(OK).start(), await Backend(OK).start()
     registry = await Registry().start()
     async with world(draining, other, registry=registry, connectTimeoutUs=0) as made:
-        late = LateConnections(made, draining.address)
+        delayed = DelayedConnects(made, draining.address)
         made.agent.balancer.servers["b1"].observe(1_000.0, made.agent.now())
         client = await made.client()
         client.send(request("a", "pay", b"x"))
-        await until(lambda: late.waiting == 1)
+        await until(lambda: delayed.waiting == 1)
         await registry.asked.wait()
         registry.change(member("b0", draining.address, "draining"))
         await until(lambda: made.agent.balancer.servers["b0"] not in made.agent.balancer.ready)
-        late.go.set()
+        delayed.go.set()
         assert (await client.answer())[0] == 200
         assert draining.seen == [] and len(other.seen) == 1
 
 
 @looped
-async def test_a_server_is_told_what_is_left_when_its_connection_is_up() -> None:
+async def test_server_gets_the_budget_left_after_the_connect() -> None:
     backend = await Backend(OK).start()
     async with world(backend, connectTimeoutUs=0) as made:
-        late = LateConnections(made)
+        delayed = DelayedConnects(made)
         client = await made.client()
         since = made.agent.now()
         client.send(request("a", "pay", b"x"))
-        await until(lambda: late.waiting == 1)
+        await until(lambda: delayed.waiting == 1)
         await until(lambda: made.agent.now() - since > 200_000)
-        spent_us = made.agent.now() - since
-        late.go.set()
+        elapsed_us = made.agent.now() - since
+        delayed.go.set()
         assert (await client.answer())[0] == 200
-        (told,) = (int(line[10:-1]) for line in backend.seen[0].split(b"\r\n") if line[:10] == b"X-Budget: ")
-        assert 0 < told <= 4_500_000 - spent_us  # of what the client said
+        (left,) = (int(line[10:-1]) for line in backend.seen[0].split(b"\r\n") if line[:10] == b"X-Budget: ")
+        assert 0 < left <= 4_500_000 - elapsed_us  # the client's own budget is the upper bound
--- a/tests/test_ask.py
+++ b/tests/test_ask.py
@@ -1,4 +1,4 @@
-"""Asking for the list ahead of the module's time."""
+"""Early subscription to the list, and no subscription after the agent was closed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 from tests.loopback import table
 
 
-class Told:
+class CountingSource:
+    """Counts the subscriptions to the list."""
+
     def __init__(self) -> None:
-        self.asked = 0
+        self.subscriptions = 0
 
     def subscribe(self) -> None:
-        self.asked += 1
+        self.subscriptions += 1
 
     def reload(self, config: Any) -> None:
         pass
@@ -26,35 +28,39 @@
         pass
 
 
-def test_what_was_asked_for_early_is_not_asked_for_again_unless_it_failed() -> None:
-    async def play() -> None:
+def test_early_subscription_is_not_repeated_unless_it_failed() -> None:
+    """A list that was requested early would be requested twice, or not again after a failure."""
+
+    async def scenario() -> None:
         for failed in (False, True):
-            told = Told()
+            source = CountingSource()
             config = parse(table("127.0.0.1:9", []))
-            agent = Agent(config, Upstream(8, 1, 1), lambda *_, told=told: told)
+            agent = Agent(config, Upstream(8, 1, 1), lambda *_, source=source: source)
             agent.ask()
-            assert told.asked == 1
+            assert source.subscriptions == 1
             if failed:
                 agent._on_failure()
-            agent._run([api.Subscribe()])
-            assert told.asked == 1 + failed
-            agent._run([api.Subscribe()])  # the watch broke later
-            assert told.asked == 2 + failed
+            agent._execute([api.Subscribe()])
+            assert source.subscriptions == 1 + failed
+            agent._execute([api.Subscribe()])  # the subscription broke later
+            assert source.subscriptions == 2 + failed
             agent.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
+
 
+def test_timer_set_before_close_does_not_subscribe_after_it() -> None:
+    """A timer set before `close` fires after it and would open a request that is never closed."""
 
-def test_a_timer_that_was_set_before_the_end_asks_for_nothing_behind_it() -> None:
-    async def play() -> None:
-        told = Told()
-        agent = Agent(parse(table("127.0.0.1:9", [])), Upstream(8, 1, 1), lambda *_: told)
-        due = asyncio.Event()
+    async def scenario() -> None:
+        source = CountingSource()
+        agent = Agent(parse(table("127.0.0.1:9", [])), Upstream(8, 1, 1), lambda *_: source)
+        timer_fired = asyncio.Event()
         agent.close()
-        agent._run([api.SetTimer(0, "subscribe"), api.Subscribe()])
+        agent._execute([api.SetTimer(0, "subscribe"), api.Subscribe()])
         agent._tell(agent.balancer.on_timer, api.Timer("subscribe"))
-        agent._loop.call_soon(due.set)
-        await due.wait()
-        assert told.asked == 0
+        agent._loop.call_soon(timer_fired.set)
+        await timer_fired.wait()
+        assert source.subscriptions == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every type of error that operators meet says what they can do, and their page has each."""
+"""Every error class shown to operators has a remedy and an entry on the operators' page."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 PAGE = ROOT / "docs/operations/errors.md"
 
 
-def types() -> list[type[SorrelfrontError]]:
+def error_types() -> list[type[SorrelfrontError]]:
+    """Return all subclasses of SorrelfrontError in the package, sorted by name."""
     for module in pkgutil.walk_packages(sorrelfront.__path__, "sorrelfront."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
     found: list[type[SorrelfrontError]] = []
-    waiting = [SorrelfrontError]
-    while waiting:
-        below = waiting.pop().__subclasses__()
-        found += below
-        waiting += below
+    pending = [SorrelfrontError]
+    while pending:
+        subclasses = pending.pop().__subclasses__()
+        found += subclasses
+        pending += subclasses
     return sorted(
         {item for item in found if item.__module__.startswith("sorrelfront.")}, key=lambda t: t.__name__
     )
 
 
-def test_each_type_has_one_sentence_on_what_to_do() -> None:
-    found = types()
+def test_each_type_has_a_remedy_of_one_sentence() -> None:
+    found = error_types()
     assert len(found) >= 18
     for item in found:
         remedy = item.remedy
@@ -38,16 +39,17 @@
         assert remedy.count(". ") == 0 and "\n" not in remedy, item
 
 
-def test_the_operators_page_has_each_type_and_no_other() -> None:
+def test_operators_page_lists_exactly_these_types() -> None:
     rows = [line.split("|") for line in PAGE.read_text().splitlines() if line.startswith("| `")]
-    told = {row[1].strip().strip("`"): row[3].strip() for row in rows}
-    wanted = {
-        f"{item.__module__.removeprefix('sorrelfront.')}.{item.__name__}": item.remedy for item in types()
+    documented = {row[1].strip().strip("`"): row[3].strip() for row in rows}
+    expected = {
+        f"{item.__module__.removeprefix('sorrelfront.')}.{item.__name__}": item.remedy
+        for item in error_types()
     }
-    assert told == wanted
+    assert documented == expected
 
 
-def test_an_instance_may_say_more_than_its_type() -> None:
+def test_instance_may_override_the_remedy() -> None:
     class Fault(SorrelfrontError):
         remedy = "Do this."
 
@@ -55,6 +57,6 @@
     assert Fault("it broke", remedy="Do that.").told() == "it broke; Do that."
 
 
-def test_a_type_without_a_remedy_cannot_be_made() -> None:
+def test_type_without_remedy_is_rejected() -> None:
     with pytest.raises(TypeError):
         type("Silent", (SorrelfrontError,), {})
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""What is counted and told of requests and connections that end."""
+"""Counting and logging of requests and connections that end."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.loopback import Backend, answer, looped, request, world
 
 
-def test_one_line_for_a_span_tells_each_reason_its_count_and_the_latest_request(
+def test_one_line_per_interval_has_each_reason_with_its_count_and_last_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -33,13 +33,13 @@
 
 
 @looped
-async def test_a_malformed_request_and_a_close_towards_a_server_are_counted_with_their_reasons() -> None:
-    async with world(await Backend(answer(b"served")).start()) as made:
-        client = await made.client()
+async def test_malformed_requests_and_server_closes_are_counted_by_reason() -> None:
+    async with world(await Backend(answer(b"served")).start()) as running:
+        client = await running.client()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
-        made.upstream.close()
+        running.upstream.close()
         client.send(b"nonsense\r\n\r\n")
         assert (await client.answer())[0] == 400
-        assert made.upstream.events.count(Event.CLOSED, ServerCloseReason.SHUTDOWN) == 1
-        assert made.agent.events.count(Event.REFUSED, RejectReason.BAD_REQUEST) == 1
+        assert running.upstream.events.count(Event.CLOSED, ServerCloseReason.SHUTDOWN) == 1
+        assert running.agent.events.count(Event.REFUSED, RejectReason.BAD_REQUEST) == 1
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -1,4 +1,4 @@
-"""Each part imports only from the floors below it, and decisions do no I/O."""
+"""Each part of the package imports only from lower layers, and the decision module does no I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.test_process import ROOT
 
 PACKAGE = ROOT / "sorrelfront"
-# From the ground up; those in one line may not import each other, but for what ALSO says.
-FLOORS = [
+# Lowest layer first. Parts of one layer may not import each other, except for the pairs in ALLOWED.
+LAYERS = [
     ["errors"],
     ["decisions"],
     ["events", "log_limits", "messages", "lists", "terms", "signals"],
@@ -22,13 +22,13 @@
     ["daemon"],
     ["cli", "lab"],
 ]
-ALSO = {("lists", "messages"), ("terms", "messages"), ("cli", "lab")}
+ALLOWED = {("lists", "messages"), ("terms", "messages"), ("cli", "lab")}
 NO_IO = {"asyncio", "socket", "os", "time", "random", "subprocess", "threading", "logging", "pathlib"}
-FLOOR = {name: number for number, names in enumerate(FLOORS) for name in names}
+LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
 
 
 def imports(path: Path) -> list[str]:
-    """Modules that this file imports, with the names that it takes from them."""
+    """Return the modules that a file imports, with the imported names."""
     found = []
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -38,33 +38,34 @@
     return found
 
 
-def room(path: Path) -> str:
+def part_of(path: Path) -> str:
+    """Return the part of the package that a file belongs to."""
     part = path.relative_to(PACKAGE).parts[0]
     return part.removesuffix(".py")
 
 
-def test_each_part_imports_only_from_floors_below_it() -> None:
-    wrong, seen = [], set()
+def test_each_part_imports_only_from_lower_layers() -> None:
+    violations, seen = [], set()
     for path in PACKAGE.rglob("*.py"):
-        own = room(path)
-        if own == "__init__":
+        own_part = part_of(path)
+        if own_part == "__init__":
             continue
-        seen.add(own)
+        seen.add(own_part)
         for name in imports(path):
             parts = name.split(".")
-            if parts[0] != "sorrelfront" or len(parts) < 2 or parts[1] == own:
+            if parts[0] != "sorrelfront" or len(parts) < 2 or parts[1] == own_part:
                 continue
-            if FLOOR[parts[1]] >= FLOOR[own] and (own, parts[1]) not in ALSO:
-                wrong.append(f"{path.relative_to(PACKAGE)} imports {name}")
-    assert not wrong
-    assert seen == set(FLOOR)
+            if LAYER_OF[parts[1]] >= LAYER_OF[own_part] and (own_part, parts[1]) not in ALLOWED:
+                violations.append(f"{path.relative_to(PACKAGE)} imports {name}")
+    assert not violations
+    assert seen == set(LAYER_OF)
 
 
-def test_decisions_do_no_io_and_have_no_clock() -> None:
-    wrong = [
+def test_decisions_import_no_io_and_no_clock() -> None:
+    violations = [
         f"{path.name} imports {name}"
         for path in (PACKAGE / "decisions").rglob("*.py")
         for name in imports(path)
-        if name.split(".")[0] in NO_IO and name != "random.Random"  # seeded by whoever makes it
+        if name.split(".")[0] in NO_IO and name != "random.Random"  # the caller seeds it
     ]
-    assert not wrong
+    assert not violations
