--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""What is counted and told of requests and connections that end."""
+"""Counting and logging of requests and connections that end."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import pytest
 
 from sorrelfront.decisions.interface import EndReason, Outcome
-from sorrelfront.events import SPAN_S, Event, EventCounter
+from sorrelfront.events import REPORT_INTERVAL_S, Event, EventCounter
 from sorrelfront.fronts.http1 import RejectReason
 from sorrelfront.upstreams.http1 import ServerCloseReason
 from tests.loopback import Backend, answer, looped, request, world
 
 
-def test_one_line_for_a_span_tells_each_reason_its_count_and_the_latest_request(
+def test_one_line_per_interval_has_each_reason_with_its_count_and_last_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -24,22 +24,22 @@
     events.add(Event.RETRIED, Outcome.RESET)
     events.report()
     assert not caplog.messages
-    now = SPAN_S
+    now = REPORT_INTERVAL_S
     events.report()
     assert caplog.messages == ["in 5.0 s: refused infeasible 3 (last r2); retried reset 1"]
-    now = 2 * SPAN_S
+    now = 2 * REPORT_INTERVAL_S
     events.report()
     assert len(caplog.messages) == 1
 
 
 @looped
-async def test_a_malformed_request_and_a_close_towards_a_server_are_counted_with_their_reasons() -> None:
-    async with world(await Backend(answer(b"served")).start()) as made:
-        client = await made.client()
+async def test_malformed_requests_and_server_closes_are_counted_by_reason() -> None:
+    async with world(await Backend(answer(b"served")).start()) as running:
+        client = await running.client()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
-        made.upstream.close()
+        running.upstream.close()
         client.send(b"nonsense\r\n\r\n")
         assert (await client.answer())[0] == 400
-        assert made.upstream.events.count(Event.CLOSED, ServerCloseReason.SHUTDOWN) == 1
-        assert made.agent.events.count(Event.REFUSED, RejectReason.BAD_REQUEST) == 1
+        assert running.upstream.events.count(Event.CLOSED, ServerCloseReason.SHUTDOWN) == 1
+        assert running.agent.events.count(Event.REFUSED, RejectReason.BAD_REQUEST) == 1
