--- a/sorrelfront/fronts/__init__.py
+++ b/sorrelfront/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""What callers speak: connections are accepted, requests read into calls, answers written in their order."""
+"""Protocol front ends: accept connections, read requests into calls, write answers in request order."""
--- a/sorrelfront/fronts/http1.py
+++ b/sorrelfront/fronts/http1.py
@@ -1,4 +1,4 @@
-"""The client side: connections are accepted, requests read and taken, answers written in their order."""
+"""The HTTP/1.1 front: accepts connections, reads requests, writes answers in the order of the requests."""
 
 from __future__ import annotations
 
@@ -32,37 +32,38 @@
 
 log = logging.getLogger(__name__)
 
-READY = b"/health/ready"
-ACCEPTS_IN_A_ROW = 16  # connections accepted before the loop is let go on
-# Places in the kernel's struct tcp_info, in bytes.
+READY_PATH = b"/health/ready"
+MAX_ACCEPTS_PER_WAKEUP = 16  # before the event loop runs other callbacks
+# Offsets in the kernel's struct tcp_info, in bytes.
 TCPI_UNACKED = 24
 TCPI_LAST_DATA_RECV = 52
-ACCEPTED_LATE_MS = 20  # from here on the time that a request waited to be accepted is taken off what it has
-AWAITED_S = 0.005  # between looks at whether the backlog is empty, while going away
-ACCEPT_AGAIN_S = 0.01  # after a failed accept: descriptors come back as attempts end
-BACKLOG = 4096  # a crowd waits here and not in lost SYNs, which come again only after a second
-PIPELINE_MOST = 16  # requests open on one connection; whoever sends more at once is turned away
-# From the connection's start, or a request's first byte, to the request's last. Clients that only open
-# connections may be closed after 2 s, and those that send no whole request are owed an end within 3 s.
+MIN_ACCEPT_DELAY_MS = 20  # from this wait on, the time in the accept queue is deducted from the budget
+BACKLOG_POLL_S = 0.005  # between checks whether the backlog is empty, during shutdown
+ACCEPT_RETRY_S = 0.01  # after a failed accept; descriptors are freed as attempts end
+BACKLOG = 4096  # a surge waits here; a dropped SYN is resent only after a second
+MAX_PIPELINED = 16  # requests in flight per connection; one more is answered with 429
+# From the start of the connection, or the first byte of a request, to its last byte. Clients that only open
+# connections may be closed after 2 s, and those that send no complete request must be closed within 3 s.
 WHOLE_S = 2.4
-# A body that comes at UPLOAD_RATE_LEAST or faster may take its time, as long as no pause in it is longer.
-PAUSE_S = 1.0
-# Between requests. Risk: those that ask once and stay hold a descriptor each for good, here and where they
-# run, and clients have only so many: their next request then finds none. Harm: who asks seldom connects anew.
+# A body that arrives at UPLOAD_RATE_LEAST or faster may take longer if no pause in it exceeds this.
+MAX_BODY_PAUSE_S = 1.0
+# Idle timeout between requests. Without it, clients that send one request and stay would hold a descriptor
+# each, here and on their hosts, where descriptors are limited too: a later request would find none. The cost:
+# clients with infrequent requests reconnect.
 IDLE_S = 2.0
-REST_S = 0.1  # what a client may rest for in any case, to ask again at once
-ASKING_SHARE = 0.9  # of what clients may hold for requests: from here on the longest at rest go
-SWEEP_S = 0.2  # between looks at who has had its time
-BLANK_MOST = 64  # bytes of empty lines ahead of a request
-STALL_S = 5.0  # a client that takes nothing for so long has stalled; answers here have 64 KiB at most
-DISCARD_MOST = 256 * 1024  # read past the last request, so that its answer is not overtaken by a reset
-DISCARD_PAUSE_S = 0.02  # between reads past that, while answers are owed: 3 MB a second at most
-LINGER_S = 1.0  # for the client to read the last answer and close. Risk: a reset would overtake the answer
-COME_BACK_S = b"1"  # told with a refusal that the module had no part in: by then the crowd is over
-GOING_AWAY_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
-# Past the longest deadline, the most that SIGTERM may take: SIGKILL comes 0.7 s past it at the soonest.
+MIN_IDLE_S = 0.1  # no connection is shed before; the client may send its next request at once
+IDLE_SHED_SHARE = 0.9  # of the connections allowed for requests; above it the longest idle are shed
+SWEEP_S = 0.2  # between checks of all timeouts
+MAX_BLANK_BYTES = 64  # empty lines before a request
+STALL_S = 5.0  # a client that reads nothing for this long has stalled; a write is 64 KiB at most
+MAX_DISCARD_BYTES = 256 * 1024  # read after the last request, so that no reset destroys its answer
+DISCARD_PAUSE_S = 0.02  # between reads after that, while answers are pending: 3 MB/s at most
+LINGER_S = 1.0  # lingering close: time to read the last answer, which a reset would destroy
+RETRY_AFTER_S = b"1"  # Retry-After of refusals by the front itself: a surge is over by then
+GOING_AWAY_S = 0.5  # after SIGTERM new connections still arrive for up to 0.4 s
+# A shutdown may take this much past the longest deadline. SIGKILL comes 0.7 s past it at the soonest.
 GOING_AWAY_MORE_S = 0.55
-LAST_ANSWERS_S = 0.08  # of what is left to SIGKILL, for the clients to read what is answered at the very last
+LAST_ANSWERS_S = 0.08  # of the time left before SIGKILL, for clients to read the final answers
 
 TOKEN = re.compile(rb"[!-~]{1,128}")
 BUDGET = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
@@ -70,88 +71,108 @@
 
 
 class BadRequest(Exception):
-    """A request that never reaches the module, and the status that answers it."""
+    """A request that is rejected before it reaches the module, and the status that answers it."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Head(Protocol):
-    """What of a request's head is asked for here, whoever parsed it."""
+    """What this module reads of the head of a request, whichever parser made it."""
 
     @property
-    def method(self) -> bytes: ...
+    def method(self) -> bytes:
+        """The request method."""
+        ...
 
     @property
-    def target(self) -> bytes: ...
+    def target(self) -> bytes:
+        """The request target, undecoded."""
+        ...
 
     @property
-    def headers(self) -> Iterable[tuple[bytes, bytes]]: ...
+    def headers(self) -> Iterable[tuple[bytes, bytes]]:
+        """The headers in order of arrival, names in lower case."""
+        ...
 
 
 class CloseReason(StrEnum):
-    """Why a connection of a client's was closed."""
+    """Why a client connection was closed."""
 
     CLIENT = "client-closed"
-    BROKEN = "client-broken"  # what it sends cannot be followed any more
+    BROKEN = "client-broken"  # what it sends can no longer be parsed, or its answer broke off
     IDLE = "idle-timeout"
-    EVICTED = "evicted"  # for one that has just come
-    CROWDED = "crowded"  # clients hold nearly all connections that they may
+    EVICTED = "evicted"  # to make room for a new connection
+    CROWDED = "crowded"  # clients hold nearly all connections allowed to them
     DRAINING = "draining"
     GOING_AWAY = "going-away"
     ANSWERED_LAST = "answered-last"
 
 
 class RejectReason(StrEnum):
-    """Why a request was answered before it was taken."""
+    """Why a request was answered before it was accepted."""
 
-    INCOMPLETE = "incomplete"  # it did not come whole in time
+    INCOMPLETE = "incomplete"  # it did not arrive in time
     NO_ROOM = "no-room"
     GOING_AWAY = "going-away"
-    BAD_REQUEST = "bad-request"  # it cannot be read, is not allowed, or is too long
+    BAD_REQUEST = "bad-request"  # it cannot be parsed, is not allowed, or is too long
 
 
 class RequestHandler(Protocol):
     """What the front hands requests to."""
 
     @property
-    def longest_deadline_us(self) -> int: ...
+    def longest_deadline_us(self) -> int:
+        """The longest deadline of all request classes, in microseconds."""
+        ...
 
     @property
     def events(self) -> EventCounter:
-        """Where closes and refusals of the front's own are counted."""
+        """Counts the closes and rejections that the front itself decides."""
 
-    def request_class(self, name: str) -> RequestClass | None: ...
+    def request_class(self, name: str) -> RequestClass | None:
+        """Return the request class of this name, None if there is none."""
+        ...
 
-    def has_open(self, client_id: bytes) -> bool: ...
+    def has_open(self, client_id: bytes) -> bool:
+        """Return whether a request with this id is in flight."""
+        ...
 
-    def take(self, call: Call) -> Held: ...
+    def take(self, call: Call) -> Held:
+        """Accept a call; its answer follows in what is returned."""
+        ...
 
-    def whole(self, held: Held) -> None: ...
+    def whole(self, held: Held) -> None:
+        """Report that the streamed body of the request is complete."""
+        ...
 
-    def abandon(self, held: Held) -> None: ...
+    def abandon(self, held: Held) -> None:
+        """Report that the client no longer wants the answer."""
+        ...
 
-    def fail(self, held: Held) -> None: ...
+    def fail(self, held: Held) -> None:
+        """Answer the request as failed, at once."""
+        ...
 
 
-class _Gone(Exception):
+class _Disconnected(Exception):
     """The client has closed its connection."""
 
 
 @dataclass(slots=True)
-class _Turn:
-    """A request's place in the order of answers."""
+class _PendingAnswer:
+    """A request whose answer is not yet sent, in the order of the requests."""
 
-    parser: h11.Connection | None  # None: of a plain request, whose answer is framed directly
+    parser: h11.Connection | None  # None for a plain request, whose answer is framed directly
     answer: asyncio.Future[Final]
     share: BodyShare | None = None
     held: Held | None = None
-    last: bool = False  # nothing after it will be read
+    last: bool = False  # no request after this one is read
 
 
 class Listener:
-    """All clients of this agent."""
+    """A listening socket and all client connections accepted from it."""
 
     def __init__(
         self,
@@ -160,79 +181,90 @@
         descriptors: Descriptors,
         bodies: BodyBudget,
     ) -> None:
-        """Listens at the address, or on a socket that is listened on already, which it owns from here on; its
-        queue may be shared with other processes. Raises OSError."""
+        """Listen at the address, or on a socket that listens already, which is owned from here on.
+
+        The queue of such a socket may be shared with other processes. Raises OSError.
+        """
         self.agent = agent
         self.bodies = bodies
         self.closing = False
-        self._drained_at: float | None = None  # operators want no clients here, since then
-        self._retired = False  # another process takes the connections that come
-        self.taken = 0  # requests taken whose answers are not yet written
-        self._clients_most = descriptors.clients
-        self._asking_most = descriptors.asking
+        self._drained_at: float | None = None  # when operators started to drain clients from here
+        self._retired = False  # another process accepts the new connections
+        self.taken = 0  # accepted requests whose answers are not yet written
+        self._max_clients = descriptors.clients
+        self._max_active = descriptors.asking
         self._clients: set[_Client] = set()
-        # Those owed nothing, longest idle first. Risk: a crowd that says nothing displaces the clients that
-        # do; so who has sent nothing yet stands apart, and goes first.
+        # Connections without a pending answer, longest idle first. Those that have sent nothing yet are kept
+        # apart and evicted first, or a surge of silent connections would displace the clients that send.
         self._silent: OrderedDict[_Client, None] = OrderedDict()
-        self._resting: OrderedDict[_Client, None] = OrderedDict()
-        self.uploading: set[_Client] = set()  # whose requests are passed on while they come
+        self._idle: OrderedDict[_Client, None] = OrderedDict()
+        self.uploading: set[_Client] = set()  # whose request bodies are being streamed
         self._changed = asyncio.Event()
-        self._in_a_row = ACCEPTS_IN_A_ROW
+        self._accepts_per_wakeup = MAX_ACCEPTS_PER_WAKEUP
         if isinstance(address, socket.socket):
-            # Risk: of several processes that wake for a crowd, the first would take all of it.
-            self._in_a_row = 1
+            # With more, the first of several processes woken by a surge would accept all of it.
+            self._accepts_per_wakeup = 1
             self._sock = address
-            address.listen(BACKLOG)  # another that shares it may have stopped letting in more
+            address.listen(BACKLOG)  # a process that shares it may have set its backlog to 0
         else:
-            # Other versions of this program may listen beside it (socket(7), SO_REUSEPORT), and those of the
-            # same user alone. Harm: two started here by mistake share the clients, where one would fail.
+            # Other versions of this program, of the same user only, may listen at this address (socket(7),
+            # SO_REUSEPORT). The cost: two started by mistake share the clients, where the second should fail.
             self._sock = socket.create_server(address, backlog=BACKLOG, reuse_port=True)
         self._sock.setblocking(False)
-        # Accepted sockets inherit it.
+        # Inherited by accepted sockets.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER)
         self._accepting = False
-        self._accepted = 0  # connections so far
+        self._accepted = 0  # connections accepted so far
         self._resume()
         self._sweeping = asyncio.create_task(self._sweep())
 
     @property
     def address(self) -> Address:
+        """Host and port that the socket is bound to."""
         host, port = self._sock.getsockname()
         return host, port
 
     def fileno(self) -> int:
-        """Of the listening socket; -1 once it is closed."""
+        """Return the descriptor of the listening socket; -1 once it is closed."""
         return self._sock.fileno()
 
     def owns(self, sock: socket.socket) -> bool:
+        """Return whether this is the listening socket."""
         return self._sock is sock
 
     @property
     def connections(self) -> int:
+        """The number of open client connections."""
         return len(self._clients)
 
     @property
     def refusing(self) -> bool:
-        """Whether who asks if this is ready is told no."""
+        """Whether readiness checks are answered with 503."""
         return self.closing or self._drained_at is not None
 
     @property
-    def leaving(self) -> bool:
-        """Whether each connection ends with its next answer that has nothing behind it."""
+    def closes_after_answer(self) -> bool:
+        """Whether each connection closes after its next answer that no further request follows."""
         return self.refusing or self._retired
 
     def drain(self, on: bool) -> None:
-        """Have all clients go elsewhere, or take them again. Who asks is told no at once; each connection
-        ends with its next answer, and those that rest end once they have rested for GOING_AWAY_S since. What
-        still comes is served: those who ask who is ready learn of it a moment later."""
+        """Start or stop draining clients to other instances.
+
+        While draining, readiness checks fail at once. Each connection is closed after its next answer, and
+        idle ones are closed after GOING_AWAY_S. Requests that still arrive are served, because clients that
+        check readiness notice only a moment later.
+        """
         if on and self._drained_at is None:
             self._drained_at = time.monotonic()
         elif not on:
             self._drained_at = None
 
     def retire(self, on: bool) -> None:
-        """Another process takes the connections that come from the shared queue, and clients go over to it as
-        their answers tell them; or it has gone, and this one takes them again."""
+        """Stop accepting because another process accepts from the shared queue, or start again.
+
+        Clients move to that process as their answers close their connections. If that process is gone, this
+        one accepts again.
+        """
         self._retired = on
         if on:
             self._pause()
@@ -240,104 +272,119 @@
             self._resume()
 
     def resize(self, descriptors: Descriptors, memory_bytes: int) -> None:
-        """Take on other limits; what is open over a lower one goes as it comes to rest."""
-        clients = self._clients_most = descriptors.clients
-        self._asking_most = descriptors.asking
+        """Apply new limits. Connections over a lower limit are closed as they become idle."""
+        clients = self._max_clients = descriptors.clients
+        self._max_active = descriptors.asking
         self.bodies.resize(memory_bytes)
         for _ in range(len(self._clients) - clients):
             if not self._evict():
                 break
-        self._changed_now()
+        self._notify_change()
 
     async def close(self, others: bool = False) -> None:
-        """Going away: finish what is owed, and take on what still comes while it comes. `others`: processes
-        that go on share the queue, so nothing further is taken on here.
+        """Shut down: finish requests in flight, and serve those that still arrive for a while.
+
+        Idle connections are kept for GOING_AWAY_S, and the next answer on each announces the close. If all
+        were closed at once, their clients would reconnect together, to an agent that is shutting down. After
+        that only the connections already in the backlog are accepted, and idle connections with nothing
+        unread are closed.
 
-        Connections that rest are kept for GOING_AWAY_S, and the next answer on each says that it is the last.
-        Risk: cut at once, all their clients connect anew together, to an agent that is going away. Then no
-        more are let in than wait already, and what rests with nothing unread is closed.
+        Args:
+            others: Other processes share the queue and go on, so this one accepts nothing further.
         """
         until = time.monotonic() + self.agent.longest_deadline_us / 1e6 + GOING_AWAY_MORE_S
         self.closing = True
         if others:
             self.hand_over()
         await asyncio.sleep(GOING_AWAY_S)
-        await self._end_accepting(until)
+        await self._stop_accepting(until)
         while self._clients and time.monotonic() < until:
-            self._end_resting()
+            self._close_idle()
             if self._clients:
-                await self._change(until)
-        await self._give_up()
+                await self._wait_for_change(until)
+        await self._fail_in_flight()
         self._sweeping.cancel()
 
-    async def _give_up(self) -> None:
-        """No time is left. Risk: who sends on a connection that stays open is taken on until the end, with a
-        deadline behind it, and would be lost with the process. Harm: what could still be served in the
-        moment that SIGKILL leaves is failed."""
+    async def _fail_in_flight(self) -> None:
+        """Answer everything in flight, because no time is left.
+
+        A client that sends on a connection that stays open would be served until the end, with a deadline
+        past it, and its request would be lost with the process. The cost: requests fail that could still have
+        been served in the moment that SIGKILL leaves.
+        """
         until = time.monotonic() + LAST_ANSWERS_S
         for client in [*self._clients]:
-            client.give_up()
+            client.fail_in_flight()
         while self._clients and time.monotonic() < until:
-            self._end_resting()
+            self._close_idle()
             if self._clients:
-                await self._change(until)
+                await self._wait_for_change(until)
 
     def hand_over(self) -> None:
-        """Processes that go on share the queue: take nothing further from it. Risk: shortened or emptied by
-        one that goes away, their queue refuses who comes to them."""
+        """Close the listening socket without touching its queue, for processes that share it and go on.
+
+        If a process that shuts down shortened or emptied the queue, new connections would be refused.
+        """
         self._pause()
         self._sock.close()
 
-    async def _end_accepting(self, until: float) -> None:
-        # Risk: clients that connect anew after each answer keep the backlog from ever being empty, and what
-        # is taken from it late ends after this agent does. Who waits there now is served as room comes.
+    async def _stop_accepting(self, until: float) -> None:
+        """Close the listening socket once the connections in its backlog are accepted, as capacity allows."""
+        # Clients that reconnect after each answer keep the backlog from ever being empty, and a connection
+        # accepted late would outlive this agent. So only those that wait there now are served.
         if self._sock.fileno() < 0:
             return
         self._sock.listen(0)
         last = self._accepted + self._backlog()
         while self._accepted < last and self._backlog() and time.monotonic() < until:
-            await asyncio.sleep(AWAITED_S)
-            if self._sock.fileno() < 0:  # handed over meanwhile
+            await asyncio.sleep(BACKLOG_POLL_S)
+            if self._sock.fileno() < 0:  # closed by hand_over meanwhile
                 return
-        self._accept()  # who has come since
+        self._accept()  # connections that arrived since
         self._pause()
         self._sock.close()
 
-    async def _change(self, until: float) -> None:
-        """Wait for a client to rest or end, for SWEEP_S at most: what has just come is looked at again."""
+    async def _wait_for_change(self, until: float) -> None:
+        """Wait until a connection becomes idle or closes, for SWEEP_S at most.
+
+        Then the caller checks again the connections that have arrived.
+        """
         self._changed.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(min(SWEEP_S, max(0.0, until - time.monotonic()))):
                 await self._changed.wait()
 
-    def _end_resting(self) -> None:
-        for client in [*self._silent, *self._resting]:
-            client.end(CloseReason.GOING_AWAY)
+    def _close_idle(self) -> None:
+        for client in [*self._silent, *self._idle]:
+            client.close_if_idle(CloseReason.GOING_AWAY)
 
     async def _sweep(self) -> None:
-        """End those who have had their time. One timer for all: a timer for each read would cost more."""
+        """Apply timeouts to all connections. One timer for all is cheaper than one per read."""
         while True:
             due = time.monotonic() + SWEEP_S
             await asyncio.sleep(SWEEP_S)
             now = time.monotonic()
-            stood_still = now - due
-            for client in [*self._silent, *self._resting, *self.uploading]:
-                if stood_still > SWEEP_S:
-                    client.excuse(stood_still)
-                client.expire(now)
+            stalled_s = now - due
+            for client in [*self._silent, *self._idle, *self.uploading]:
+                if stalled_s > SWEEP_S:
+                    client.extend_deadline(stalled_s)
+                client.check_timeout(now)
             if self._drained_at is not None and not self.closing:
-                self._end_drained(now - GOING_AWAY_S)
-            self._relieve()
+                self._close_drained(now - GOING_AWAY_S)
+            self._shed_idle()
             self.agent.events.report()
 
-    def _end_drained(self, before: float) -> None:
-        """End those that have rested since before this time, and since the drain was asked for. Risk: ended
-        sooner, who has just connected would find nobody, and ask once more, again and again."""
+    def _close_drained(self, before: float) -> None:
+        """Close connections that have been idle, and draining, since before this time.
+
+        If they were closed sooner, a client that has just connected would find its connection closed and
+        reconnect, again and again.
+        """
         if self._drained_at is None or self._drained_at > before:
             return
-        for client in [*self._silent, *self._resting]:
-            if client.since <= before:
-                client.end(CloseReason.DRAINING)
+        for client in [*self._silent, *self._idle]:
+            if client.idle_since <= before:
+                client.close_if_idle(CloseReason.DRAINING)
 
     # Accepting
 
@@ -352,34 +399,38 @@
             asyncio.get_running_loop().remove_reader(self._sock.fileno())
 
     def _accept(self) -> None:
-        """Accept in the step in which it is known that somebody waits. Risk: a connection that travels in a
-        future is dropped with it, and may hold a whole request.
+        """Accept in the reader callback itself.
 
-        Risk: asyncio's own server stops for a second when descriptors run out, and everybody waits."""
-        for _ in range(self._in_a_row):
-            if len(self._clients) >= self._clients_most and not self._evict():
-                self._pause()  # until a client rests or ends
+        A connection carried by a future would be lost if the future is cancelled, and may hold a whole
+        request. asyncio's own server stops accepting for a second when descriptors run out, and all clients
+        wait.
+        """
+        for _ in range(self._accepts_per_wakeup):
+            if len(self._clients) >= self._max_clients and not self._evict():
+                self._pause()  # until a client becomes idle or disconnects
                 return
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as fault:
-                log.warning("accepting failed: %s", fault)
+            except OSError as error:
+                log.warning("accepting failed: %s", error)
                 self._pause()
-                asyncio.get_running_loop().call_later(ACCEPT_AGAIN_S, self._resume)
+                asyncio.get_running_loop().call_later(ACCEPT_RETRY_S, self._resume)
                 return
             self._accepted += 1
-            self.begin(sock).waited_us = _waited_us(sock)
+            self.serve(sock).waited_us = _waited_us(sock)
 
     def _backlog(self) -> int:
-        """How many connections the machine has accepted that wait for us: `tcpi_unacked` of a listening
-        socket on Linux. Risk: each of them may hold a whole request."""
+        """Return how many connections wait to be accepted: `tcpi_unacked` of a listening socket on Linux.
+
+        Each of them may hold a whole request.
+        """
         info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCPI_UNACKED + 4)
         (waiting,) = struct.unpack_from("=I", info, TCPI_UNACKED)
         return int(waiting)
 
-    def begin(self, sock: socket.socket) -> _Client:
+    def serve(self, sock: socket.socket) -> _Client:
         """Serve an accepted connection."""
         sock.setblocking(False)
         client = _Client(self, Wire(sock))
@@ -389,68 +440,79 @@
         return client
 
     def _evict(self) -> bool:
-        """Close the client that has been idle longest of those that are owed nothing. Where all of these have
-        begun a request, the oldest is refused instead and makes room once it has its answer. Risk: cut, a
-        client whose last byte is on its way would have a request lost. Harm: those who send slowly on purpose
-        hold their places for that moment longer."""
-        begun = None
-        for client in chain(self._silent, self._resting):
-            if client.end(CloseReason.EVICTED):
+        """Close the connection that has been idle longest. Returns whether one was closed.
+
+        If each of the candidates has sent part of a request, the oldest is rejected instead, and frees its
+        place once its answer is sent. If it were closed, a client whose last byte is on its way would lose
+        its request. The cost: clients that send slowly on purpose keep their places for that moment.
+        """
+        oldest_partial = None
+        for client in chain(self._silent, self._idle):
+            if client.close_if_idle(CloseReason.EVICTED):
                 return True
-            if begun is None and client.unfinished:
-                begun = client
-        if begun is not None:
-            begun.turn_away(503, "no room for a request that comes so slowly", RejectReason.NO_ROOM)
+            if oldest_partial is None and client.unfinished:
+                oldest_partial = client
+        if oldest_partial is not None:
+            oldest_partial.reject(503, "no room for a request that comes so slowly", RejectReason.NO_ROOM)
         return False
 
-    def _relieve(self) -> None:
-        """Close those that have rested longest while clients hold nearly all that they may for requests.
-        Risk: in a crowd that asks once and stays, all of these rest, and nobody can ask for IDLE_S more.
-        So too where clients leave connections behind. Harm: the last tenth of the usual clients' connections
-        is opened anew for each request."""
-        spare = int(self._asking_most * ASKING_SHARE) - (len(self._clients) - len(self._silent))
+    def _shed_idle(self) -> None:
+        """Close the longest idle connections while clients hold nearly all that they may for requests.
+
+        In a surge of clients that send one request and keep the connection, all of these would be idle, and
+        no other client could send a request for IDLE_S. The same holds for connections that clients leave
+        open. The cost: a tenth of the usual connections is reopened for each request.
+        """
+        spare = int(self._max_active * IDLE_SHED_SHARE) - (len(self._clients) - len(self._silent))
         now = time.monotonic()
-        for client in [*islice(self._resting, max(0, -spare))]:
-            if client.rested(now) < REST_S:
+        for client in [*islice(self._idle, max(0, -spare))]:
+            if client.idle_s(now) < MIN_IDLE_S:
                 return
-            client.end(CloseReason.CROWDED)
+            client.close_if_idle(CloseReason.CROWDED)
 
-    # What clients report
+    # Reports from clients
 
-    def heard(self, client: _Client) -> None:
+    def received(self, client: _Client) -> None:
+        """Note that the client has sent something: it is no longer silent, and was idle until now."""
         if client in self._silent:
             del self._silent[client]
-            self._resting[client] = None
-        elif client in self._resting:
-            self._resting.move_to_end(client)
+            self._idle[client] = None
+        elif client in self._idle:
+            self._idle.move_to_end(client)
 
-    def owed(self, client: _Client) -> None:
+    def became_active(self, client: _Client) -> None:
+        """Note that an answer is pending on the connection: it must not be closed as idle."""
         self._silent.pop(client, None)
-        self._resting.pop(client, None)
+        self._idle.pop(client, None)
 
-    def rests(self, client: _Client) -> None:
-        self._resting[client] = None
-        self._relieve()
-        self._changed_now()
+    def became_idle(self, client: _Client) -> None:
+        """Note that no answer is pending on the connection any more."""
+        self._idle[client] = None
+        self._shed_idle()
+        self._notify_change()
 
-    def ended(self, client: _Client) -> None:
+    def closed(self, client: _Client) -> None:
+        """Forget a closed connection."""
         self._clients.discard(client)
         self._silent.pop(client, None)
-        self._resting.pop(client, None)
-        self._changed_now()
+        self._idle.pop(client, None)
+        self._notify_change()
 
-    def _changed_now(self) -> None:
+    def _notify_change(self) -> None:
         self._changed.set()
         self._resume()
 
 
 def _waited_us(sock: socket.socket) -> int:
-    """For how long a request has waited on a connection that is accepted now, in microseconds; 0 if nothing
-    has come, or a moment ago. Where accepting fails for a while, a client's time runs all the same."""
+    """Return how long the request on a connection accepted now has waited, in microseconds.
+
+    0 if nothing has arrived, or only within MIN_ACCEPT_DELAY_MS. While accepting fails, the client's deadline
+    runs on all the same.
+    """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCPI_LAST_DATA_RECV + 4)
         (waited_ms,) = struct.unpack_from("=I", info, TCPI_LAST_DATA_RECV)
-        if waited_ms < ACCEPTED_LATE_MS or not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
+        if waited_ms < MIN_ACCEPT_DELAY_MS or not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
             return 0
     except (OSError, struct.error):
         return 0
@@ -458,161 +520,169 @@
 
 
 class _Client:
-    """One connection. It reads on while answers are due, so that a client's going is seen at once.
+    """One client connection. It is read while answers are pending, so that a disconnect is noticed at once.
 
-    What a resting one holds is kept small: a list where a deque would take 600 bytes for its first place, and
-    a future only while somebody waits."""
+    An idle connection holds little memory: a list where a deque would allocate 600 bytes for its first item,
+    and a future only while a caller waits.
+    """
 
     __slots__ = (
-        "__weakref__", "_abort", "_agent", "_answered", "_answered_last", "_asked", "_begun", "_blank",
-        "_body_since", "_deaf", "_linger", "_listener", "_share", "_task", "_turns", "_until",
-        "_upload", "_writer", "waited_us", "wire",
+        "__weakref__", "_abort", "_agent", "_answered_last", "_blank_bytes", "_body_started", "_deadline",
+        "_discarding", "_had_request", "_idle_since", "_linger", "_listener", "_partial", "_pending",
+        "_share", "_task", "_upload", "_writer", "waited_us", "wire",
     )  # fmt: skip
 
     def __init__(self, listener: Listener, wire: Wire) -> None:
         self.wire = wire
-        self.waited_us = 0  # for which its first request lay in the kernel before it was accepted
+        self.waited_us = 0  # time that its first request spent in the accept queue
         self._listener = listener
         self._agent = listener.agent
-        self._turns: list[_Turn] = []  # PIPELINE_MOST at most
-        self._share: BodyShare | None = None  # of the request being read
-        self._begun = False  # part of a request has come
-        self._asked = False  # some request has begun here
-        self._blank = 0  # bytes of empty lines since the last request
+        self._pending: list[_PendingAnswer] = []  # at most MAX_PIPELINED
+        self._share: BodyShare | None = None  # of the request that is being read
+        self._partial = False  # part of a request has arrived
+        self._had_request = False  # a request has started on this connection
+        self._blank_bytes = 0  # of empty lines since the last request
         self._abort = False
         self._answered_last = False
-        self._deaf = False  # what comes from now on is read past
-        self._upload: Upload | None = None  # the body that is passed on while it comes
-        self._body_since = 0.0  # when the body that is being read began
-        self._until = time.monotonic() + WHOLE_S  # for a whole request, or at rest for the next to begin
-        self._answered = time.monotonic()  # when it was last owed nothing more
+        self._discarding = False  # input is read and discarded from now on
+        self._upload: Upload | None = None  # the body that is being streamed
+        self._body_started = 0.0  # when the body that is being read started
+        self._deadline = time.monotonic() + WHOLE_S  # for a whole request, or if idle, for the next to start
+        self._idle_since = time.monotonic()  # when the last pending answer was sent
         self._writer: asyncio.Task[None] | None = None
         self._linger: asyncio.TimerHandle | None = None
-        wire.shortcut = self._take_whole
+        wire.shortcut = self._take_complete
 
     def start(self) -> None:
+        """Start the task that reads requests."""
         self._task = asyncio.create_task(self._run())
-        # Risk: a task that is cancelled before its first step runs no `finally` of its own.
+        # A task that is cancelled before its first step does not run its `finally`.
         self._task.add_done_callback(lambda _: self._finish())
 
     def cancel(self) -> None:
+        """Close the connection by cancelling its task."""
         self._task.cancel()
 
-    def rested(self, now: float) -> float:
-        return now - self._answered
+    def idle_s(self, now: float) -> float:
+        """Return for how many seconds no answer has been pending."""
+        return now - self._idle_since
 
     @property
-    def since(self) -> float:
-        """When it was last owed nothing more, or connected."""
-        return self._answered
+    def idle_since(self) -> float:
+        """When the last pending answer was sent, or the connection was accepted; monotonic seconds."""
+        return self._idle_since
 
     @property
     def unfinished(self) -> bool:
-        """Whether part of a request has come, and is owed an answer once no more of it is waited for."""
-        return self._begun and not self._turns and not self._deaf and self._upload is None
+        """Whether a partial request has arrived that can still be answered with a rejection."""
+        return self._partial and not self._pending and not self._discarding and self._upload is None
 
-    def end(self, reason: CloseReason) -> bool:
-        """Close if it is owed nothing and nothing of a request has come. Whether it is closed.
+    def close_if_idle(self, reason: CloseReason) -> bool:
+        """Close if no answer is pending and no part of a request has arrived. Returns whether it is closed.
 
-        Look and close are one step. Risk: what came between them would be read, and dropped with the
-        connection. What comes at that very moment stays unread: the kernel resets the connection for it, by
-        which the client knows, and it asks once more elsewhere."""
-        owed = bool(self._turns) or (self._begun and not self._answered_last)
+        Check and close happen in one step. Otherwise bytes that arrive between them would be read, and
+        dropped with the connection. Bytes that arrive at that very moment stay unread: the kernel then resets
+        the connection, so that the client knows, and retries elsewhere.
+        """
+        owed = bool(self._pending) or (self._partial and not self._answered_last)
         if owed or not self.wire.quiet():
             return False
-        crossed = False
-        if self._listener.leaving:
-            # Looked at once more with the sending side shut: what came before the client could know of the
-            # end is left unread, and reset, so that the client asks again.
+        unread = False
+        if self._listener.closes_after_answer:
+            # Check again with the sending side shut (half-close): a request sent before the client could know
+            # of the close stays unread, and the connection is reset, so that the client retries.
             self.wire.shutdown(socket.SHUT_WR)
-            crossed = not self.wire.quiet()
-        self.wire.close(abort=crossed)
+            unread = not self.wire.quiet()
+        self.wire.close(abort=unread)
         self._agent.events.add(Event.CLOSED, reason)
         self.cancel()
-        self._listener.ended(self)
+        self._listener.closed(self)
         return True
 
-    def excuse(self, seconds: float) -> None:
-        """Time in which this program did not run is not the client's. Risk: after a pause of this process, or
-        of the whole host, requests are cut off whose rest lies unread here, or is on its way."""
-        self._until += seconds
-        self._body_since += seconds
+    def extend_deadline(self, seconds: float) -> None:
+        """Extend the deadlines by time in which this process did not run.
+
+        Otherwise a pause of this process or of the whole host would time out requests whose rest is unread
+        here or on its way.
+        """
+        self._deadline += seconds
+        self._body_started += seconds
 
-    def expire(self, now: float) -> None:
-        """Its time may be up: an answer if part of a request has come, the end if nothing has."""
-        if now < self._until or self._deaf:
+    def check_timeout(self, now: float) -> None:
+        """On timeout, answer with an error if part of a request has arrived, otherwise close."""
+        if now < self._deadline or self._discarding:
             return
         if self._upload is not None:
-            self._broken()  # its answer has its place already, and the request is not yet taken
-        elif self._turns:
+            self._abort_connection()  # its answer is pending, and no server has the last byte
+        elif self._pending:
             return
-        elif self._begun:
-            self.turn_away(408, "the request did not come whole in time", RejectReason.INCOMPLETE)
+        elif self._partial:
+            self.reject(408, "the request did not come whole in time", RejectReason.INCOMPLETE)
         else:
-            self.end(CloseReason.IDLE)
+            self.close_if_idle(CloseReason.IDLE)
 
-    def give_up(self) -> None:
-        """Answer at once whatever is owed: what was taken as failed, what has not come whole as refused."""
-        for turn in [*self._turns]:
-            if turn.held is not None:
-                self._agent.fail(turn.held)
+    def fail_in_flight(self) -> None:
+        """Answer everything at once: accepted requests as failed, a partial one as rejected."""
+        for pending in [*self._pending]:
+            if pending.held is not None:
+                self._agent.fail(pending.held)
         if self.unfinished:
-            self.turn_away(503, "going away", RejectReason.GOING_AWAY)
+            self.reject(503, "going away", RejectReason.GOING_AWAY)
 
-    def turn_away(self, status: int, text: str, reason: RejectReason) -> None:
-        """Answer a request that has not come whole, as the last; what still comes of it is read past."""
+    def reject(self, status: int, text: str, reason: RejectReason) -> None:
+        """Answer a partial request, as the last one; the rest of it is read and discarded."""
         self._agent.events.add(Event.REFUSED, reason)
-        self._deaf = True
-        self._push_text(None, status, text, last=True)
+        self._discarding = True
+        self._enqueue_text(None, status, text, last=True)
 
     async def _run(self) -> None:
         try:
             await self._read_requests()
-        except (_Gone, OSError, asyncio.CancelledError):
+        except (_Disconnected, OSError, asyncio.CancelledError):
             pass
         except Exception:
             log.exception("serving a client failed")
             self._abort = True
 
     def _finish(self) -> None:
-        # Risk: a cancelled task keeps its exception, whose traceback keeps its frames, and those this client:
-        # a circle that waits for a full collection with socket, parser and task, of which there are few. So
-        # for every task that its owner cancels: let go of it.
+        # A cancelled task keeps its exception, whose traceback keeps its frames, which keep this client: a
+        # reference cycle that would hold socket, parser and task until a full collection, and those are rare.
+        # So the owner of a task drops its reference when it cancels it.
         writer, self._writer = self._writer, None
         if writer is not None:
             writer.cancel()
         if self._upload is not None:
-            self._upload.break_off()
+            self._upload.abort()
             self._upload = None
             self._listener.uploading.discard(self)
         if self._linger is not None:
             self._linger.cancel()
         if self._share is not None:
             self._share.release()
-        for turn in self._turns:
-            self._drop(turn)
-        self._turns.clear()
+        for pending in self._pending:
+            self._abandon(pending)
+        self._pending.clear()
         if not self.wire.closed:
             self._agent.events.add(Event.CLOSED, self._close_reason())
         self.wire.close(self._abort)
-        self._listener.ended(self)
+        self._listener.closed(self)
 
     def _close_reason(self) -> CloseReason:
-        """Why this connection ends, where its task has come to its end by itself."""
+        """Return why the connection closes, if its task has ended by itself."""
         if self._abort:
             return CloseReason.BROKEN
         return CloseReason.ANSWERED_LAST if self._answered_last else CloseReason.CLIENT
 
-    def _drop(self, turn: _Turn) -> None:
-        """The client will not have this answer."""
-        if turn.share is not None:
-            turn.share.release()
-        if turn.held is not None:
+    def _abandon(self, pending: _PendingAnswer) -> None:
+        """Release what a pending answer holds, because the client will not get it."""
+        if pending.share is not None:
+            pending.share.release()
+        if pending.held is not None:
             self._listener.taken -= 1
-            self._agent.abandon(turn.held)
-        # Risk: a task that is cancelled before its first step, or that writes, closes no stream of its own.
-        if turn.answer.done() and not turn.answer.cancelled():
-            close(turn.answer.result())
+            self._agent.abandon(pending.held)
+        # A task that is cancelled before its first step, or while it writes, does not close its stream.
+        if pending.answer.done() and not pending.answer.cancelled():
+            close(pending.answer.result())
 
     # Requests
 
@@ -626,27 +696,29 @@
                 if plain is not None:
                     last, rest = await self._read_plain(plain, data, at)
                 else:
-                    # Each request has a parser of its own: h11 reads no further on one while an answer is
-                    # due.
+                    # Each request has its own parser: h11 does not parse the next request while an answer is
+                    # pending.
                     parser = h11.Connection(h11.SERVER, HEAD_MOST)
-                    last = await self._read_strictly(parser, data)
+                    last = await self._read_with_h11(parser, data)
                     rest = parser.trailing_data[0]
             except BadRequest as bad:
                 self._agent.events.add(Event.REFUSED, RejectReason.BAD_REQUEST)
-                self._push_text(parser, bad.status, str(bad))
+                self._enqueue_text(parser, bad.status, str(bad))
                 last = True
-            # Risk: kept by name, a request's bytes stay with each connection that waits for the next.
+            # Otherwise these names keep the bytes of the request in memory while the connection is idle.
             data, plain = b"", None
             if last:
                 await self._discard()
 
     async def _read_until_head(self, data: bytes) -> tuple[bytes, int]:
-        """What has come of the next request, and where its head ends; 0 if that is for h11 to say. Empty
-        lines ahead of a request are passed over (RFC 9112, 2.2)."""
+        """Return the bytes of the next request, and where its head ends; 0 if h11 has to decide.
+
+        Empty lines before a request are skipped (RFC 9112, 2.2).
+        """
         data = data.lstrip(b"\r\n")
         searched = 0
         if data:
-            self._begins()
+            self._begin_request()
         while True:
             if data:
                 found = HEAD_END.search(data, searched)
@@ -655,23 +727,25 @@
                 if data[0] < 0x21 or len(data) > HEAD_MOST:
                     return data, 0
                 searched = max(0, len(data) - 2)
-            came = await self._receive()
-            if not self._begun:
-                self._blank += len(came)
-                came = came.lstrip(b"\r\n")
-                self._blank -= len(came)
-                if self._blank > BLANK_MOST:  # Risk: nothing else comes
+            received = await self._receive()
+            if not self._partial:
+                self._blank_bytes += len(received)
+                received = received.lstrip(b"\r\n")
+                self._blank_bytes -= len(received)
+                if self._blank_bytes > MAX_BLANK_BYTES:  # a client might send nothing else
                     raise BadRequest(400, "no request came")
-                if came:
-                    self._begins()
-            data += came
+                if received:
+                    self._begin_request()
+            data += received
 
     async def _read_plain(self, head: RequestHead, data: bytes, at: int) -> tuple[bool, bytes]:
-        """Read the rest of a plain request and take it. Returns whether it is the last of its connection, and
-        what came behind it."""
-        if len(self._turns) >= PIPELINE_MOST:
+        """Read the rest of a plain request and accept it.
+
+        Returns whether it is the last one of its connection, and the bytes after it.
+        """
+        if len(self._pending) >= MAX_PIPELINED:
             raise BadRequest(429, "too many requests at once on one connection")
-        call = None if _path(head) == READY else parse_call(head, self._agent)
+        call = None if _path(head) == READY_PATH else parse_call(head, self._agent)
         if head.length > STREAM_MOST or (call is None and head.length > BODY_MOST):
             raise BadRequest(413, "the body is too long")
         body = call.payload.body if call else bytearray()
@@ -680,75 +754,84 @@
         body += data[at:end]
         share.add(len(body))
         rest = data[end:]
-        self._body_since = time.monotonic()
+        self._body_started = time.monotonic()
         while len(body) < min(head.length, BODY_MOST):
-            await self._room(share)
-            came = await self._receive()
+            await self._wait_for_room(share)
+            received = await self._receive()
             missing = head.length - len(body)
-            rest = came[missing:]
-            share.add(min(len(came), missing))
-            body += came[:missing]
-            self._progressed(len(body))
+            rest = received[missing:]
+            share.add(min(len(received), missing))
+            body += received[:missing]
+            self._note_progress(len(body))
         upload = self._take(None, call, share, head.last, head.length if len(body) < head.length else -1)
         while upload is not None and upload.received < head.length:
-            await self._may_go_on(upload)
-            came = await self._receive()
+            await self._wait_for_upload(upload)
+            received = await self._receive()
             missing = head.length - upload.received
-            rest = came[missing:]
-            upload.feed(came[:missing])
-            self._progressed(upload.received)
-        self._uploaded()
+            rest = received[missing:]
+            upload.feed(received[:missing])
+            self._note_progress(upload.received)
+        self._finish_upload()
         return head.last, rest
 
-    async def _room(self, share: BodyShare) -> None:
-        """Wait until more of a body may be read. Risk: while its client is not read its end is not seen, and
-        what it asked before is sent on for nobody. Harm: who sends long bodies behind requests that wait is
-        refused one where memory is short."""
-        if self._turns and share.must_wait():
+    async def _wait_for_room(self, share: BodyShare) -> None:
+        """Wait until more of a body may be buffered.
+
+        A client that is not read meanwhile is not seen to disconnect, and its earlier requests would be
+        retried for nobody. The cost: where memory is short, a client that pipelines a long body behind
+        pending requests gets an error for it.
+        """
+        if self._pending and share.may_block():
             raise BadRequest(503, "no room for a body behind requests that wait")
-        await share.room()
+        await share.wait_for_room()
+
+    def _note_progress(self, received: int) -> None:
+        """Extend the deadline of a body of which this many bytes have arrived fast enough.
 
-    def _progressed(self, received: int) -> None:
-        """So much of a body has come. Risk: a client that sends a long body as fast as it can would be cut
-        off, or one that sends a byte now and then would hold its place for ever."""
+        Without this, a client that sends a long body as fast as it can would time out. With any progress
+        counted, one that sends a byte now and then would keep its place forever.
+        """
         now = time.monotonic()
-        if received >= UPLOAD_RATE_LEAST * (now - self._body_since):
-            self._until = max(self._until, now + PAUSE_S)
+        if received >= UPLOAD_RATE_LEAST * (now - self._body_started):
+            self._deadline = max(self._deadline, now + MAX_BODY_PAUSE_S)
 
-    async def _may_go_on(self, upload: Upload) -> None:
-        """Wait until the body's server takes more of it. That time is not the client's."""
-        began, until = time.monotonic(), self._until
-        self._until = math.inf
+    async def _wait_for_upload(self, upload: Upload) -> None:
+        """Wait until the server reads more of the body; the client's deadline is extended by that time."""
+        began, until = time.monotonic(), self._deadline
+        self._deadline = math.inf
         try:
-            await upload.room()
+            await upload.wait_for_room()
         finally:
             waited = time.monotonic() - began
-            self._body_since += waited
-            self._until = until + waited
+            self._body_started += waited
+            self._deadline = until + waited
 
-    def _uploaded(self) -> None:
-        """The body has come whole, if it was passed on while it came."""
+    def _finish_upload(self) -> None:
+        """Mark a streamed body as complete; does nothing if the body was not streamed."""
         upload, self._upload = self._upload, None
         if upload is None:
             return
         self._listener.uploading.discard(self)
-        self._begun = False
+        self._partial = False
         upload.end()
-        for turn in self._turns:
-            if turn.held is not None and turn.held.call.upload is upload:
-                self._agent.whole(turn.held)
-        self._until = time.monotonic() + IDLE_S
-
-    def _take_whole(self, data: bytes) -> bool:
-        """Take what is one plain request, whole and nothing else, in the step in which it comes. Whatever
-        is not, or would be refused, changes nothing here and goes the usual way."""
-        if self._begun or self._answered_last or self._deaf or len(self._turns) >= PIPELINE_MOST:
+        for pending in self._pending:
+            if pending.held is not None and pending.held.call.upload is upload:
+                self._agent.whole(pending.held)
+        self._deadline = time.monotonic() + IDLE_S
+
+    def _take_complete(self, data: bytes) -> bool:
+        """Accept a single, complete plain request in the callback that received it.
+
+        Returns False, with nothing changed, for all other input and for a request that would be rejected:
+        these take the usual path.
+        """
+        if self._partial or self._answered_last or self._discarding or len(self._pending) >= MAX_PIPELINED:
             return False
         found = HEAD_END.search(data)
         head = request_head(data[: found.end()]) if found is not None else None
         if found is None or head is None or head.last or found.end() + head.length != len(data):
             return False
-        if head.length > BODY_MOST or _path(head) == READY:
+        if head.length > BODY_MOST or _path(head) == READY_PATH:
             return False
         try:
             call = parse_call(head, self._agent)
@@ -756,35 +839,37 @@
             return False
         if self._agent.has_open(call.client_id):
             return False
-        self._listener.heard(self)
-        self._begins()
+        self._listener.received(self)
+        self._begin_request()
         call.payload.body += data[found.end() :]
         share = self._listener.bodies.share()
         share.add(head.length)
-        # Risk: this runs in the loop's own callback, which knows nothing of who has gone; the client's end is
-        # still unread, and ends the connection next.
-        with contextlib.suppress(_Gone):
+        # This runs in a callback of the event loop, where the exception must not escape. The end of stream is
+        # still unread, and closes the connection next.
+        with contextlib.suppress(_Disconnected):
             self._take(None, call, share, False)
         return True
 
-    async def _read_strictly(self, parser: h11.Connection, data: bytes) -> bool:
-        """Read one request that is not plain, as far as h11 accepts it, and take it. Returns whether it is
-        the last of its connection."""
+    async def _read_with_h11(self, parser: h11.Connection, data: bytes) -> bool:
+        """Read one request that is not plain with h11 and accept it.
+
+        Returns whether it is the last one of its connection.
+        """
         try:
             head = await self._read_head(parser, data)
             check_framing(head)
-            if len(self._turns) >= PIPELINE_MOST:
+            if len(self._pending) >= MAX_PIPELINED:
                 raise BadRequest(429, "too many requests at once on one connection")
-            call = None if _path(head) == READY else parse_call(head, self._agent)
+            call = None if _path(head) == READY_PATH else parse_call(head, self._agent)
             body = call.payload.body if call else bytearray()
             share = self._share = self._listener.bodies.share()
             lengths = [int(value) for name, value in head.headers if name == b"content-length"]
             if any(length > (STREAM_MOST if call else BODY_MOST) for length in lengths):
                 raise BadRequest(413, "the body is too long")
             whole = await self._read_body(parser, body, share, call is not None)
-        except h11.RemoteProtocolError as fault:
-            status = fault.error_status_hint
-            raise BadRequest(status, str(fault)) from None
+        except h11.RemoteProtocolError as error:
+            status = error.error_status_hint
+            raise BadRequest(status, str(error)) from None
         if whole:
             last = parser.their_state is h11.MUST_CLOSE
             self._take(parser, call, share, last)
@@ -794,27 +879,30 @@
         )
         upload = self._take(parser, call, share, last, lengths[0] if lengths else None)
         assert upload is not None
-        await self._pass_on(parser, upload)
+        await self._stream_upload(parser, upload)
         return last
 
-    async def _pass_on(self, parser: h11.Connection, upload: Upload) -> None:
-        """Read the rest of a body that is not plain. Whatever is wrong with it ends the connection: its
-        answer has its place already, and its server has not had the last byte."""
-        pieces = 0
+    async def _stream_upload(self, parser: h11.Connection, upload: Upload) -> None:
+        """Stream the rest of a body that is not plain.
+
+        Any error in it aborts the connection: its answer is already pending, and its server does not have the
+        last byte.
+        """
+        chunks = 0
         try:
             while True:
                 event = parser.next_event()
                 if isinstance(event, h11.EndOfMessage):
-                    self._uploaded()
+                    self._finish_upload()
                     return
                 if isinstance(event, h11.Data):
-                    await self._may_go_on(upload)
+                    await self._wait_for_upload(upload)
                     upload.feed(bytes(event.data))
-                    self._progressed(upload.received)
+                    self._note_progress(upload.received)
                     if upload.received > STREAM_MOST:
                         break
-                    pieces += 1
-                    if pieces % PIECES_IN_A_ROW == 0:
+                    chunks += 1
+                    if chunks % PIECES_IN_A_ROW == 0:
                         await asyncio.sleep(0)
                 elif event is h11.NEED_DATA:
                     parser.receive_data(await self._receive())
@@ -823,7 +911,7 @@
         except h11.RemoteProtocolError:
             pass
         self._abort = True
-        raise _Gone
+        raise _Disconnected
 
     def _take(
         self,
@@ -833,35 +921,49 @@
         last: bool,
         length: int | None = -1,
     ) -> Upload | None:
-        """A request has come whole: a call, or the question whether this is ready. Or a call whose body, of
-        this length (None: not known), goes on; then what it goes on by is returned."""
+        """Accept a request: a call, or a readiness check (`call` is None).
+
+        Args:
+            parser: The h11 connection of a request that is not plain.
+            call: The call, with the body received so far.
+            share: What the body holds of the memory budget.
+            last: Whether the connection closes after this request.
+            length: -1 if the body is complete. Otherwise the length of the streamed body, None if unknown.
+
+        Returns:
+            Where the rest of a streamed body goes, None for a complete one.
+
+        Raises:
+            BadRequest: A request with this id is in flight.
+            _Disconnected: The client has gone.
+        """
         self._share = None
-        self._begun = False
+        self._partial = False
         waited_us, self.waited_us = self.waited_us, 0
-        share.whole()
+        share.complete()
         if call is not None and self._agent.has_open(call.client_id):
-            # Risk: where requests are told apart by id, one of the two would be taken for the other.
+            # Where requests are distinguished by id, one of the two would be mistaken for the other.
             share.release()
             raise BadRequest(409, "a request under this X-Call-Id is open")
         if call is None:
             share.release()
             refusing = self._listener.refusing
             text = "going away" if refusing else "ready"
-            self._push_text(parser, 503 if refusing else 200, text, last)
+            self._enqueue_text(parser, 503 if refusing else 200, text, last)
         else:
             if self.wire.hung_up():
-                # Risk: who has asked and left while it waited to be accepted, or for its turn, is sent for.
+                # The client left while its request waited to be accepted or parsed: nothing is sent for it.
                 share.release()
-                raise _Gone
+                raise _Disconnected
             call.left = self.wire.hung_up
             if length != -1:
                 call.upload = self._upload = Upload(call.payload.body, length)
                 call.payload.body = bytearray()
-                self._begun = True  # until the rest is here
+                self._partial = True  # until the rest has arrived
                 self._listener.uploading.add(self)
             call.budget_us -= waited_us
             held = self._agent.take(call)
-            self._push(_Turn(parser, held.answer, share, held, last))
+            self._enqueue(_PendingAnswer(parser, held.answer, share, held, last))
         return self._upload
 
     async def _read_head(self, parser: h11.Connection, rest: bytes) -> h11.Request:
@@ -871,27 +973,32 @@
             if isinstance(event, h11.Request):
                 return event
             if event is not h11.NEED_DATA:
-                raise _Gone
+                raise _Disconnected
             parser.receive_data(await self._receive())
 
-    def _begins(self) -> None:
-        """The first byte of a request. The first of a connection has its time from the connection's start."""
-        self._begun = True
-        self._blank = 0
-        if self._asked:
-            self._until = time.monotonic() + WHOLE_S
-        self._asked = True
+    def _begin_request(self) -> None:
+        """Start the deadline of a request at its first byte.
+
+        The deadline of the first request started with the connection.
+        """
+        self._partial = True
+        self._blank_bytes = 0
+        if self._had_request:
+            self._deadline = time.monotonic() + WHOLE_S
+        self._had_request = True
 
     async def _read_body(
-        self, parser: h11.Connection, body: bytearray, share: BodyShare, may_go_on: bool
+        self, parser: h11.Connection, body: bytearray, share: BodyShare, may_stream: bool
     ) -> bool:
-        """Read a body of up to BODY_MOST bytes, or the beginning of a longer one that `may_go_on`. Returns
-        whether it is whole."""
-        self._body_since = time.monotonic()
-        if parser.they_are_waiting_for_100_continue and not self._turns:
+        """Read a body of up to BODY_MOST bytes, or the start of a longer one if `may_stream`.
+
+        Returns whether it is complete.
+        """
+        self._body_started = time.monotonic()
+        if parser.they_are_waiting_for_100_continue and not self._pending:
             reply = parser.send(h11.InformationalResponse(status_code=100, headers=[]))
             await self.wire.send(reply or b"", STALL_S)
-        pieces = 0
+        chunks = 0
         while True:
             event = parser.next_event()
             if isinstance(event, h11.EndOfMessage):
@@ -899,187 +1006,201 @@
             if isinstance(event, h11.Data):
                 body += event.data
                 share.add(len(event.data))
-                self._progressed(len(body))
+                self._note_progress(len(body))
                 if len(body) > BODY_MOST:
-                    if may_go_on:
+                    if may_stream:
                         return False
                     raise BadRequest(413, "the body is too long")
-                pieces += 1
-                if pieces % PIECES_IN_A_ROW == 0:
+                chunks += 1
+                if chunks % PIECES_IN_A_ROW == 0:
                     await asyncio.sleep(0)
             elif event is h11.NEED_DATA:
-                await self._room(share)
+                await self._wait_for_room(share)
                 parser.receive_data(await self._receive())
             else:
-                raise _Gone
+                raise _Disconnected
 
     async def _receive(self) -> bytes:
-        """The next bytes of the client. Raises _Gone at their end."""
+        """Return the next bytes from the client. Raises _Disconnected at end of stream."""
         data = await self.wire.receive()
-        if self._answered_last or self._deaf:
-            # Risk: a request read now would run, and its answer could not be written.
+        if self._answered_last or self._discarding:
+            # A request parsed now would run, and its answer could not be sent.
             await self._discard()
         if not data:
-            raise _Gone
-        self._listener.heard(self)
+            raise _Disconnected
+        self._listener.received(self)
         return data
 
     async def _discard(self) -> None:
-        """Read on past the last request, so that the client's going is seen. Risk: a client may go on sending
-        for as long as it is read, at our core's cost. Read no further, its end is behind what it has sent,
-        and what it asked before is sent on for nobody. So past DISCARD_MOST it is read slowly, and not once
-        it is owed nothing."""
-        self.wire.shortcut = None  # Risk: a request that comes behind the last one would be taken
-        left = DISCARD_MOST
+        """Read and discard what follows the last request, so that a disconnect is noticed. Always raises.
+
+        A client may send for as long as it is read, and cost CPU time. If it is read no further, its
+        disconnect is hidden behind what it has sent, and its earlier requests are retried for nobody. So past
+        MAX_DISCARD_BYTES it is read slowly, and not at all once no answer is pending.
+        """
+        self.wire.shortcut = None  # or a request after the last one would be accepted
+        left = MAX_DISCARD_BYTES
         while left > 0 and (data := await self.wire.receive()):
             left -= len(data)
-        while left <= 0 and self._turns and await self.wire.receive():
+        while left <= 0 and self._pending and await self.wire.receive():
             await asyncio.sleep(DISCARD_PAUSE_S)
-        raise _Gone
+        raise _Disconnected
 
     # Answers
 
-    def _push(self, turn: _Turn) -> None:
-        if not self._turns:
-            self._listener.owed(self)
-        self._turns.append(turn)
-        if turn.held is not None:
-            turn.held.told = self._pump
+    def _enqueue(self, pending: _PendingAnswer) -> None:
+        if not self._pending:
+            self._listener.became_active(self)
+        self._pending.append(pending)
+        if pending.held is not None:
+            pending.held.told = self._flush
             self._listener.taken += 1
             if self._upload is not None:
-                turn.held.told = partial(self._answered_early, self._upload)
-                if turn.held.answer.done():  # Risk: its client would wait for a taker who never comes
-                    self._upload.drop()
-        self._pump()
+                pending.held.told = partial(self._answered_early, self._upload)
+                if pending.held.answer.done():  # no attempt will read the body, and the client would wait
+                    self._upload.discard()
+        self._flush()
 
-    def _push_text(
+    def _enqueue_text(
         self, parser: h11.Connection | None, status: int, text: str, last: bool | None = None
     ) -> None:
         answer: asyncio.Future[Final] = asyncio.get_running_loop().create_future()
-        headers = [(b"Retry-After", COME_BACK_S)] if status in (429, 503) else []
+        headers = [(b"Retry-After", RETRY_AFTER_S)] if status in (429, 503) else []
         answer.set_result(Answer(status, headers, text.encode("latin-1", "replace") + b"\n"))
-        self._push(_Turn(parser, answer, last=status not in (200, 503) if last is None else last))
+        self._enqueue(_PendingAnswer(parser, answer, last=status not in (200, 503) if last is None else last))
 
     def _answered_early(self, upload: Upload) -> None:
-        """The answer is known; what of the body nobody has taken, nobody will."""
-        upload.drop()
-        self._pump()
+        """Discard the unread rest of a body whose answer is already known."""
+        upload.discard()
+        self._flush()
 
-    def _pump(self) -> None:
-        """Write the answers that are there, in their order, as far as the kernel takes them at once. What
-        it does not take goes on in a task, and the next ones after it."""
+    def _flush(self) -> None:
+        """Write the answers that are ready, in order, as far as the kernel takes them at once.
+
+        A task writes what the kernel does not take, and the later answers follow it.
+        """
         if self._answered_last:
             return
         try:
-            while self._writer is None and self._turns and self._turns[0].answer.done():
-                data, last, stream = self._word(self._turns[0])
+            while self._writer is None and self._pending and self._pending[0].answer.done():
+                data, last, stream = self._encode(self._pending[0])
                 if stream is not None:
-                    self._writer = asyncio.create_task(self._stream_on(self._turns[0], data, last, stream))
+                    self._writer = asyncio.create_task(
+                        self._stream_answer(self._pending[0], data, last, stream)
+                    )
                     return
                 sent = self.wire.send_now(data)
                 if sent < len(data):
-                    self._writer = asyncio.create_task(self._write_on(memoryview(data)[sent:], last))
+                    self._writer = asyncio.create_task(self._write_rest(memoryview(data)[sent:], last))
                     return
-                if self._written(last):
+                if self._answer_sent(last):
                     return
         except OSError:
-            self._broken()
+            self._abort_connection()
         except Exception:
             log.exception("answering a client failed")
-            self._broken()
+            self._abort_connection()
 
-    async def _write_on(self, rest: memoryview, last: bool) -> None:
+    async def _write_rest(self, rest: memoryview, last: bool) -> None:
         try:
             await self.wire.send(rest, STALL_S)
         except OSError:
-            self._broken()
+            self._abort_connection()
             return
         self._writer = None
-        if not self._written(last):
-            self._pump()
+        if not self._answer_sent(last):
+            self._flush()
 
-    async def _stream_on(self, turn: _Turn, data: bytes, last: bool, stream: Stream) -> None:
-        """Pass on an answer while it comes. One piece at a time is held here: what the client does not take,
-        the server feels. Whatever goes wrong cuts the client off, which then knows that it is not whole."""
-        chunked = turn.parser is None and stream.length is None
+    async def _stream_answer(self, pending: _PendingAnswer, data: bytes, last: bool, stream: Stream) -> None:
+        """Stream an answer with backpressure: one chunk at a time is buffered here.
+
+        Any error aborts the connection, so that the client knows that the answer is incomplete.
+        """
+        chunked = pending.parser is None and stream.length is None
         try:
             while piece := await stream.read():
-                if turn.parser is not None:
-                    data += turn.parser.send(h11.Data(data=piece)) or b""
+                if pending.parser is not None:
+                    data += pending.parser.send(h11.Data(data=piece)) or b""
                 else:
                     data += b"%x\r\n%b\r\n" % (len(piece), piece) if chunked else piece
                 await self.wire.send(data, STALL_S)
                 data = b""
-            if turn.parser is not None:
-                data += turn.parser.send(h11.EndOfMessage()) or b""
+            if pending.parser is not None:
+                data += pending.parser.send(h11.EndOfMessage()) or b""
             elif chunked:
                 data += b"0\r\n\r\n"
             await self.wire.send(data, STALL_S)
         except (OSError, h11.LocalProtocolError):
-            self._broken()
+            self._abort_connection()
             return
-        if turn.parser is not None:
-            last = turn.parser.our_state is not h11.DONE
+        if pending.parser is not None:
+            last = pending.parser.our_state is not h11.DONE
         self._writer = None
-        if not self._written(last):
-            self._pump()
+        if not self._answer_sent(last):
+            self._flush()
 
-    def _broken(self) -> None:
-        # Risk: the client would take what has come for the whole.
+    def _abort_connection(self) -> None:
+        # Without a reset the client could mistake what it has for the whole answer.
         self._abort = True
         self.cancel()
 
-    def _written(self, last: bool) -> bool:
-        """An answer has gone out. Whether it was the last: then it has said so, and the client is given
-        time to read it before the connection goes."""
-        self._done()
+    def _answer_sent(self, last: bool) -> bool:
+        """Update the state after an answer was sent. Returns whether it was the last one.
+
+        The last answer has announced the close, and the client gets LINGER_S to read it before the connection
+        closes (lingering close).
+        """
+        self._dequeue()
         if last:
             self._answered_last = True
             self.wire.shutdown(socket.SHUT_WR)
             self._linger = asyncio.get_running_loop().call_later(LINGER_S, self.cancel)
         return last
 
-    def _done(self) -> None:
-        turn = self._turns.pop(0)
-        if turn.share is not None:
-            turn.share.release()
-        if turn.held is not None:
+    def _dequeue(self) -> None:
+        pending = self._pending.pop(0)
+        if pending.share is not None:
+            pending.share.release()
+        if pending.held is not None:
             self._listener.taken -= 1
-        if not self._turns:
-            self._answered = time.monotonic()
-            self._until = self._answered + (WHOLE_S if self._begun else IDLE_S)
-            self._listener.rests(self)
-
-    def _word(self, turn: _Turn) -> tuple[bytes, bool, Stream | None]:
-        """The next answer as it goes out, and whether the connection ends with it; of one that is passed on
-        while it comes, the head, and what brings the rest."""
-        answer = _worded(turn.answer.result())
-        if turn.share is not None:
-            turn.share.release()
-        turn.share = self._listener.bodies.share()
-        turn.share.add(len(answer.body) if answer.stream is None else BODY_MOST)
-        # Going away, the last answer is one with nothing behind it. Risk: a request that has come and is not
-        # yet parsed would be read past after an answer that says it is the last.
-        close = turn.last or (
-            self._listener.leaving
-            and len(self._turns) == 1
-            and not self._begun
+        if not self._pending:
+            self._idle_since = time.monotonic()
+            self._deadline = self._idle_since + (WHOLE_S if self._partial else IDLE_S)
+            self._listener.became_idle(self)
+
+    def _encode(self, pending: _PendingAnswer) -> tuple[bytes, bool, Stream | None]:
+        """Encode the next answer. Returns its bytes, whether the connection closes after it, and its stream.
+
+        For a streamed answer the bytes are those of the head, and the stream yields the body; otherwise the
+        stream is None.
+        """
+        answer = _to_answer(pending.answer.result())
+        if pending.share is not None:
+            pending.share.release()
+        pending.share = self._listener.bodies.share()
+        pending.share.add(len(answer.body) if answer.stream is None else BODY_MOST)
+        # While draining or shutting down, an answer announces the close only if no input follows its request:
+        # a request that has arrived but is not yet parsed would be discarded after such an answer.
+        close = pending.last or (
+            self._listener.closes_after_answer
+            and len(self._pending) == 1
+            and not self._partial
             and self.wire.quiet()
         )
-        headers = _headers(answer, close, turn.parser is None)
+        headers = _answer_headers(answer, close, pending.parser is None)
         stream = answer.stream
-        if turn.parser is None:
+        if pending.parser is None:
             start = b"HTTP/1.1 %d \r\n" % answer.status
             return framed(start, headers, answer.body), close, stream
         if stream is not None:
             response = h11.Response(status_code=answer.status, headers=headers)
-            return frame(turn.parser, response), close, stream
-        whole = _whole(turn.parser, answer, headers)
-        return whole, turn.parser.our_state is not h11.DONE, None
+            return frame(pending.parser, response), close, stream
+        whole = _encode_with_h11(pending.parser, answer, headers)
+        return whole, pending.parser.our_state is not h11.DONE, None
 
 
-def _worded(final: Final) -> Answer:
-    """A final answer in HTTP's words."""
+def _to_answer(final: Final) -> Answer:
+    """Convert a final result to an HTTP answer."""
     if isinstance(final, Answer):
         return final
     if isinstance(final, Refused):
@@ -1087,13 +1208,16 @@
     return Answer(500, [], b"failed\n")
 
 
-def _whole(parser: h11.Connection, answer: Answer, headers: Headers) -> bytes:
+def _encode_with_h11(parser: h11.Connection, answer: Answer, headers: Headers) -> bytes:
     response = h11.Response(status_code=answer.status, headers=headers)
     return frame(parser, response, h11.Data(data=bytes(answer.body)), h11.EndOfMessage())
 
 
-def _headers(answer: Answer, close: bool, plain: bool) -> Headers:
-    """`plain`: framed here, and not by h11, which says itself how a body of unknown length is framed."""
+def _answer_headers(answer: Answer, close: bool, plain: bool) -> Headers:
+    """Return the headers of an answer with those for framing and close.
+
+    `plain`: framed here, and not by h11, which itself chooses the framing of a body of unknown length.
+    """
     length = len(answer.body) if answer.stream is None else answer.stream.length
     headers = [*answer.headers]
     if length is not None:
@@ -1110,8 +1234,11 @@
 
 
 def check_framing(head: h11.Request) -> None:
-    """Refuse a head whose body another reader could end elsewhere. Risk: what this one takes for a body, that
-    one takes for the next request (RFC 9112, 6.1 and 11.2). h11 passes on both of these."""
+    """Reject a head whose body another parser could end elsewhere. Raises BadRequest.
+
+    What this parser takes for a body, another could take for the next request: request smuggling (RFC 9112,
+    6.1 and 11.2). h11 accepts both of these forms.
+    """
     items = list(head.headers)
     chunked = any(name == b"transfer-encoding" for name, _ in items)
     lengths = [int(value) for name, value in items if name == b"content-length"]
@@ -1122,10 +1249,13 @@
 
 
 def parse_call(head: Head, agent: RequestHandler) -> Call:
-    """What the module is told and what goes on to a backend."""
+    """Build the call that the module decides on and that is forwarded to a backend.
+
+    Raises BadRequest if the request does not fit its class or lacks a required header.
+    """
     if head.method not in (b"GET", b"POST"):
         raise BadRequest(405, "the method is neither GET nor POST")
-    fields = _fields(head)
+    values = _header_values(head)
     path, _, query = head.target.partition(b"?")
     whole_path = path.decode("ascii")
     if "%" in whole_path:
@@ -1134,36 +1264,36 @@
     cls = agent.request_class(class_name)
     if not path.startswith(b"/") or cls is None:
         raise BadRequest(404, "the path names no class of request")
-    if fields.get(b"host") is None:
-        raise BadRequest(400, "Host is missing")  # as HTTP/1.0 may; what goes on is HTTP/1.1 and needs it
-    client_id = fields.get(b"x-call-id") or b""
+    if values.get(b"host") is None:
+        raise BadRequest(400, "Host is missing")  # optional in HTTP/1.0; the forwarded request is HTTP/1.1
+    client_id = values.get(b"x-call-id") or b""
     if not TOKEN.fullmatch(client_id):
         raise BadRequest(400, "X-Call-Id is missing or unreadable")
-    budget = BUDGET.fullmatch(fields.get(b"x-budget") or b"")
+    budget = BUDGET.fullmatch(values.get(b"x-budget") or b"")
     if budget is None:
         raise BadRequest(400, "X-Budget is missing or unreadable")
-    _check_effect(head.method, fields, cls)
-    cost = fields.get(b"x-call-cost") or b""
+    _check_effect(head.method, values, cls)
+    cost = values.get(b"x-call-cost") or b""
     return Call(
         client_id=client_id,
         class_name=class_name,
-        # Risk: a time without end would hold the request, its body and its attempts as long.
+        # An unbounded budget would keep the request, its body and its attempts for as long.
         budget_us=min(int(float(budget[1]) * BUDGET_UNITS_US[budget[2]]), cls.deadline_us),
         payload=Payload(
             head.method,
             head.target,
             [(name, value) for name, value in end_to_end(head.headers) if name != b"x-budget"],
         ),
-        key=_key_of(query),
-        tenant=(fields.get(b"x-caller") or b"").decode("latin-1"),
+        key=_first_key(query),
+        tenant=(values.get(b"x-caller") or b"").decode("latin-1"),
         cost_hint_us=int(cost) if cost.isdigit() and len(cost) <= 12 else 0,
-        is_retry=fields.get(b"x-again") == b"1",
+        is_retry=values.get(b"x-again") == b"1",
         repeatable=cls.effect is not Effect.UNSAFE,
     )
 
 
-def _key_of(query: bytes) -> str:
-    """The first value of `k` that is not empty."""
+def _first_key(query: bytes) -> str:
+    """Return the first value of `k` that is not empty."""
     if not query:
         return ""
     if b"%" in query or b"+" in query:
@@ -1174,19 +1304,25 @@
     return ""
 
 
-def _check_effect(method: bytes, fields: Mapping[bytes, bytes | None], cls: RequestClass) -> None:
-    """The method and the key follow from the class. Risk: a keyed request without its key would be repeated
-    as one whose repeats are dropped, and would run twice."""
+def _check_effect(method: bytes, values: Mapping[bytes, bytes | None], cls: RequestClass) -> None:
+    """Check that method and idempotency key fit the class. Raises BadRequest.
+
+    A keyed request without its key would be repeated like one whose repeats are deduplicated, and would run
+    twice.
+    """
     if (method == b"GET") != (cls.effect is Effect.SAFE):
         raise BadRequest(405, "the method is not that of the class")
-    keyed = TOKEN.fullmatch(fields.get(b"idempotency-key") or b"") is not None
+    keyed = TOKEN.fullmatch(values.get(b"idempotency-key") or b"") is not None
     if keyed != (cls.effect is Effect.KEYED):
         raise BadRequest(400, "Idempotency-Key is missing, unreadable or out of place")
 
 
-def _fields(head: Head) -> dict[bytes, bytes | None]:
-    """Each header's value, None of one that comes more than once. Made once: h11's list is slow to walk."""
-    fields: dict[bytes, bytes | None] = {}
+def _header_values(head: Head) -> dict[bytes, bytes | None]:
+    """Return the value of each header, None for one that occurs more than once.
+
+    Built once, because iterating over the header list of h11 is slow.
+    """
+    values: dict[bytes, bytes | None] = {}
     for name, value in head.headers:
-        fields[name] = None if name in fields else value
-    return fields
+        values[name] = None if name in values else value
+    return values
--- a/sorrelfront/net/__init__.py
+++ b/sorrelfront/net/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes: what fronts, upstreams and sources share of wires, framing and budgets."""
+"""Socket I/O, message framing and resource budgets, shared by fronts, upstreams and sources."""
--- a/sorrelfront/net/bodies.py
+++ b/sorrelfront/net/bodies.py
@@ -1,11 +1,11 @@
-"""A request's body on its way: the front feeds it as it comes, an attempt takes it as its server does.
+"""Streaming of a request body from the front, which feeds it as it arrives, to the attempt that sends it.
 
-A body of up to BODY_MOST bytes is held whole before anything is decided, so that it can be sent again. A
-longer one is passed on while it comes: only its beginning is kept. Until an attempt has taken something
-behind that, another attempt may begin anew; from then on none can, whatever the decisions would like.
+A body of up to BODY_MOST bytes is buffered whole before anything is decided, so that it can be sent again. A
+longer one is streamed: only its prefix is buffered. Until an attempt has read something past the prefix,
+another attempt can start over. After that no attempt can, whatever the decisions ask for.
 
-Each body has at most one piece that waits beside its beginning, and its client is not read meanwhile: what
-its server does not take, the client feels (RFC 9293, 3.8.6).
+Each body buffers at most one chunk beyond its prefix, and its client is not read meanwhile: backpressure from
+the server reaches the client (RFC 9293, 3.8.6).
 """
 
 from __future__ import annotations
@@ -15,77 +15,83 @@
 
 
 class Broken(ConnectionError):
-    """The rest of a body does not come."""
+    """The rest of a body will not arrive."""
 
 
 class Upload:
-    """One body; one feeder, and one taker at a time."""
+    """One streamed request body, with one producer and one consumer at a time."""
 
-    def __init__(self, beginning: bytes | bytearray, length: int | None) -> None:
-        """`beginning`: what has come by now. `length` in bytes, None if only the end will tell."""
+    def __init__(self, prefix: bytes | bytearray, length: int | None) -> None:
+        """Start with the bytes received so far.
+
+        Args:
+            prefix: The bytes received so far.
+            length: The length of the whole body in bytes; None if it is not known in advance.
+        """
         self.length = length
-        self.received = len(beginning)
-        self.whole_at: float | None = None  # when its last byte came, on the monotonic clock
-        self._beginning = bytes(beginning)
-        self._piece = b""  # waits to be taken
-        self._begun = False  # the taker has had the beginning
-        self._passed = False  # something behind the beginning has been taken
-        self._unwanted = False
-        self._broken = False
+        self.received = len(prefix)
+        self.whole_at: float | None = None  # when the last byte arrived, on the monotonic clock
+        self._prefix = bytes(prefix)
+        self._chunk = b""  # waits to be read
+        self._started = False  # the consumer has read the prefix
+        self._consumed = False  # something past the prefix has been read
+        self._discarded = False
+        self._aborted = False
         self._changed = asyncio.Event()
 
-    # Feeding
+    # Producer
 
-    async def room(self) -> None:
-        """Wait until the next piece may be fed."""
-        while self._piece and not self._unwanted:
+    async def wait_for_room(self) -> None:
+        """Wait until the next chunk may be fed."""
+        while self._chunk and not self._discarded:
             self._changed.clear()
             await self._changed.wait()
 
     def feed(self, data: bytes) -> None:
+        """Append received bytes; they are dropped if the body is discarded."""
         self.received += len(data)
-        if not self._unwanted:
-            self._piece += data
+        if not self._discarded:
+            self._chunk += data
             self._changed.set()
 
     def end(self) -> None:
-        """That was all."""
+        """Mark the body as complete."""
         self.whole_at = time.monotonic()
         self._changed.set()
 
-    def break_off(self) -> None:
-        """The rest does not come; nothing, if that was all."""
+    def abort(self) -> None:
+        """Fail the consumer because the rest will not arrive. Does nothing if the body is complete."""
         if self.whole_at is None:
-            self._broken = True
+            self._aborted = True
             self._changed.set()
 
-    def drop(self) -> None:
-        """Nobody will take any more of it: what still comes is passed over."""
-        self._unwanted = True
-        self._piece = self._beginning = b""
+    def discard(self) -> None:
+        """Drop what is buffered and whatever still arrives: nobody will read it."""
+        self._discarded = True
+        self._chunk = self._prefix = b""
         self._changed.set()
 
-    # Taking
+    # Consumer
 
     def begin(self) -> bool:
-        """Take it from its start. False if that is no longer to be had."""
-        self._begun = False
-        return not (self._passed or self._unwanted)
+        """Restart reading from the first byte. Returns False if that is no longer possible."""
+        self._started = False
+        return not (self._consumed or self._discarded)
 
     async def read(self) -> bytes:
-        """The next piece, empty at the end. Raises Broken."""
-        if not self._begun:
-            self._begun = True
-            return self._beginning
+        """Return the next chunk, empty at the end. Raises Broken if the rest will not arrive."""
+        if not self._started:
+            self._started = True
+            return self._prefix
         while True:
-            if self._piece:
-                self._passed = True
-                self._beginning = b""
-                piece, self._piece = self._piece, b""
+            if self._chunk:
+                self._consumed = True
+                self._prefix = b""
+                chunk, self._chunk = self._chunk, b""
                 self._changed.set()
-                return piece
-            if self._broken or self._unwanted:
-                raise Broken("the rest of the request does not come")
+                return chunk
+            if self._aborted or self._discarded:
+                raise Broken("the rest of the request body will not arrive")
             if self.whole_at is not None:
                 return b""
             self._changed.clear()
--- a/sorrelfront/net/budget.py
+++ b/sorrelfront/net/budget.py
@@ -1,76 +1,83 @@
-"""What the agent may hold at once: descriptors, and bytes of buffered bodies."""
+"""Limits on the resources that the agent holds: descriptors, and bytes of buffered bodies."""
 
 from __future__ import annotations
 
 import asyncio
 
-OTHER_DESCRIPTORS = 32  # standard streams, the event loop's own, listener, discovery, and some to spare
-CLIENT_SHARE = 0.6  # of the rest; clients must never take what reaches backends
+OTHER_DESCRIPTORS = 32  # standard streams, event loop, listener, discovery, and a reserve
+CLIENT_SHARE = 0.6  # of the rest; clients must never use up the descriptors for backends
 
-BODY_MOST = 65_536  # the longest body that is held whole, of a request or an answer
-STREAM_MOST = 32 * 1024 * 1024  # the longest body of all: what is longer goes on while it comes
-SMALL_BODY = 4_096  # what every request may hold without asking: small ones never wait behind long ones
-BASE_MEMORY = 28 * 1024 * 1024  # the interpreter, connections, small bodies and answers under way
-BODY_MEMORY_SHARE = 0.4  # of the rest; the allocator rounds up, a growing body moves, heads take some too
-BODY_MEMORY_LEAST = 32 * BODY_MOST  # 2 MB: below the least memory an agent is given, and enough to go on
+BODY_MOST = 65_536  # the longest body that is buffered whole, of a request or an answer
+STREAM_MOST = 32 * 1024 * 1024  # the longest body accepted; above BODY_MOST it is streamed
+SMALL_BODY = 4_096  # bytes per request that need no wait, so that short bodies never wait behind long ones
+BASE_MEMORY = 28 * 1024 * 1024  # the interpreter, connections, small bodies and answers in flight
+BODY_MEMORY_SHARE = 0.4  # of the rest; the allocator rounds up, a growing body is copied, heads take some too
+MIN_BODY_MEMORY = 32 * BODY_MOST  # 2 MB: below the least memory of an agent, and enough to make progress
 
 
 class Descriptors:
-    """The sockets that clients and backends may hold, each with a share of its own. Risk: a crowd of clients
-    takes the last descriptor, and nothing it asks can reach a backend."""
+    """Limits on the sockets of clients and of backends, each with a share of its own.
+
+    With one common limit, a surge of clients could take the last descriptor, and none of its requests could
+    reach a backend.
+    """
 
     def __init__(self, sockets: int) -> None:
         usable = max(8, sockets - OTHER_DESCRIPTORS)
         self.clients = int(usable * CLIENT_SHARE)
         self.backends = usable - self.clients
-        self.asking = sockets // 3  # the most that clients hold for requests, by the terms of deployment
+        self.asking = sockets // 3  # the most that clients hold for requests, as the deployment guarantees
 
 
 class BodyBudget:
-    """Bytes of bodies in memory. Who is short of it stops reading its client.
+    """Limit on the bytes of buffered bodies. A connection that gets no share stops reading its client.
 
-    Risk: deadlock, many long bodies each waiting for the rest. So a body's worth is kept for the oldest that
-    still grows, and what is whole ends by its deadline and gives its bytes back.
+    Many long bodies that each wait for memory would deadlock. So the size of one body is reserved for the
+    oldest one that still grows, and a complete one ends by its deadline and releases its bytes.
     """
 
     def __init__(self, memory_bytes: int) -> None:
         self.held = 0
-        self._growing: dict[BodyShare, None] = {}  # longer than small, not yet whole: oldest first
+        self._growing: dict[BodyShare, None] = {}  # longer than SMALL_BODY and incomplete, oldest first
         self._freed = asyncio.Event()
         self.resize(memory_bytes)
 
     def resize(self, memory_bytes: int) -> None:
-        """Take on another limit; what is held over a lower one goes as its requests end."""
-        self.most = max(BODY_MEMORY_LEAST, int((memory_bytes - BASE_MEMORY) * BODY_MEMORY_SHARE))
+        """Apply a new limit. Bytes held above a lower one are released as their requests end."""
+        self.max_bytes = max(MIN_BODY_MEMORY, int((memory_bytes - BASE_MEMORY) * BODY_MEMORY_SHARE))
         self._freed.set()
 
     def share(self) -> BodyShare:
+        """Return an empty share for one message."""
         return BodyShare(self)
 
     def fits(self, share: BodyShare) -> bool:
-        kept = 0 if next(iter(self._growing)) is share else BODY_MOST
-        return self.held + kept < self.most
+        """Return whether this growing body may grow now."""
+        reserved = 0 if next(iter(self._growing)) is share else BODY_MOST
+        return self.held + reserved < self.max_bytes
 
-    async def room(self, share: BodyShare) -> None:
+    async def wait_for_room(self, share: BodyShare) -> None:
         """Wait until this body may grow."""
         self._growing.setdefault(share)
         while not self.fits(share):
             self._freed.clear()
             await self._freed.wait()
 
-    def change(self, by: int) -> None:
+    def adjust(self, by: int) -> None:
+        """Add `by` bytes, which may be negative, to what is held."""
         self.held += by
         if by < 0:
             self._freed.set()
 
     def stop_growing(self, share: BodyShare) -> None:
+        """Remove the share from the growing ones, if it is one of them."""
         if share in self._growing:
             del self._growing[share]
             self._freed.set()
 
 
 class BodyShare:
-    """What one message holds of the budget."""
+    """The part of the budget that one message holds."""
 
     __slots__ = ("_budget", "held")
 
@@ -78,24 +85,26 @@
         self._budget = budget
         self.held = 0
 
-    async def room(self) -> None:
-        """Wait until more may be read; a small body never waits."""
+    async def wait_for_room(self) -> None:
+        """Wait until more may be read. A small body never waits."""
         if self.held >= SMALL_BODY:
-            await self._budget.room(self)
+            await self._budget.wait_for_room(self)
 
-    def must_wait(self) -> bool:
-        """Whether `room` might."""
-        return self.held >= SMALL_BODY and self._budget.held + BODY_MOST >= self._budget.most
+    def may_block(self) -> bool:
+        """Return whether `wait_for_room` might wait."""
+        return self.held >= SMALL_BODY and self._budget.held + BODY_MOST >= self._budget.max_bytes
 
     def add(self, count: int) -> None:
+        """Account for `count` more buffered bytes."""
         self.held += count
-        self._budget.change(count)
+        self._budget.adjust(count)
 
-    def whole(self) -> None:
-        """It has all come: it holds its bytes but grows no more."""
+    def complete(self) -> None:
+        """Mark the body as fully received: it keeps its bytes but no longer grows."""
         self._budget.stop_growing(self)
 
     def release(self) -> None:
+        """Return all bytes to the budget. A second call has no effect."""
         self._budget.stop_growing(self)
-        self._budget.change(-self.held)
+        self._budget.adjust(-self.held)
         self.held = 0
--- a/sorrelfront/net/http.py
+++ b/sorrelfront/net/http.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 over non-blocking sockets: asyncio's socket calls move the bytes. Plain messages are parsed by
-llhttp (`heads.py`) and framed directly; what is not plain is parsed and framed by h11.
+"""HTTP/1.1 over non-blocking sockets, which asyncio's event loop watches.
 
-There are no transports in between, so nothing is buffered out of sight: a byte counts as written once the
-kernel has it, what is not asked for is not read, and the peer feels that as backpressure.
+Plain messages are parsed by llhttp (`heads.py`) and framed directly; all others are parsed and framed by h11.
+
+No asyncio transports are used, so there are no hidden buffers: a byte counts as written once the kernel has
+it, bytes that are not asked for are not read, and the peer sees that as backpressure.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from sorrelfront.messages import Headers
 from sorrelfront.net.heads import HEAD_MOST as HEAD_MOST
 
-RECEIVE_BYTES = 65_536  # read at once: a few pieces to the megabyte, and the most a stream holds
-SEND_BYTES = 65_536  # handed to the kernel at once, so that progress shows within a long body
-# Pieces of a body taken before the loop is let go on. Risk: chunks of one byte, ten thousand to a read.
+RECEIVE_BYTES = 65_536  # per read: a few reads per megabyte, and the most that a stream buffers
+SEND_BYTES = 65_536  # per write, so that a stall within a long body is noticed
+# Chunks parsed before the event loop runs other tasks. One read may hold ten thousand chunks of one byte.
 PIECES_IN_A_ROW = 64
-KERNEL_BUFFER = 131_072  # a socket's buffers. Risk: left to grow, they would hold megabytes a connection
+KERNEL_BUFFER = 131_072  # bytes per socket buffer; autotuned ones would grow to megabytes per connection
 
-# Of one connection, not of the message (RFC 9110, 7.6.1); and the framing, which is made anew.
+# Headers of the connection, not of the message (RFC 9110, 7.6.1), and of the framing, which is redone.
 HOP_BY_HOP = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"content-length", b"expect")
@@ -33,156 +34,167 @@
 
 
 class Wire:
-    """A connected socket.
+    """A connected non-blocking socket.
 
-    Bytes leave the kernel in a reader callback, and only while somebody waits for them. From then on they
-    are held here until `receive` hands them over in a step of its caller's. Risk: a read whose result travels
-    in a future loses it when the reader is cancelled in between, and who decides to close sees nothing of it.
+    A reader callback reads from the kernel, and only while a caller waits. The bytes are then buffered here
+    until `receive` returns them. If a future carried them, a reader cancelled in between would lose them, and
+    code that decides whether to close would not see them.
     """
 
     __slots__ = (
-        "_at_rest", "_fd", "_hears", "_inbox", "_loop", "_waiter", "_watched", "closed", "shortcut", "sock",
+        "_fd", "_loop", "_on_data", "_on_idle_event", "_reader_added", "_received", "_waiter", "closed",
+        "shortcut", "sock",
     )  # fmt: skip
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.closed = False
-        # Shown what has come before the waiting caller is woken; True if it is done with, and the caller
-        # goes on waiting. What takes no wait at all then takes no turn of the loop either.
+        # Called with the received bytes before the waiting caller is woken. True if they are consumed: the
+        # caller then keeps waiting, and no iteration of the event loop is spent on waking it.
         self.shortcut: Callable[[bytes], bool] | None = None
-        self._fd = sock.fileno()  # by number: given the socket, the loop would write out its name
+        self._fd = sock.fileno()  # as a number: given the socket object, the loop would format its repr
         self._loop = asyncio.get_running_loop()
-        self._inbox: bytes | OSError | None = None  # taken from the kernel, and by nobody from here
+        self._received: bytes | OSError | None = None  # read from the kernel, not yet returned
         self._waiter: asyncio.Future[None] | None = None
-        self._at_rest: Callable[[], None] | None = None
-        self._hears: Callable[[bytes | OSError], None] | None = None
-        # The loop watches for input from the first wait to the end: asked for each wait anew, it would cost
-        # two calls to the kernel a message. Input that nobody waits for stops the watch until the next wait.
-        self._watched = False
-        # Risk: the last byte of a request, sent by itself, would wait for the peer's delayed acknowledgement.
+        self._on_idle_event: Callable[[], None] | None = None
+        self._on_data: Callable[[bytes | OSError], None] | None = None
+        # The reader stays registered from the first wait on: registered for each wait, it would cost two
+        # system calls per message. Input that nobody waits for unregisters it until the next wait.
+        self._reader_added = False
+        # With Nagle's algorithm the last byte of a request, sent alone, would wait for a delayed ACK.
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     async def receive(self, timeout_s: float | None = None) -> bytes:
-        """The next bytes, at most RECEIVE_BYTES, empty at the peer's end. One caller at a time.
+        """Return the next bytes, at most RECEIVE_BYTES; empty at end of stream. One caller at a time.
 
-        Always suspends unless bytes are held. Cancelled, it loses nothing: what was read is had by the next
-        call. Raises OSError of the socket, and TimeoutError if nothing has come in `timeout_s` seconds.
+        Always suspends unless bytes are buffered. Cancellation loses nothing: the next call returns what was
+        read. Raises OSError of the socket, and TimeoutError if nothing has arrived in `timeout_s` seconds.
         """
-        if self._inbox is None:
+        if self._received is None:
             waiter = self._waiter = self._loop.create_future()
             self._watch()
-            timer = None if timeout_s is None else self._loop.call_later(timeout_s, self._overdue, waiter)
+            timer = None if timeout_s is None else self._loop.call_later(timeout_s, self._time_out, waiter)
             try:
                 await waiter
             finally:
                 self._waiter = None
                 if timer is not None:
                     timer.cancel()
-        return self._take()
+        return self._take_received()
 
     def unread(self) -> bytes:
-        """What has come by now, without a wait; empty if nothing has, or only the end. Raises OSError."""
-        if self._inbox is None:
+        """Return what has arrived, without waiting.
+
+        Empty if nothing has, or at end of stream. Raises OSError.
+        """
+        if self._received is None:
             try:
                 return self.sock.recv(RECEIVE_BYTES)
             except (BlockingIOError, InterruptedError):
                 return b""
-        return self._take()
+        return self._take_received()
 
-    def rest(self, disturbed: Callable[[], None]) -> None:
-        """Nobody receives for now. `disturbed` is called, once, when the peer says something or ends."""
-        self._at_rest = disturbed
+    def rest(self, on_event: Callable[[], None]) -> None:
+        """Watch an idle connection: `on_event` is called, once, when the peer sends something or closes."""
+        self._on_idle_event = on_event
         self._watch()
 
     def wake(self) -> None:
-        """The rest is over."""
-        self._at_rest = None
-
-    def listen(self, hears: Callable[[bytes | OSError], None] | None) -> None:
-        """Have what comes handed over in the loop's callback that reads it: bytes, none at the peer's end, or
-        what is wrong. It takes no future and no turn of the loop. None: for `receive` again."""
-        self._hears = hears
-        if hears is not None:
+        """Stop watching as idle; the connection is in use again."""
+        self._on_idle_event = None
+
+    def listen(self, on_data: Callable[[bytes | OSError], None] | None) -> None:
+        """Deliver input to a callback instead of `receive`, within the reader callback that reads it.
+
+        The callback gets bytes, empty at end of stream, or the error. That takes no future and no further
+        iteration of the event loop. None switches back to `receive`.
+        """
+        self._on_data = on_data
+        if on_data is not None:
             self._watch()
 
-    def _hear(self, hears: Callable[[bytes | OSError], None]) -> None:
+    def _deliver(self, on_data: Callable[[bytes | OSError], None]) -> None:
         data: bytes | OSError
         try:
             data = self.sock.recv(RECEIVE_BYTES)
         except (BlockingIOError, InterruptedError):
             return
-        except OSError as fault:
-            data = fault
+        except OSError as error:
+            data = error
         if not data or isinstance(data, OSError):
-            self._unwatch()  # an end stays readable
-        hears(data)
+            self._unwatch()  # end of stream stays readable
+        on_data(data)
 
-    def _take(self) -> bytes:
-        inbox, self._inbox = self._inbox, None
-        if isinstance(inbox, OSError):
-            raise inbox
-        assert inbox is not None
-        return inbox
+    def _take_received(self) -> bytes:
+        received, self._received = self._received, None
+        if isinstance(received, OSError):
+            raise received
+        assert received is not None
+        return received
 
     def _watch(self) -> None:
-        if not self._watched and not self.closed:
-            self._watched = True
+        if not self._reader_added and not self.closed:
+            self._reader_added = True
             self._loop.add_reader(self._fd, self._readable)
 
     def _unwatch(self) -> None:
-        if self._watched:
-            self._watched = False
+        if self._reader_added:
+            self._reader_added = False
             self._loop.remove_reader(self._fd)
 
     def _readable(self) -> None:
-        if self._hears is not None:
-            self._hear(self._hears)
+        if self._on_data is not None:
+            self._deliver(self._on_data)
             return
         waiter = self._waiter
         if waiter is None or waiter.done():
-            # Risk: a peer that sends on unread would wake the loop for ever, and fill memory if it were read.
+            # Otherwise a peer that keeps sending would wake the loop forever, or fill memory if it were read.
             self._unwatch()
-            disturbed, self._at_rest = self._at_rest, None
-            if disturbed is not None:
-                disturbed()
+            on_event, self._on_idle_event = self._on_idle_event, None
+            if on_event is not None:
+                on_event()
             return
         try:
             data = self.sock.recv(RECEIVE_BYTES)
         except (BlockingIOError, InterruptedError):
             return
-        except OSError as fault:
-            self._inbox = fault
+        except OSError as error:
+            self._received = error
         else:
             if data and self.shortcut is not None and self.shortcut(data):
                 return
-            self._inbox = data
-        if not self._inbox or isinstance(self._inbox, OSError):
-            self._unwatch()  # an end stays readable
+            self._received = data
+        if not self._received or isinstance(self._received, OSError):
+            self._unwatch()  # end of stream stays readable
         waiter.set_result(None)
 
-    def _overdue(self, waiter: asyncio.Future[None]) -> None:
+    def _time_out(self, waiter: asyncio.Future[None]) -> None:
         if not waiter.done():
             waiter.set_exception(TimeoutError())
 
     def send_now(self, data: bytes | bytearray | memoryview) -> int:
-        """How much of it the kernel takes at once. Raises OSError."""
+        """Send without waiting and return how many bytes the kernel took. Raises OSError."""
         try:
             return self.sock.send(data)
         except (BlockingIOError, InterruptedError):
             return 0
 
     async def send(self, data: bytes | bytearray | memoryview, stall_s: float | None = None) -> None:
-        """Return once the kernel has it all. A piece that takes longer than `stall_s` raises TimeoutError."""
-        sent = self.send_now(data)  # most of what goes out fits, and needs neither a wait nor a timer
+        """Return once the kernel has all of the data.
+
+        Raises OSError of the socket, and TimeoutError if a piece of SEND_BYTES takes longer than `stall_s`
+        seconds.
+        """
+        sent = self.send_now(data)  # most data fits, and needs neither a wait nor a timer
         view = memoryview(data)
         for start in range(sent, len(view), SEND_BYTES):
             async with asyncio.timeout(stall_s):
                 await self._loop.sock_sendall(self.sock, view[start : start + SEND_BYTES])
 
     def quiet(self) -> bool:
-        """Whether nothing has come in that was not received: no bytes, no end, no error."""
-        if self._inbox is not None:
+        """Return whether no input is unread: no bytes, no end of stream, no error."""
+        if self._received is not None:
             return False
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -193,9 +205,9 @@
         return False
 
     def hung_up(self) -> bool:
-        """Whether the peer has ended its sending, or broken off, with nothing unread ahead of that end."""
-        if self.closed or self._inbox is not None:
-            return self.closed or not self._inbox or isinstance(self._inbox, OSError)
+        """Return whether the peer has closed its sending side or reset, with no unread bytes before that."""
+        if self.closed or self._received is not None:
+            return self.closed or not self._received or isinstance(self._received, OSError)
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -204,18 +216,19 @@
             return True
 
     def shutdown(self, how: int) -> None:
+        """Shut down one or both directions; errors are ignored."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(how)
 
     def close(self, abort: bool = False) -> None:
-        """Close, with a reset if `abort`: the peer then cannot take what it has for a whole message."""
+        """Close, with a reset if `abort`: the peer then cannot mistake what it has for a whole message."""
         if self.closed:
             return
         self.closed = True
-        # Risk: a waiter's clean-up runs later and would unregister whoever got this descriptor's number next.
+        # Now, because a waiter's cleanup runs later, when the descriptor number may belong to another socket.
         self._unwatch()
         self._loop.remove_writer(self._fd)
-        self._at_rest = self.shortcut = self._hears = None
+        self._on_idle_event = self.shortcut = self._on_data = None
         with contextlib.suppress(OSError):
             if abort:
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -224,21 +237,21 @@
 
 @dataclass(slots=True)
 class Payload:
-    """What of a request is HTTP's alone and goes on to a backend."""
+    """The HTTP part of a request, which is forwarded to a backend."""
 
     method: bytes
     target: bytes
-    headers: Headers  # the end-to-end ones that go on unchanged
+    headers: Headers  # the end-to-end ones, forwarded unchanged
     body: bytearray = field(default_factory=bytearray)
 
 
 def frame(parser: h11.Connection, *events: h11.Event) -> bytes:
-    """What these events are on the wire."""
+    """Return the bytes of these events as `parser` frames them."""
     return b"".join(parser.send(event) or b"" for event in events)
 
 
 def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """The headers that a proxy passes on."""
+    """Return the headers that a proxy forwards: no hop-by-hop ones, none that Connection names."""
     headers = list(headers)
     options = [value for name, value in headers if name == b"connection"]
     named = {option.strip().lower() for value in options for option in value.split(b",")}
--- a/sorrelfront/net/streams.py
+++ b/sorrelfront/net/streams.py
@@ -1,29 +1,30 @@
-"""The end of a stream of asyncio: closed, heard out, and bounded."""
+"""Closing of asyncio streams, within a bounded time."""
 
 from __future__ import annotations
 
 import asyncio
 
-END_WITHIN_S = 1.0  # seconds for the peer to take what is still unsent; then it is dropped
+CLOSE_TIMEOUT_S = 1.0  # for the peer to read what is still unsent; then it is dropped
 
 
 async def end_stream(writer: asyncio.StreamWriter, abort: bool = False) -> None:
-    """Close it and hear how it ended, at once if `abort`, else in END_WITHIN_S seconds. Raises nothing of the
-    connection's own; cancelled, it drops what is unsent.
+    """Close the stream and wait until it is closed: at once if `abort`, else within CLOSE_TIMEOUT_S seconds.
 
-    Risk: an end that nobody asks for is told as an error that nobody saw, if a reset came first. And a peer
-    that takes nothing would keep the descriptor for as long as it likes.
+    Raises no error of the connection. If cancelled, it drops what is unsent.
+
+    If nobody awaited the close after a reset, asyncio would log an exception that was never retrieved. And a
+    peer that reads nothing could keep the descriptor open without limit.
     """
     if abort:
         writer.transport.abort()
     else:
         writer.close()
     try:
-        async with asyncio.timeout(END_WITHIN_S):
+        async with asyncio.timeout(CLOSE_TIMEOUT_S):
             await writer.wait_closed()
     except OSError:
-        pass  # its own, or the time is up
+        pass  # of the connection, or the timeout
     finally:
-        # Risk: a transport that has ended has no loop any more, and fails on `abort`.
+        # A transport that is closed has no event loop any more, and `abort` would fail on it.
         if writer.get_extra_info("socket").fileno() != -1:
             writer.transport.abort()
--- a/sorrelfront/net/transient.py
+++ b/sorrelfront/net/transient.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, and succeed if they are made again."""
+"""Retries of system calls that fail for lack of resources."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 T = TypeVar("T")
 
-# No descriptor or no memory just now; accept(2) and socket(2) name these.
+# Temporarily out of descriptors or memory, or interrupted; see accept(2) and socket(2).
 TRANSIENT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR})
-RETRY_S = 0.02
-PATIENCE_S = 5.0  # an agent is given 6 s to be ready
+RETRY_INTERVAL_S = 0.02
+RETRY_TIMEOUT_S = 5.0  # an agent has 6 s to become ready
 
 
-async def until_possible(make: Callable[[], T], patience_s: float = PATIENCE_S) -> T:
-    """What `make` returns, once it does not raise a transient error.
+async def until_possible(attempt: Callable[[], T], timeout_s: float = RETRY_TIMEOUT_S) -> T:
+    """Call `attempt` until it raises no transient error, and return its result.
 
-    Raises OSError: any other, at once, or the transient one that is still there after `patience_s` seconds.
+    Raises OSError: a non-transient one at once, a transient one if it persists after `timeout_s` seconds.
     """
-    until = time.monotonic() + patience_s
+    deadline = time.monotonic() + timeout_s
     while True:
         try:
-            return make()
-        except OSError as fault:
-            if fault.errno not in TRANSIENT_ERRORS or time.monotonic() >= until:
+            return attempt()
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= deadline:
                 raise
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -1,7 +1,7 @@
-"""Nothing that was read from a socket is dropped by a close: each closer, at each turn of the loop between.
+"""No close drops bytes that were read from a socket: each kind of close, at each event loop iteration.
 
-A request is answered, or its bytes were never read and the kernel resets the connection, by which the client
-knows. An end without either is a lost request.
+A request is answered, or its bytes are never read and the kernel resets the connection, so that the client
+knows. A close without either loses a request.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 from sorrelfront.upstreams.http1 import Upstream
 from tests.loopback import PATIENCE_S, Backend, World, answer, looped, request, table, until, world
 
-TURNS = 31  # of the loop, from none to 30
+MAX_ITERATIONS = 31  # of the event loop: 0 to 30
 OK = answer(b"served")
 
 
 class NoRoom(Descriptors):
-    """Limits under which every client that may go has to."""
+    """Limits under which every connection that may be closed is closed."""
 
     def __init__(self, sockets: int) -> None:
         super().__init__(sockets)
@@ -42,18 +42,18 @@
 
 
 def stop(made: World, folder: Path) -> None:
-    made.listener._end_resting()
+    made.listener._close_idle()
 
 
 def sweep(made: World, folder: Path) -> None:
     for client in [*made.listener._clients]:
-        client._until = 0.0
-        client.expire(time.monotonic())
+        client._deadline = 0.0
+        client.check_timeout(time.monotonic())
 
 
-def relieve(made: World, folder: Path) -> None:
-    made.listener._asking_most = 0
-    made.listener._relieve()
+def shed_idle(made: World, folder: Path) -> None:
+    made.listener._max_active = 0
+    made.listener._shed_idle()
 
 
 def evict(made: World, folder: Path) -> None:
@@ -73,17 +73,17 @@
 
 
 CLOSERS: dict[str, Callable[[World, Path], None]] = {
-    "stop": stop, "sweep": sweep, "relieve": relieve, "evict": evict, "resize": resize, "reload": reload,
+    "stop": stop, "sweep": sweep, "shed_idle": shed_idle, "evict": evict, "resize": resize, "reload": reload,
 }  # fmt: skip
 
 
-async def turns(count: int) -> None:
+async def iterations(count: int) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def shapes(name: str) -> tuple[list[bytes], int]:
-    """Pieces of requests, with a few turns between them, and how many requests they are."""
+def request_pieces(name: str) -> tuple[list[bytes], int]:
+    """Return the pieces to send, with a few loop iterations in between, and how many requests they are."""
     first, second = request(f"{name}a", "pay", b"x"), request(f"{name}b")
     match name.partition("-")[0]:
         case "whole" | "new":
@@ -106,94 +106,94 @@
 
 @pytest.mark.parametrize("shape", ["whole", "new", "pieces", "pipelined", "behind"])
 @pytest.mark.parametrize("closer", CLOSERS)
-def test_no_close_drops_what_was_read(
+def test_no_close_drops_received_bytes(
     closer: str, shape: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener, "IDLE_S", 1_000.0)  # none goes for having rested too long
-    monkeypatch.setattr(listener, "REST_S", 0.0)
+    monkeypatch.setattr(listener, "IDLE_S", 1_000.0)  # no idle timeouts
+    monkeypatch.setattr(listener, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(service, "Descriptors", NoRoom)
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with closable(backend) as made:
-            limits = made.listener._asking_most
-            for count in range(TURNS):
+            limits = made.listener._max_active
+            for count in range(MAX_ITERATIONS):
                 peer = Peer(made.listener.address)
                 if shape != "new":
                     peer.send(request(f"first{count}"))
                     assert await peer.answer() == b"HTTP/1.1 200 "
-                pieces, expected = shapes(f"{shape}-{count}")
+                pieces, expected = request_pieces(f"{shape}-{count}")
                 for piece in pieces[:-1]:
                     peer.send(piece)
-                    await turns(3)
+                    await iterations(3)
                 peer.send(pieces[-1])
-                await turns(count)
+                await iterations(count)
                 CLOSERS[closer](made, tmp_path)
-                made.listener._asking_most = limits
+                made.listener._max_active = limits
                 made.listener.resize(Descriptors(256), 64 << 20)
                 got = [await peer.answer() for _ in range(expected)]
-                # Of one that has come in part so far, who must go may be told so.
-                turned_away = shape == "pieces" and got[0][:12] in (b"HTTP/1.1 408", b"HTTP/1.1 503")
+                # A partial request may be answered with an error instead.
+                rejected = shape == "pieces" and got[0][:12] in (b"HTTP/1.1 408", b"HTTP/1.1 503")
                 whole = got in ([b"HTTP/1.1 200 "] * expected, [b"reset"] * expected)
-                assert whole or turned_away, (count, got)
+                assert whole or rejected, (count, got)
                 peer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("closer", CLOSERS)
-def test_a_close_between_the_pieces_of_a_request_is_answered(
+def test_a_close_in_the_middle_of_a_request_is_answered(
     closer: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Who must go then is told so: the last byte may be on its way."""
+    """A close without an answer would lose a request whose last byte is on its way."""
     monkeypatch.setattr(listener, "IDLE_S", 1_000.0)
-    monkeypatch.setattr(listener, "REST_S", 0.0)
+    monkeypatch.setattr(listener, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(service, "Descriptors", NoRoom)
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with closable(backend) as made:
-            limits = made.listener._asking_most
-            for count in range(TURNS):
+            limits = made.listener._max_active
+            for count in range(MAX_ITERATIONS):
                 peer = Peer(made.listener.address)
                 peer.send(request(f"first{count}"))
                 assert await peer.answer() == b"HTTP/1.1 200 "
                 seen = len(backend.seen)
                 data = request(f"r{count}", "pay", b"x")
                 peer.send(data[:40])
-                await turns(count)
+                await iterations(count)
                 CLOSERS[closer](made, tmp_path)
                 with contextlib.suppress(ConnectionError):
                     peer.send(data[40:])
                 got = await peer.answer()
                 assert got[:12] in (b"HTTP/1.1 200", b"HTTP/1.1 408", b"HTTP/1.1 503", b"reset"), (count, got)
                 assert len(backend.seen) - seen == got.startswith(b"HTTP/1.1 200")
-                made.listener._asking_most = limits
+                made.listener._max_active = limits
                 made.listener.resize(Descriptors(256), 64 << 20)
                 peer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("shape", ["whole", "new", "pieces", "pipelined", "behind"])
-def test_a_stop_answers_all_that_it_has_read(shape: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The whole of a stop, with no time in which clients are awaited."""
+def test_a_shutdown_answers_every_request_it_has_read(shape: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A whole shutdown, without the time in which new connections are still awaited."""
     monkeypatch.setattr(listener, "GOING_AWAY_S", 0.0)
 
-    async def play() -> None:
-        for count in range(TURNS):
+    async def scenario() -> None:
+        for count in range(MAX_ITERATIONS):
             backend = await Backend(OK).start()
             async with closable(backend) as made:
                 peer = Peer(made.listener.address)
                 if shape != "new":
                     peer.send(request("first"))
                     assert await peer.answer() == b"HTTP/1.1 200 "
-                pieces, expected = shapes(f"{shape}-{count}")
+                pieces, expected = request_pieces(f"{shape}-{count}")
                 for piece in pieces[:-1]:
                     peer.send(piece)
-                    await turns(3)
+                    await iterations(3)
                 peer.send(pieces[-1])
-                await turns(count)
+                await iterations(count)
                 closing = asyncio.create_task(made.listener.close())
                 got = [await peer.answer() for _ in range(expected)]
                 assert got in ([b"HTTP/1.1 200 "] * expected, [b"reset"] * expected), (count, got)
@@ -201,28 +201,28 @@
                 await asyncio.wait_for(closing, PATIENCE_S)
                 assert made.agent.owed == 0 and made.listener.connections == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @looped
-async def test_what_is_owed_when_no_time_is_left_is_answered_and_its_attempt_called_off(
+async def test_requests_in_flight_at_the_end_of_a_shutdown_are_answered_and_their_attempts_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request that came late in a stop has a deadline behind the stop's end."""
+    """A request that arrives late in a shutdown has a deadline past the end of the shutdown."""
     go, script = gate(OK)
     backend = await Backend(script).start()
     async with world(backend) as made:
         monkeypatch.setattr(listener, "GOING_AWAY_S", 0.0)
         monkeypatch.setattr(listener, "GOING_AWAY_MORE_S", -made.agent.longest_deadline_us / 1e6)
         monkeypatch.setattr(listener, "LAST_ANSWERS_S", PATIENCE_S)
-        owed, begun = await made.client(), await made.client()
-        owed.send(request("owed", "pay", b"x") + request("behind", "pay", b"x"))
-        begun.send(request("begun", "pay", b"x")[:-1])
+        in_flight, partial = await made.client(), await made.client()
+        in_flight.send(request("in_flight", "pay", b"x") + request("behind", "pay", b"x"))
+        partial.send(request("partial", "pay", b"x")[:-1])
         await until(lambda: len(backend.seen) == 2 and any(one.unfinished for one in made.listener._clients))
         closing = asyncio.create_task(made.listener.close())
-        assert [(await owed.answer())[0] for _ in range(2)] == [500, 500]
-        assert (await begun.answer())[0] == 503
-        for client in (owed, begun):
+        assert [(await in_flight.answer())[0] for _ in range(2)] == [500, 500]
+        assert (await partial.answer())[0] == 503
+        for client in (in_flight, partial):
             assert await client.ended()
             client.close()
         await closing
@@ -231,14 +231,14 @@
         go.set()
 
 
-def test_what_crosses_the_end_of_a_resting_connection_is_reset_and_not_read(
+def test_a_request_that_crosses_the_close_of_an_idle_connection_is_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It comes between the look and the close, as the end is on its way to the client."""
+    """The request arrives between check and close, while the end of stream is on its way to the client."""
     monkeypatch.setattr(listener, "GOING_AWAY_S", 0.0)
     shutdown = Wire.shutdown
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with closable(backend) as made:
             peer = Peer(made.listener.address)
@@ -257,20 +257,20 @@
             assert len(backend.seen) == 1
             peer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_a_cancelled_read_has_taken_is_had_by_the_next() -> None:
-    async def play() -> None:
+def test_bytes_of_a_cancelled_read_are_returned_by_the_next() -> None:
+    async def scenario() -> None:
         for count in range(6):
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
             with theirs:
                 wire = Wire(ours)
                 reading = asyncio.create_task(wire.receive())
-                await turns(2)
+                await iterations(2)
                 theirs.send(b"bytes")
-                await turns(count)
+                await iterations(count)
                 done = reading.done()
                 reading.cancel()
                 await asyncio.wait([reading])
@@ -282,13 +282,13 @@
                 assert wire.quiet()
                 wire.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_answer_that_came_as_the_time_was_up_counts() -> None:
-    """It was in the kernel before the time was up, and the loop, held up, learns of both in one turn."""
+def test_an_answer_that_arrived_as_the_timeout_expired_counts() -> None:
+    """It was in the kernel in time, but a blocked event loop sees answer and timeout in one iteration."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
@@ -300,22 +300,22 @@
             seen = b""
             while not seen.endswith(b"\r\n\r\nx"):
                 seen += await loop.sock_recv(sock, 65_536)
-            await turns(5)
+            await iterations(5)
             sock.send(OK)
-            time.sleep(0.4)  # the loop is held up, as on a busy core
+            time.sleep(0.4)  # blocks the event loop, as a busy core would
             ended = await asyncio.wait_for(attempt, PATIENCE_S)
             assert ended.outcome is Outcome.OK and ended.answer is not None and ended.answer.body == b"served"
             assert upstream.open == 1
             upstream.close()
             sock.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_nothing_behind_a_last_request_is_taken() -> None:
-    """The client says that this request is its last, and then sends another: that one must not run."""
+def test_no_request_after_a_last_one_is_accepted() -> None:
+    """A request sent after one with `Connection: close` must not run."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def later(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -328,24 +328,24 @@
             peer.send(request("a", "pay", more="Connection: close\r\n"))
             await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
             peer.send(request("b", "pay"))
-            for _ in range(TURNS):
+            for _ in range(MAX_ITERATIONS):
                 await asyncio.sleep(0)
-            assert made.agent.offered == 1  # it was read, and not taken
+            assert made.agent.offered == 1  # it was read, and not accepted
             go.set()
             assert (await peer.answer()).startswith(b"HTTP/1.1 200")
             assert peer.told_to_close and len(backend.seen) == 1
             peer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_server_that_leaves_the_list_before_the_first_step_of_its_attempt_costs_no_refusal() -> None:
-    async def play() -> None:
+def test_a_server_removed_before_the_first_step_of_its_attempt_causes_no_refusal() -> None:
+    async def scenario() -> None:
         leaving, other = await Backend(OK).start(), await Backend(OK).start()
         async with world(leaving) as made:
             headers = [(b"host", b"a"), (b"x-call-id", b"r")]
             call = Call(b"r", "look", 4_000_000, Payload(b"GET", b"/look", headers), repeatable=True)
-            held = made.agent.take(call)  # the only one listed is chosen; nothing has been sent
+            held = made.agent.take(call)  # chooses the only server listed; nothing is sent yet
             members = [member("b1", other.address)]
             made.agent._on_update(parse_update({"revision": 9, "complete": True, "members": members}))
             async with asyncio.timeout(PATIENCE_S):
@@ -354,4 +354,4 @@
             assert len(other.seen) == 1 and not leaving.seen
         other.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/net/test_heads.py
+++ b/tests/net/test_heads.py
@@ -1,5 +1,7 @@
-"""What the plain path accepts is a part of what h11 accepts, with the same meaning: for generated, mutated
-and hostile heads. And what it writes is what h11 writes."""
+"""Differential tests of the plain parser against h11, with generated, mutated and hostile heads.
+
+What it accepts is a subset of what h11 accepts, with the same meaning. What it writes is what h11 writes.
+"""
 
 from __future__ import annotations
 
@@ -60,8 +62,8 @@
 )  # fmt: skip
 
 
-def hears_request(head: bytes, length: int) -> tuple[h11.Request, bytes, bool]:
-    """What h11 makes of it, with a body of this length behind. Raises h11's errors."""
+def h11_request(head: bytes, length: int) -> tuple[h11.Request, bytes, bool]:
+    """Return what h11 parses from the head and a body of this length. Raises the errors of h11."""
     parser = h11.Connection(h11.SERVER, HEAD_MOST)
     parser.receive_data(head + b"b" * length)
     request = parser.next_event()
@@ -74,7 +76,7 @@
     return request, body, parser.their_state is h11.MUST_CLOSE
 
 
-def hears_answer(head: bytes, length: int) -> tuple[h11.Response, bytes, bool]:
+def h11_answer(head: bytes, length: int) -> tuple[h11.Response, bytes, bool]:
     parser = h11.Connection(h11.CLIENT, HEAD_MOST)
     parser.send(h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"a")]))
     parser.send(h11.EndOfMessage())
@@ -90,7 +92,7 @@
 
 
 def same_request(head: bytes) -> bool:
-    """Whether the plain path takes it; then h11 must say the same of it."""
+    """Return whether the plain parser accepts the head; then h11 must read the same."""
     plain = request_head(head)
     if plain is None:
         return False
@@ -99,7 +101,7 @@
         head = head.replace(b"%d" % plain.length, b"%d" % length)
         plain = request_head(head)
         assert plain is not None
-    request, body, last = hears_request(head, length)
+    request, body, last = h11_request(head, length)
     assert (plain.method, plain.target, plain.last) == (request.method, request.target, last)
     assert plain.headers == list(request.headers) and len(body) == plain.length
     return True
@@ -111,7 +113,7 @@
         return False
     if plain.length > 70_000:
         return True
-    response, body, last = hears_answer(head, plain.length)
+    response, body, last = h11_answer(head, plain.length)
     assert (plain.status, plain.last) == (response.status_code, last)
     assert plain.headers == list(response.headers) and len(body) == plain.length
     return True
@@ -129,44 +131,44 @@
     b"Expect: 100-continue",
      b"Upgrade: h2c", b"Connection: upgrade", b"X: a\x00", b"X : a", b" X: a", b"X: a\n", b"TE: trailers"],
 )  # fmt: skip
-def test_a_message_that_could_be_read_in_two_ways_is_left_to_h11(line: bytes) -> None:
-    for whole, judge in ((REQUEST, request_head), (ANSWER, answer_head)):
-        if judge is answer_head and line.startswith(b"Host"):
+def test_an_ambiguous_message_is_left_to_h11(line: bytes) -> None:
+    for whole, parse in ((REQUEST, request_head), (ANSWER, answer_head)):
+        if parse is answer_head and line.startswith(b"Host"):
             continue
-        assert judge(whole) is not None
-        assert judge(whole.replace(b"\r\n\r\n", b"\r\n" + line + b"\r\n\r\n")) is None
+        assert parse(whole) is not None
+        assert parse(whole.replace(b"\r\n\r\n", b"\r\n" + line + b"\r\n\r\n")) is None
 
 
 @settings(derandomize=True, deadline=None, max_examples=1_500)
 @given(STARTS, LINES)
-def test_no_request_is_taken_that_h11_refuses_or_reads_otherwise(start: bytes, lines: bytes) -> None:
+def test_no_request_is_accepted_that_h11_rejects_or_reads_differently(start: bytes, lines: bytes) -> None:
     same_request(start + lines + b"\r\n")
 
 
 @settings(derandomize=True, deadline=None, max_examples=1_500)
 @given(STATUSES, LINES)
-def test_no_answer_is_taken_that_h11_refuses_or_reads_otherwise(start: bytes, lines: bytes) -> None:
+def test_no_answer_is_accepted_that_h11_rejects_or_reads_differently(start: bytes, lines: bytes) -> None:
     same_answer(start + lines + b"\r\n")
     same_answer(start + b"Content-Length: 5\r\n" + lines + b"\r\n")
 
 
-def test_no_mutation_of_a_usual_message_is_taken_that_h11_refuses_or_reads_otherwise() -> None:
-    """Every byte replaced by each of many, cut out, doubled; and pieces exchanged."""
-    draw = random.Random(7)
+def test_no_mutated_message_is_accepted_that_h11_rejects_or_reads_differently() -> None:
+    """Each byte replaced by many others, removed or doubled; and pieces moved or removed."""
+    rng = random.Random(7)
     odd = [*range(0x21), 0x22, 0x2C, 0x3A, 0x3B, 0x5C, 0x7F, 0x80, 0xA0, 0xFF, 0x30, 0x39, 0x61, 0x5A]
-    taken = 0
+    accepted = 0
     for whole, same in ((REQUEST, same_request), (ANSWER, same_answer)):
         for at in range(len(whole)):
             for byte in odd:
-                taken += same(whole[:at] + bytes([byte]) + whole[at + 1 :])
-            taken += same(whole[:at] + whole[at + 1 :])
-            taken += same(whole[:at] + whole[at : at + 1] + whole[at:])
+                accepted += same(whole[:at] + bytes([byte]) + whole[at + 1 :])
+            accepted += same(whole[:at] + whole[at + 1 :])
+            accepted += same(whole[:at] + whole[at : at + 1] + whole[at:])
         for _ in range(2_000):
-            one, two = sorted(draw.sample(range(len(whole)), 2))
-            three = draw.randrange(len(whole))
-            taken += same(whole[:three] + whole[one:two] + whole[three:])
-            taken += same(whole[:one] + whole[two:])
-    assert taken > 2_000  # most letters may be others
+            one, two = sorted(rng.sample(range(len(whole)), 2))
+            three = rng.randrange(len(whole))
+            accepted += same(whole[:three] + whole[one:two] + whole[three:])
+            accepted += same(whole[:one] + whole[two:])
+    assert accepted > 2_000  # most letters may be replaced
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
@@ -176,9 +178,9 @@
              max_size=5),
     st.binary(max_size=40),
 )  # fmt: skip
-def test_what_is_framed_is_what_h11_frames(headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-    taken = (b"connection", b"content-length", b"transfer-encoding", b"host", b"expect")
-    headers = [item for item in headers if item[0] not in taken]
+def test_messages_are_framed_as_h11_frames_them(headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    reserved = (b"connection", b"content-length", b"transfer-encoding", b"host", b"expect")
+    headers = [item for item in headers if item[0] not in reserved]
     headers.append((b"Content-Length", b"%d" % len(body)))
     parser = h11.Connection(h11.SERVER)
     parser.receive_data(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that are too long to be held: passed on while they come, in both directions."""
+"""Bodies too long to be buffered: they are streamed, in both directions."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class Server:
-    """Reads requests as a script wants and keeps a book of the bodies that came whole."""
+    """A scripted server that records the bodies it received completely."""
 
     def __init__(self, *, reply: bytes = answer(b"served"), early: bytes = b"", after: int = 0) -> None:
         self.reply = reply
-        self.early = early  # sent once `after` bytes of a body have come, and no more is read
+        self.early = early  # sent once `after` bytes of a body have arrived; then nothing more is read
         self.after = after
         self.bodies: list[bytes] = []
         self.heads: list[bytes] = []
@@ -78,7 +78,7 @@
 
 
 @contextlib.asynccontextmanager
-async def between(*servers: Server, **changes: int) -> AsyncIterator[World]:
+async def world_of(*servers: Server, **changes: int) -> AsyncIterator[World]:
     members = [member(f"b{at}", server.address) for at, server in enumerate(servers)]
     made = World(parse(table("127.0.0.1:9", members, **changes)))
     try:
@@ -90,7 +90,7 @@
 
 
 async def body_of(client: Client) -> tuple[int, bytes]:
-    """Status and body of an answer, however it is framed."""
+    """Return status and body of an answer, however it is framed."""
     head = (await client.head()).lower()
     status = int(head.split()[1])
     for line in head.split(b"\r\n"):
@@ -119,14 +119,14 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize("length", [BODY_MOST, BODY_MOST + 1, len(LONG)])
-def test_a_long_answer_comes_unchanged_and_its_connections_go_on(framing: str, length: int) -> None:
-    async def play() -> None:
+def test_a_long_answer_arrives_unchanged_and_its_connections_are_reused(framing: str, length: int) -> None:
+    async def scenario() -> None:
         body = LONG[:length]
         reply = answer(body)
         if framing == "chunked":
             reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(body, 9_000)
         server = await Server(reply=reply).start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             for number in range(3):
                 client.send(request(f"r{number}"))
@@ -134,36 +134,36 @@
             assert made.upstream.opened == 1  # the same connection each time
             assert made.agent.served == 3
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_long_answer_to_an_http_1_0_client_ends_with_its_connection() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(LONG, 9_000)
         server = await Server(reply=reply).start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("old").replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert await body_of(client) == (200, LONG)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_the_first_bytes_of_a_long_answer_do_not_wait_for_the_rest() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server(reply=answer(LONG)[:1_000]).start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("r"))
             head = await client.head()
             assert b"%d" % len(LONG) in head
             assert await asyncio.wait_for(client.reader.readexactly(500), PATIENCE_S) == LONG[:500]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_long_answer_that_breaks_off_is_cut_off_and_never_looks_whole() -> None:
-    async def play() -> None:
+def test_a_long_answer_that_breaks_off_never_looks_complete() -> None:
+    async def scenario() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(answer(LONG)[:300_000])
@@ -182,44 +182,44 @@
         made.agent.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_goes_in_a_long_answer_frees_its_server_s_connection() -> None:
-    async def play() -> None:
+def test_a_client_that_disconnects_in_a_long_answer_frees_the_server_connection() -> None:
+    async def scenario() -> None:
         server = await Server(reply=answer(LONG * 16)).start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("r"))
             await client.head()
-            await asyncio.sleep(0.5)  # until the kernel's buffers are full, and the agent waits to write
+            await asyncio.sleep(0.5)  # until the kernel buffers are full and the agent waits to write
             client.writer.transport.abort()
             await until(lambda: made.upstream.open == 0 and made.listener.connections == 0)
             assert made.listener.taken == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_answer_longer_than_any_may_be_is_a_failed_attempt() -> None:
-    async def play() -> None:
+def test_an_answer_above_the_maximum_length_is_a_failed_attempt() -> None:
+    async def scenario() -> None:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (STREAM_MOST + 1)
         server = await Server(reply=head + bytes(1_000)).start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("r", "pay"))
             assert (await client.answer())[0] == 500
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("length", [BODY_MOST, BODY_MOST + 1, len(LONG)])
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize("cls", ["book", "pay"])
 def test_a_long_request_reaches_one_server_once_and_unchanged(cls: str, framing: str, length: int) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         body = LONG[:length]
         servers = [await Server().start() for _ in range(3)]
-        async with between(*servers) as made:
+        async with world_of(*servers) as made:
             client = await made.client()
             for number in range(3):
                 name = f"r{number}"
@@ -229,37 +229,37 @@
             assert made.upstream.written == 3
             await until(lambda: not made.listener.uploading)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_requests_behind_a_long_one_are_served_in_their_order() -> None:
-    async def play() -> None:
+def test_requests_pipelined_after_a_long_one_are_served_in_order() -> None:
+    async def scenario() -> None:
         server = await Server(reply=b"").start()  # answers with the length of what it got
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("a", "pay", LONG) + request("b") + request("c", "pay", b"x"))
             for length in (len(LONG), 0, 1):
                 assert await body_of(client) == (200, b"%d" % length)
             assert len(server.bodies) == 3
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_a_server_does_not_take_is_not_read_from_its_client() -> None:
-    """Or one slow server would have its clients' bodies pile up in memory."""
+def test_backpressure_from_a_server_reaches_its_client() -> None:
+    """Otherwise the bodies for one slow server would accumulate in memory."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = Server()
         server.go.clear()
         await server.start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             body = LONG * 12
             client.send(request("r", "pay", body))
             await asyncio.wait_for(server.began.wait(), PATIENCE_S)
             (one,) = made.listener._clients
             before = -1
-            # Until nothing more is taken in a quarter of a second: the kernel's buffers are full then.
+            # Until nothing is received for a quarter of a second: the kernel buffers are full then.
             while one._upload is not None and before != one._upload.received:
                 before = one._upload.received
                 await asyncio.sleep(0.25)
@@ -268,37 +268,37 @@
             assert await body_of(client) == (200, b"served")
             assert server.bodies == [body]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_refusal_in_the_middle_of_a_long_request_says_that_it_never_ran() -> None:
-    """The server turns it away early; the beginning is gone by then, so no other server can have it."""
+def test_a_refusal_within_a_long_request_says_that_it_never_ran() -> None:
+    """The server refuses it early. The prefix is dropped by then, so no other server can get the request."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         early = answer(b"full", "503 Full", "X-Rejected: 1\r\n")
         servers = [await Server(early=early, after=1_000_000).start() for _ in range(2)]
-        async with between(*servers) as made:
+        async with world_of(*servers) as made:
             client = await made.client()
             client.send(request("r", "pay", LONG))
             status, head, _ = await client.answer()
             assert status == 503 and b"retry-after" in head.lower()
             assert sum(len(server.heads) for server in servers) == 1
             assert not any(server.bodies for server in servers)
-            # The connection goes on behind the body, which nobody wanted.
+            # The connection stays usable after the discarded body.
             for server in servers:
                 server.early = b""
             client.send(request("again"))
             assert (await client.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_long_request_that_is_refused_at_once_is_read_to_its_end() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         server = Server()
         server.go.clear()
         await server.start()
-        async with between(server, mostHeld=1) as made:
+        async with world_of(server, mostHeld=1) as made:
             first, client = await made.client(), await made.client()
             first.send(request("first", "pay", b"x"))
             await until(lambda: made.agent.owed == 1)
@@ -310,29 +310,29 @@
             assert (await client.answer())[0] == 200
             assert server.bodies == [b"x", b""]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_server_that_fails_before_anything_is_passed_on_costs_another_attempt_only() -> None:
-    async def play() -> None:
+def test_a_server_that_fails_before_the_body_is_streamed_costs_only_another_attempt() -> None:
+    async def scenario() -> None:
         servers = [await Server().start() for _ in range(4)]
-        servers[0].server.close()  # nobody listens there
+        servers[0].server.close()  # connections are refused
         servers[1].server.close()
-        async with between(*servers) as made:
+        async with world_of(*servers) as made:
             client = await made.client()
             for number in range(8):
                 client.send(request(f"r{number}", "pay", LONG))
                 assert await body_of(client) == (200, b"served")
             assert sum(len(server.bodies) for server in servers) == 8
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_client_that_breaks_off_a_long_request_has_run_nothing(may_cancel: bool) -> None:
-    async def play() -> None:
+def test_a_long_request_that_its_client_aborts_has_not_run(may_cancel: bool) -> None:
+    async def scenario() -> None:
         server = await Server().start()
-        async with between(server, mayCancel=may_cancel) as made:
+        async with world_of(server, mayCancel=may_cancel) as made:
             client = await made.client()
             client.send(request("r", "pay", LONG)[:-1])
             await asyncio.wait_for(server.began.wait(), PATIENCE_S)
@@ -341,35 +341,35 @@
             await until(lambda: made.upstream.open == 0)
             assert server.bodies == [] and made.upstream.written == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_long_request_that_stands_still_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stalled_long_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(front, "WHOLE_S", 0.3)
-    monkeypatch.setattr(front, "PAUSE_S", 0.3)
+    monkeypatch.setattr(front, "MAX_BODY_PAUSE_S", 0.3)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server().start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("r", "pay", LONG)[:-1])
             assert await client.ended()
             await until(lambda: made.agent.owed == 0 and not made.listener.uploading)
             assert server.bodies == []
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_slow_body_that_goes_on_coming_has_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It takes several times what a request has to come whole, above the least rate throughout."""
+def test_a_slow_body_that_keeps_arriving_does_not_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It takes several times the request timeout, at more than the minimum rate throughout."""
     monkeypatch.setattr(front, "WHOLE_S", 0.3)
-    monkeypatch.setattr(front, "PAUSE_S", 5.0)
+    monkeypatch.setattr(front, "MAX_BODY_PAUSE_S", 5.0)
     monkeypatch.setattr(front, "UPLOAD_RATE_LEAST", 1_000)
     monkeypatch.setattr(front, "SWEEP_S", 0.05)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server().start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             for length in (20_000, 100_000):
                 client = await made.client()
                 data = request(f"r{length}", "pay", LONG[:length])
@@ -380,15 +380,15 @@
                 assert await body_of(client) == (200, b"served")
             assert server.bodies == [LONG[:20_000], LONG[:100_000]]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_long_request_does_not_make_its_server_look_slow() -> None:
-    """What the server is measured by begins with the last byte."""
+    """The measured latency of the server starts at the last byte of the request."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server().start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             data = request("r", "pay", LONG)
             client.send(data[:200_000])
@@ -399,13 +399,13 @@
             (one,) = made.agent.balancer.servers.values()
             assert one.mean * made.agent.balancer.baselines["pay"].value < 900_000
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_long_request_is_pending_once_it_is_whole() -> None:
-    async def play() -> None:
+def test_a_long_request_is_pending_once_it_is_complete() -> None:
+    async def scenario() -> None:
         server = await Server(reply=b"HTTP/1.1 103 Early Hints\r\n\r\n").start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             data = request("r", "pay", LONG)
             client.send(data[:-1])
@@ -418,29 +418,29 @@
             client.close()
             await until(lambda: not one.pending)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_server_silent_in_a_long_request_ends_with_the_budget_after_the_last_byte(
+def test_a_server_silent_after_a_long_request_fails_at_the_end_of_the_budget(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server(reply=b"HTTP/1.1 103 Early Hints\r\n\r\n").start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("r", "pay", LONG, budget="300m"))
             assert (await client.answer())[0] == 500
             assert server.bodies == [LONG]
-            assert "overdue" not in caplog.text  # by the attempt's own time, and not by the last resort
+            assert "overdue" not in caplog.text  # by the timeout of the attempt, not by the fallback timer
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_long_pause_in_a_long_answer_is_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A short answer that stands still is tried again elsewhere; of a long one the client has a part."""
+def test_a_long_pause_in_a_long_answer_does_not_end_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A stalled short answer is retried elsewhere; of a long one the client already has a part."""
     monkeypatch.setattr(upstream, "STALL_S", 0.05)
 
-    async def play() -> None:
+    async def scenario() -> None:
         whole = answer(LONG)
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -460,35 +460,35 @@
         made.agent.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_stream_whose_writer_never_began_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client goes in the step in which its answer comes."""
-    pump = front._Client._pump
+def test_a_stream_whose_writer_never_started_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client disconnects in the event loop step in which its answer arrives."""
+    flush = front._Client._flush
 
-    def and_end(client: front._Client) -> None:
-        pump(client)
+    def flush_and_finish(client: front._Client) -> None:
+        flush(client)
         if client._writer is not None:
             client._finish()
 
-    monkeypatch.setattr(front._Client, "_pump", and_end)
+    monkeypatch.setattr(front._Client, "_flush", flush_and_finish)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server(reply=answer(LONG)).start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             client = await made.client()
             client.send(request("r"))
             assert await client.ended()
             await until(lambda: made.upstream.open == 0)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_server_that_writes_slowly_is_measured_by_its_first_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "STALL_S", 30.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async def slowly(_: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"served")[:10])
             await asyncio.sleep(1.0)
@@ -501,21 +501,21 @@
             assert (await client.answer())[0] == 200
             assert made.agent.balancer.baselines["look"].value < 900_000
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("length", [BODY_MOST // 2, 300_000])
-@pytest.mark.parametrize("there", [True, False])
-def test_a_pause_of_this_process_is_not_held_against_who_sends(
-    length: int, there: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("sent_before_pause", [True, False])
+def test_a_pause_of_this_process_does_not_time_out_a_sending_client(
+    length: int, sent_before_pause: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Longer than a client has for a whole request; its rest lies unread by then, or comes only after it."""
-    for name, seconds in (("WHOLE_S", 0.5), ("PAUSE_S", 0.2), ("SWEEP_S", 0.05)):
+    """The pause exceeds the request timeout; the rest of the request is unread by then, or arrives later."""
+    for name, seconds in (("WHOLE_S", 0.5), ("MAX_BODY_PAUSE_S", 0.2), ("SWEEP_S", 0.05)):
         monkeypatch.setattr(front, name, seconds)
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = await Server(reply=b"").start()
-        async with between(server) as made:
+        async with world_of(server) as made:
             await made.client()
             body = LONG[:length]
             whole = request("paused", "pay", body)
@@ -524,11 +524,11 @@
                 peer.sendall(whole[:half])
                 await until(lambda: made.listener.bodies.held > 0 or server.began.is_set())
                 rest = threading.Thread(target=peer.sendall, args=(whole[half:],))
-                if there:
+                if sent_before_pause:
                     rest.start()
-                time.sleep(1.0)  # the fault itself: nothing of this process's loop runs
-                if not there:
-                    await asyncio.sleep(0.1)  # several looks at who has had its time
+                time.sleep(1.0)  # the injected fault: the event loop is blocked
+                if not sent_before_pause:
+                    await asyncio.sleep(0.1)  # several timeout sweeps
                     rest.start()
                 peer.setblocking(False)
                 got = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 4_096), PATIENCE_S)
@@ -536,4 +536,4 @@
             assert got.startswith(b"HTTP/1.1 200"), got
             assert server.bodies == [body]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/net/test_quick.py
+++ b/tests/net/test_quick.py
@@ -1,4 +1,4 @@
-"""Exchanges in callbacks on a rested connection, at their edges."""
+"""Edge cases of exchanges that run in callbacks on an idle connection."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 OK = answer(b"served")
 
 
-class Rested:
-    """An upstream with one connection at rest, and its server's end."""
+class IdleConnection:
+    """An upstream with one idle connection, and the server's end of it."""
 
     def __init__(self) -> None:
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.address = self.listening.getsockname()
         self.upstream = Upstream(8, 30_000_000, 1_000_000)
-        self.told: list[Ended] = []
+        self.ended: list[Ended] = []
 
-    async def open(self) -> Rested:
+    async def open(self) -> IdleConnection:
         wire = await self.upstream.connect(self.address)
         self.server, _ = self.listening.accept()
         self.upstream.rest(self.address, wire)
@@ -38,27 +38,27 @@
     def begin(self, repeatable: bool, fit: Callable[[], bool] = lambda: True) -> Any:
         call = Call(b"r", "look", 1_000_000, Payload(b"GET", b"/look", [(b"host", b"a")]))
         call.repeatable = repeatable
-        running = self.upstream.begin(call, self.address, 20_000_000, fit, self.told.append)
+        running = self.upstream.begin(call, self.address, 20_000_000, fit, self.ended.append)
         assert running is not None
         return running
 
     async def outcome(self) -> Outcome:
-        await until(lambda: bool(self.told))
-        (ended,) = self.told
+        await until(lambda: bool(self.ended))
+        (result,) = self.ended
         self.upstream.close()
         self.server.close()
         self.listening.close()
-        return ended.outcome
+        return result.outcome
 
 
 @pytest.fixture(autouse=True)
-def settled(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_settle_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http1, "SETTLED_S", 0.0)
 
 
-def test_one_that_breaks_before_its_last_byte_goes_on_a_new_connection() -> None:
-    async def play() -> None:
-        made = await Rested().open()
+def test_an_exchange_that_breaks_before_its_last_byte_moves_to_a_new_connection() -> None:
+    async def scenario() -> None:
+        made = await IdleConnection().open()
         made.begin(repeatable=False)
         made.server.close()
         made.listening.setblocking(False)
@@ -70,53 +70,53 @@
             second.send(OK)
             assert await made.outcome() is Outcome.OK
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_answer_that_is_here_unread_as_the_time_is_up_counts() -> None:
-    async def play() -> None:
-        made = await Rested().open()
+def test_an_answer_that_is_unread_as_the_timeout_expires_counts() -> None:
+    async def scenario() -> None:
+        made = await IdleConnection().open()
         running = made.begin(repeatable=True)
         made.server.send(OK)
-        time.sleep(0.05)  # the loop does not turn, so nobody reads it
+        time.sleep(0.05)  # the event loop is blocked, so nothing reads the answer
         running._time_up()
         assert await made.outcome() is Outcome.OK
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_the_kernel_took_in_part_was_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its server starts to drain before the rest can go: nothing has run, and that is known."""
+def test_a_partly_written_request_counts_as_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The server starts to drain before the rest is written: nothing has run, and the outcome says so."""
     monkeypatch.setattr(Wire, "send_now", lambda wire, data: wire.sock.send(data[:10]))
 
-    async def play() -> None:
-        made = await Rested().open()
+    async def scenario() -> None:
+        made = await IdleConnection().open()
         fit = [True]
         made.begin(repeatable=True, fit=lambda: fit[0])
         fit[0] = False
         assert await made.outcome() is Outcome.UNREACHABLE
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_nothing_goes_to_a_server_that_wants_nothing_new() -> None:
-    async def play() -> None:
-        made = await Rested().open()
+def test_nothing_is_sent_to_a_server_that_drains() -> None:
+    async def scenario() -> None:
+        made = await IdleConnection().open()
         made.begin(repeatable=True, fit=lambda: False)
         assert made.server.recv(65_536) == b""
         assert await made.outcome() is Outcome.UNREACHABLE
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_one_that_is_called_off_is_told_once_and_later() -> None:
-    async def play() -> None:
-        made = await Rested().open()
+def test_a_cancelled_exchange_is_reported_once_and_later() -> None:
+    async def scenario() -> None:
+        made = await IdleConnection().open()
         running = made.begin(repeatable=True)
         running.cancel()
         running.cancel()
-        assert made.told == []
+        assert made.ended == []
         assert await made.outcome() is Outcome.CANCELLED
         assert made.upstream.open == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -1,4 +1,4 @@
-"""However a stream ends: its descriptor is given back, and nothing is told as an error that nobody saw."""
+"""However a stream ends, its descriptor is closed and no unretrieved exception is logged."""
 
 from __future__ import annotations
 
@@ -14,87 +14,87 @@
 from sorrelfront.net.streams import end_stream
 from tests.loopback import until
 
-MUCH = b"x" * 8_000_000  # more than the kernel keeps for a peer that takes nothing
+LARGE = b"x" * 8_000_000  # more than the kernel buffers for a peer that reads nothing
 
 
 async def accepted() -> tuple[asyncio.StreamWriter, socket.socket]:
-    """One end as a stream, the other one plain."""
+    """Return one end as a stream, the other as a plain socket."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         _, writer = await asyncio.open_connection(*listening.getsockname())
         peer, _ = listening.accept()
     return writer, peer
 
 
-def released(writer: asyncio.StreamWriter) -> bool:
+def is_closed(writer: asyncio.StreamWriter) -> bool:
     return bool(writer.get_extra_info("socket").fileno() == -1)
 
 
-def test_a_peer_that_takes_nothing_keeps_no_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "END_WITHIN_S", 0.05)
+def test_a_peer_that_reads_nothing_keeps_no_descriptor_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(streams, "CLOSE_TIMEOUT_S", 0.05)
 
-    async def play() -> None:
+    async def scenario() -> None:
         writer, peer = await accepted()
         with peer:
-            writer.write(MUCH)
+            writer.write(LARGE)
             await end_stream(writer)
-            await until(lambda: released(writer))
+            await until(lambda: is_closed(writer))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_what_is_unsent_reaches_a_peer_that_takes_it() -> None:
-    async def play() -> None:
+def test_unsent_data_reaches_a_peer_that_reads() -> None:
+    async def scenario() -> None:
         writer, peer = await accepted()
         peer.setblocking(False)
         with peer:
-            writer.write(MUCH)
+            writer.write(LARGE)
             ending = asyncio.create_task(end_stream(writer))
             got = 0
             while data := await asyncio.get_running_loop().sock_recv(peer, 1_000_000):
                 got += len(data)
-            assert got == len(MUCH)
+            assert got == len(LARGE)
             await ending
-            assert released(writer)
+            assert is_closed(writer)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("abort", [False, True])
-def test_cancelled_or_aborted_it_drops_what_is_unsent(abort: bool) -> None:
-    async def play() -> None:
+def test_a_cancelled_or_aborted_close_drops_unsent_data(abort: bool) -> None:
+    async def scenario() -> None:
         writer, peer = await accepted()
         with peer:
-            writer.write(MUCH)
+            writer.write(LARGE)
             ending = asyncio.create_task(end_stream(writer, abort))
             await asyncio.sleep(0)
             if not abort:
-                assert not released(writer)
+                assert not is_closed(writer)
                 ending.cancel()
             await asyncio.wait([ending])
-            await until(lambda: released(writer))
+            await until(lambda: is_closed(writer))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("how", ["reset", "closed"])
-def test_a_peer_that_is_gone_raises_and_logs_nothing(how: str) -> None:
-    told: list[dict[str, Any]] = []
+def test_a_peer_that_has_gone_raises_and_logs_nothing(how: str) -> None:
+    reported: list[dict[str, Any]] = []
 
-    async def play() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context))
+    async def scenario() -> None:
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: reported.append(context))
         writer, peer = await accepted()
         if how == "reset":
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         else:
-            writer.write(b"unread")  # a close with something unread is a reset as well
+            writer.write(b"unread")  # a close with unread data is a reset as well
         peer.close()
         for _ in range(3):
-            writer.write(MUCH)
+            writer.write(LARGE)
             await asyncio.sleep(0)
         await end_stream(writer)
-        assert released(writer)
+        assert is_closed(writer)
         del writer
         gc.collect()
 
-    asyncio.run(play())
-    assert not told
+    asyncio.run(scenario())
+    assert not reported
--- a/tests/net/test_wire.py
+++ b/tests/net/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire at its edges: heads cut anywhere, a full kernel buffer, a thousand deadlines at once."""
+"""Edge cases of socket I/O: heads split anywhere, a full kernel buffer, a thousand deadlines at once."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_a_request_cut_at_any_byte_is_one_request() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             for cut in range(1, len(REQUEST)):
@@ -37,11 +37,11 @@
         assert len(backend.seen) == len(REQUEST) - 1
         assert all(whole.endswith(b"a body of some bytes") for whole in backend.seen)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_one_byte_a_read_and_pipelined_requests_are_answered_in_order() -> None:
-    async def play() -> None:
+def test_requests_in_single_bytes_and_pipelined_are_answered_in_order() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             peer = Peer(made.listener.address)
@@ -49,7 +49,7 @@
                 peer.send(REQUEST[at : at + 1])
                 await asyncio.sleep(0)
             assert (await peer.answer()).startswith(b"HTTP/1.1 200")
-            # Whole, whole and a piece; the piece's rest with another whole one.
+            # Two complete requests and part of a third; then its rest and a fourth.
             three = [request(f"p{number}", "book", b"x" * number) for number in range(4)]
             peer.send(three[0] + three[1] + three[2][:40])
             await asyncio.sleep(0)
@@ -59,12 +59,12 @@
             assert made.agent.offered == 5
             peer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("pieces", [1, 10_000])
-def test_an_answer_in_many_chunks_and_behind_others_ahead_is_one_answer(pieces: int) -> None:
-    async def play() -> None:
+def test_an_answer_in_many_chunks_after_informational_ones_is_one_answer(pieces: int) -> None:
+    async def scenario() -> None:
         ahead = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 3
         chunks = b"1\r\nc\r\n" * pieces + b"0\r\n\r\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -74,16 +74,16 @@
             client.send(request("r"))
             status, _, body = await client.answer()
             assert status == 200 and body == b"c" * pieces
-            client.send(request("s"))  # the connection behind it is clean
+            client.send(request("s"))  # the connection is still usable
             assert (await client.answer())[0] == 200
             client.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("stray", [b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad", b"x"])
-def test_bytes_behind_a_whole_answer_meet_no_other_request(stray: bytes) -> None:
-    async def play() -> None:
+def test_bytes_after_a_complete_answer_reach_no_other_request(stray: bytes) -> None:
+    async def scenario() -> None:
         backend = await Backend(OK + stray).start()
         async with world(backend) as made:
             client = await made.client()
@@ -93,7 +93,7 @@
             assert backend.connections == 5  # none was kept
             client.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def _writer(exchange: _Exchange, wire: Wire, data: bytes) -> _Writer:
@@ -114,7 +114,7 @@
 
 
 def _fill(wire: Wire) -> int:
-    """Until the kernel takes no more."""
+    """Write until the kernel takes no more. Returns the number of bytes."""
     count = 0
     while sent := wire.send_now(b"f" * 65_536):
         count += sent
@@ -129,25 +129,25 @@
     return data
 
 
-def test_a_last_byte_that_meets_a_full_kernel_buffer_goes_when_there_is_room() -> None:
-    async def play() -> None:
+def test_a_last_byte_is_sent_once_the_full_kernel_buffer_has_room() -> None:
+    async def scenario() -> None:
         wire, theirs = await _pair()
         exchange = _exchange()
         writer = _writer(exchange, wire, b"request")
         assert not exchange.sent and not writer.done()
-        filled = _fill(wire)  # behind the first six bytes, before the last
+        filled = _fill(wire)  # after the first six bytes, before the last
         await until(lambda: exchange.sent)
-        assert not writer.done()  # it waits, and counts as one that may run
+        assert not writer.done()  # it waits, and counts as possibly executed
         assert (await _read_all(theirs, 6 + filled + 1))[-1:] == b"t"
         await until(writer.done)
         wire.close()
         theirs.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_request_that_meets_a_full_kernel_buffer_before_its_last_byte_is_not_sent() -> None:
-    async def play() -> None:
+def test_a_request_held_by_a_full_kernel_buffer_before_its_last_byte_is_not_sent() -> None:
+    async def scenario() -> None:
         wire, theirs = await _pair()
         filled = _fill(wire)
         exchange = _exchange()
@@ -161,12 +161,12 @@
         wire.close()
         theirs.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("how", ["the peer is gone", "it drains", "called off"])
-def test_a_last_byte_that_does_not_leave_proves_that_nothing_ran(how: str) -> None:
-    async def play() -> None:
+def test_an_unsent_last_byte_proves_that_nothing_ran(how: str) -> None:
+    async def scenario() -> None:
         wire, theirs = await _pair()
         exchange = _exchange(fit=how != "it drains")
         writer = _writer(exchange, wire, b"request")
@@ -184,11 +184,11 @@
             theirs.close()
         wire.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_thousand_deadlines_in_one_moment_are_each_answered_once() -> None:
-    async def play() -> None:
+def test_a_thousand_deadlines_at_once_are_each_answered_once() -> None:
+    async def scenario() -> None:
         async def never(_: bytes, writer: asyncio.StreamWriter) -> None:
             await asyncio.Event().wait()
 
@@ -209,11 +209,11 @@
             assert made.agent.owed == 0 and len(finished) == len(set(finished)) == len(held)
             assert made.agent.refused + made.agent.failed == 1_000 and made.agent.served == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_outcome_that_comes_as_its_attempt_is_called_off_is_told_once() -> None:
-    async def play() -> None:
+def test_an_outcome_that_arrives_as_its_attempt_is_cancelled_is_reported_once() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def later(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -222,11 +222,11 @@
 
         backend = await Backend(later).start()
         async with world(backend) as made:
-            told: list[Outcome] = []
+            outcomes: list[Outcome] = []
             handle = made.agent.balancer.on_attempt_ended
 
             def note(event: object, now: int) -> object:
-                told.append(event.outcome)  # type: ignore[attr-defined]
+                outcomes.append(event.outcome)  # type: ignore[attr-defined]
                 return handle(event, now)  # type: ignore[arg-type]
 
             made.agent.balancer.on_attempt_ended = note  # type: ignore[method-assign, assignment]
@@ -241,6 +241,6 @@
                     await asyncio.sleep(0)
                 made.agent.abandon(held)
                 await until(lambda: made.agent.attempts == 0)
-            assert len(told) == 20 and set(told) <= {Outcome.OK, Outcome.CANCELLED}
+            assert len(outcomes) == 20 and set(outcomes) <= {Outcome.OK, Outcome.CANCELLED}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Backends whose answers are spoilt, broken or more than was asked for, over loopback sockets."""
+"""Backends whose answers are malformed, broken off or unsolicited, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.loopback import PATIENCE_S, Backend, Registry, answer, member, request, until, world
 
 OK = answer(b"served")
-SPOILT = {
+MALFORMED = {
     "noise": b"\x00\xff\x16 no answer at all\r\n\r\n",
     "a head without end": b"HTTP/1.1 200 OK\r\nX-Filler: yes\r\n",
     "a flood of a head": b"HTTP/1.1 200 OK\r\n" + b"X-Filler: yes\r\n" * 5_000,
@@ -26,15 +26,15 @@
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
-def test_a_spoilt_answer_is_a_failed_attempt_that_may_have_run(name: str) -> None:
-    """A safe request is tried again at once, an unsafe one fails, and neither waits for its deadline."""
+@pytest.mark.parametrize("name", MALFORMED)
+def test_a_malformed_answer_is_a_failed_attempt_that_may_have_run(name: str) -> None:
+    """A safe request is retried at once, an unsafe one fails, and neither waits for its deadline."""
 
-    async def play() -> None:
-        async def first_spoilt(_: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(SPOILT[name] if len(backend.seen) == 1 else OK)
+    async def scenario() -> None:
+        async def first_malformed(_: bytes, writer: asyncio.StreamWriter) -> None:
+            writer.write(MALFORMED[name] if len(backend.seen) == 1 else OK)
 
-        backend = await Backend(first_spoilt).start()
+        backend = await Backend(first_malformed).start()
         async with world(backend) as made:
             client = await made.client()
             client.send(request("safe"))
@@ -45,12 +45,12 @@
             assert (await client.answer())[0] == 500
             assert len(backend.seen) == 1 and made.upstream.open == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("more", [OK, b"noise"])
-def test_what_comes_behind_an_answer_meets_no_other_request(more: bytes) -> None:
-    async def play() -> None:
+def test_bytes_after_an_answer_reach_no_other_request(more: bytes) -> None:
+    async def scenario() -> None:
         async def script(seen: bytes, writer: asyncio.StreamWriter) -> None:
             name = seen.lower().split(b"x-call-id: ")[1].split(b"\r\n")[0]
             writer.write(answer(name) + more.replace(b"served", name))
@@ -62,11 +62,11 @@
                 client.send(request(f"r{number}"))
                 assert (await client.answer())[2] == b"r%d" % number
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_answers_ahead_of_the_answer_are_passed_over_and_take_their_time() -> None:
-    async def play() -> None:
+def test_informational_answers_are_skipped_and_may_be_slow() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def script(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -79,16 +79,16 @@
             client = await made.client()
             client.send(request("a", "pay", b"x"))
             await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
-            asyncio.get_running_loop().call_later(0.8, go.set)  # longer than an answer may stand still
+            asyncio.get_running_loop().call_later(0.8, go.set)  # longer than an answer may stall
             assert (await client.answer())[2] == b"served"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_refusal_whose_body_never_comes_is_told_at_once() -> None:
+def test_a_refusal_whose_body_never_arrives_is_reported_at_once() -> None:
     """The next attempt, or the final answer, does not wait for the rest of a refusal."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         status = answer(b"", "503 Service Unavailable", "X-Rejected: 1\r\n").replace(b": 0", b": 60")
 
         async def first_refused(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -100,14 +100,14 @@
             client.send(request("a", "pay", b"x"))
             await until(lambda: bool(made.upstream.opened))
             assert (await client.answer())[2] == b"served"
-            # Not kept: the rest of the refusal could still come on it.
+            # The first was not reused: the rest of the refusal could still arrive on it.
             assert backend.connections == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_connections_to_a_backend_that_is_gone_are_not_kept() -> None:
-    async def play() -> None:
+def test_connections_to_a_removed_backend_are_closed() -> None:
+    async def scenario() -> None:
         backend, registry = await Backend(OK).start(), await Registry().start()
         async with world(backend, registry=registry) as made:
             client = await made.client()
@@ -122,11 +122,11 @@
             assert (await client.answer())[0] == 200
             assert backend.connections == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_attempt_called_off_before_it_begins_leaves_nothing_behind() -> None:
-    async def play() -> None:
+def test_an_attempt_cancelled_before_it_starts_leaves_nothing_behind() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             for number in range(20):
@@ -136,16 +136,16 @@
             await until(lambda: made.listener.connections == 0 and made.agent.attempts == 0)
             assert made.agent.owed == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_connection_that_has_settled_goes_before_one_just_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On it a request that may be repeated goes out in one piece, and does not wait a moment for a reset."""
+def test_a_settled_idle_connection_is_preferred_to_one_just_used(monkeypatch: pytest.MonkeyPatch) -> None:
+    """On it a repeatable request is sent in one piece, without a short wait for a reset."""
     clock = SimpleNamespace(now=100.0)
     clock.monotonic = lambda: clock.now
     monkeypatch.setattr(upstream, "time", clock)
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
         used: list[asyncio.StreamWriter] = []
 
@@ -168,9 +168,9 @@
                 clients[0].send(request(f"next{number}"))
                 assert (await clients[0].answer())[0] == 200
             assert backend.connections == 2 and used[2] is not used[3]
-            # None of the two has settled: the one that rested shortest, so that a third could be let go.
+            # Neither has settled: the most recently used one is taken, so that the other could time out.
             clients[0].send(request("last"))
             assert (await clients[0].answer())[0] == 200
             assert used[4] is used[3]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
