--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what they should not, over loopback sockets."""
+"""Malformed, excessive and abandoned client input, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 HIDDEN = b"0\r\n\r\n" + request("hidden", "pay")
 
 
-def bad(name: str) -> bytes:
-    """Requests that no backend may see."""
+def malformed_request(name: str) -> bytes:
+    """Return a request that must not reach a backend."""
     return {
         "both lengths": request("a", "pay", HIDDEN, more=CHUNKED),
         "chunked in 1.0": request("a", "pay", more=CHUNKED)
@@ -57,12 +57,12 @@
         "empty lines",
     ],
 )  # fmt: skip
-def test_what_cannot_be_served_is_answered_with_an_error_and_goes_nowhere(name: str) -> None:
-    async def play() -> None:
+def test_a_malformed_request_is_answered_with_an_error_and_not_forwarded(name: str) -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             client = await made.client()
-            client.send(bad(name))
+            client.send(malformed_request(name))
             status, head, _ = await client.answer()
             assert 400 <= status < 600 and b"connection: close" in head.lower()
             assert await client.ended()
@@ -71,11 +71,11 @@
             assert (await usual.answer())[0] == 200
         assert len(backend.seen) == 1 and b"x-call-id: u" in backend.seen[0].lower()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_id_of_an_open_request_is_refused_and_free_again_after_it() -> None:
-    async def play() -> None:
+def test_the_id_of_a_request_in_flight_is_rejected_until_it_is_answered() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def later(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -95,26 +95,26 @@
             assert (await first.answer())[0] == 200
         assert len(backend.seen) == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("begun", [b"", b"GET /look HTTP/1.1\r\nHost: a", request("a", "pay", b"xy")[:-1]])
-def test_a_client_that_never_sends_a_whole_request_is_ended(begun: bytes) -> None:
-    async def play() -> None:
+@pytest.mark.parametrize("start", [b"", b"GET /look HTTP/1.1\r\nHost: a", request("a", "pay", b"xy")[:-1]])
+def test_a_client_that_never_sends_a_complete_request_is_disconnected(start: bytes) -> None:
+    async def scenario() -> None:
         async with world(await Backend(OK).start()) as made:
             client = await made.client()
-            client.send(begun)
-            if begun:
+            client.send(start)
+            if start:
                 assert (await client.answer())[0] == 408
             assert await client.ended()
             await until(lambda: made.listener.connections == 0)
             assert made.listener.bodies.held == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_more_at_once_than_a_connection_may_have_open_is_turned_away() -> None:
-    async def play() -> None:
+def test_too_many_pipelined_requests_are_rejected() -> None:
+    async def scenario() -> None:
         async def never(_: bytes, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0)
 
@@ -130,12 +130,12 @@
             assert await client.ended()
             assert len(statuses) == 17
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @looped
-async def test_a_client_that_goes_behind_much_that_is_read_past_is_seen_to_go() -> None:
-    """It has asked, sent what cannot be served and a megabyte behind it, and closed: no more goes out."""
+async def test_a_disconnect_after_much_discarded_input_is_noticed() -> None:
+    """The client sends a request, an invalid one and a megabyte, and closes: its request is not retried."""
     go, script = gate(ERROR)
     backend = await Backend(script).start()
     async with world(backend) as made:
@@ -150,20 +150,20 @@
         assert len(backend.seen) == 1
 
 
-@pytest.mark.parametrize("looks", [1, 2])
+@pytest.mark.parametrize("checks", [1, 2])
 @looped
-async def test_a_client_that_goes_between_two_looks_at_its_socket(
-    looks: int, monkeypatch: pytest.MonkeyPatch
+async def test_a_client_that_disconnects_between_two_checks_of_its_socket(
+    checks: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whichever look was the last one that saw it: nothing goes wrong in the loop, and nothing is left."""
-    look, wrong = Wire.hung_up, list[str]()
+    """Whichever check was the last to see it connected: no error in the event loop, and nothing is leaked."""
+    check, wrong = Wire.hung_up, list[str]()
     asyncio.get_running_loop().set_exception_handler(lambda _, context: wrong.append(str(context)))
     seen: dict[Wire, int] = {}
 
     def leaving(wire: Wire) -> bool:
-        gone = look(wire)
+        gone = check(wire)
         seen[wire] = seen.get(wire, 0) + 1
-        if seen[wire] == looks and wire is not first_wire:
+        if seen[wire] == checks and wire is not first_wire:
             going.close()
         return gone
 
@@ -172,7 +172,7 @@
         stays, going = await made.client(), Peer(made.listener.address)
         stays.send(request("first"))
         assert (await stays.answer())[0] == 200
-        (first_wire,) = [one.wire for one in made.listener._clients if one._asked]
+        (first_wire,) = [one.wire for one in made.listener._clients if one._had_request]
         monkeypatch.setattr(Wire, "hung_up", leaving)
         going.send(request("going", "pay", b"body"))
         await until(lambda: made.listener.connections == 1 and made.agent.owed == 0)
@@ -184,12 +184,12 @@
 
 @pytest.mark.parametrize("more", ["", "Connection: close\r\n"])
 @looped
-async def test_a_client_that_goes_while_memory_is_short_for_its_next_body_is_seen_to_go(more: str) -> None:
-    """It is not read while it waits for room, and what it asked before would be sent on."""
+async def test_a_disconnect_while_memory_is_short_for_the_next_body_is_noticed(more: str) -> None:
+    """A client that waits for memory is not read: its disconnect could be missed and its request retried."""
     go, script = gate(ERROR)
     backend = await Backend(script).start()
     async with world(backend) as made:
-        made.listener.bodies.most = 1
+        made.listener.bodies.max_bytes = 1
         client = await made.client()
         client.send(request("asked"))
         await until(lambda: len(backend.seen) == 1)
@@ -205,9 +205,7 @@
 @pytest.mark.parametrize("handler", ["on_request", "on_attempt_ended"])
 @pytest.mark.parametrize("how", ["raises", "says nothing"])
 @looped
-async def test_a_decision_that_goes_wrong_costs_its_own_request_an_answer_and_nobody_else_theirs(
-    handler: str, how: str
-) -> None:
+async def test_a_failing_decision_fails_only_its_own_request(handler: str, how: str) -> None:
     backend = await Backend(ERROR).start()
     async with world(backend) as made:
 
@@ -228,10 +226,10 @@
         assert (await client.answer())[0] == 200
 
 
-def test_a_client_that_sends_without_end_does_not_have_the_agent_to_itself() -> None:
-    """What is sent past the last request is read to a limit, and the loop is let go on meanwhile."""
+def test_a_client_that_sends_endlessly_does_not_block_the_agent() -> None:
+    """Input after the last request is discarded up to a limit, and the event loop serves others meanwhile."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             flood = await made.client()
@@ -246,11 +244,11 @@
             usual.send(request("u"))
             assert (await usual.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_silent_crowd_goes_before_clients_that_have_asked() -> None:
-    async def play() -> None:
+def test_silent_connections_are_evicted_before_clients_that_have_sent_requests() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             usual = await made.client()
@@ -265,15 +263,18 @@
             for client in crowd:
                 client.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
+
 
+def test_idle_connections_are_shed_for_clients_that_send_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients may hold a third of the descriptors for requests.
 
-def test_those_that_ask_once_and_stay_make_way_for_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients may hold a third of the descriptors for requests. If all of these rest, none is left to ask on
-    until some are closed; those that rested longest go first, and one that goes on asking is kept."""
-    monkeypatch.setattr(listener, "IDLE_S", 1_000.0)  # none goes for having rested too long
+    If all of these are idle, no other client can send a request until some are closed. The longest idle are
+    closed first, and a connection that keeps sending requests is kept.
+    """
+    monkeypatch.setattr(listener, "IDLE_S", 1_000.0)  # no idle timeouts
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             third = made.config.sockets // 3
@@ -292,28 +293,28 @@
             assert (await usual.answer())[0] == 200
             assert len(backend.seen) == 2 * (third + 10) + 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_connection_that_has_rested_is_closed_while_another_client_may_need_it() -> None:
-    """Asked once and kept for good, a few at a time, they would take all that clients may hold."""
+def test_an_idle_connection_is_closed_after_its_timeout() -> None:
+    """Connections used once and kept open would in time use up all that clients may hold."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with world(await Backend(OK).start()) as made:
             client = await made.client()
             client.send(request("once"))
             assert (await client.answer())[0] == 200
-            (served,) = made.listener._resting
-            assert served._until <= time.monotonic() + 2.0
+            (served,) = made.listener._idle
+            assert served._deadline <= time.monotonic() + 2.0
             assert await client.ended()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_body_in_one_byte_chunks_lets_others_go_on() -> None:
-    """Parsing such a body is slow, and all of it may be there at once."""
+def test_a_body_in_one_byte_chunks_does_not_block_other_requests() -> None:
+    """Parsing such a body is slow, and all of it may have arrived at once."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             order: list[str] = []
@@ -327,33 +328,33 @@
             chunks = request("slow", "pay", more=CHUNKED).replace(b"Content-Length: 0\r\n", b"")
             slow = asyncio.create_task(ask("slow", chunks + b"1\r\nx\r\n" * 20_000 + b"0\r\n\r\n"))
             await until(lambda: made.listener.bodies.held > 0)
-            assert made.listener.bodies.held < 5_000  # a read brings 10,000: the loop was let go on meanwhile
+            assert made.listener.bodies.held < 5_000  # a read holds 10,000: the loop ran others meanwhile
             await ask("usual", request("usual"))
             await slow
             assert len(backend.seen) == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_is_ended_before_it_began_leaves_nothing_behind() -> None:
-    """As those are that still wait to be accepted, and have said nothing, when the agent goes away."""
+def test_a_client_cancelled_before_its_first_step_leaves_nothing_behind() -> None:
+    """This happens to silent connections that still wait to be accepted when the agent shuts down."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         backend = await Backend(OK).start()
         async with world(backend) as made:
             ours, theirs = socket.socketpair()
             with theirs:
-                made.listener.begin(ours).cancel()
+                made.listener.serve(ours).cancel()
                 await until(lambda: made.listener.connections == 0)
                 assert ours.fileno() == -1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_has_gone_is_freed_without_a_collection() -> None:
-    """Its tasks, parser and socket go with it, or memory climbs from one full collection to the next."""
+def test_a_disconnected_client_is_freed_without_garbage_collection() -> None:
+    """Reference cycles would keep its tasks, parser and socket until the next full collection."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async def never(_: bytes, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0)
 
@@ -375,15 +376,15 @@
     gc.collect()
     gc.disable()
     try:
-        asyncio.run(play())
+        asyncio.run(scenario())
     finally:
         gc.enable()
 
 
-def test_a_refusal_by_the_agent_itself_says_when_to_come_back() -> None:
-    """As the module's do; here all places for requests are taken."""
+def test_a_refusal_by_the_agent_itself_has_retry_after() -> None:
+    """As refusals by the module do. Here the maximum number of requests is in flight."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def later(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -401,14 +402,14 @@
             go.set()
             assert (await first.answer())[0] == 200
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_going_away_takes_on_what_still_comes_and_closes_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After it is told to end, an agent's machine still accepts connections, and requests on them."""
+def test_a_shutdown_serves_late_requests_and_closes_after_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After SIGTERM, new connections and requests still arrive for a while."""
 
-    async def play() -> None:
-        # Longer than the test may take, so that what comes late still comes within it.
+    async def scenario() -> None:
+        # Longer than the test may take, so that the late request arrives within it.
         monkeypatch.setattr("sorrelfront.fronts.http1.GOING_AWAY_S", 60.0)
         backend = await Backend(OK).start()
         async with world(backend) as made:
@@ -424,4 +425,4 @@
             assert await late.ended()
             closing.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
