--- a/sorrelfront/decisions/fleet/change.py
+++ b/sorrelfront/decisions/fleet/change.py
@@ -1,14 +1,15 @@
-"""One change of policy from its proposal to its end, as whoever proposes it sees it. Without I/O.
+"""The steps by which a proposer brings one policy change from proposal to outcome. Without I/O.
 
-    look    ask the voters where they stand: which slot is next, who holds a lease
-    check   have every member that may serve by it say whether it would; one that is silent and holds no lease
-            is gone without, one that may still be serving stands in the way
+    look    query the voters' state: which slot is next, who holds a lease
+    check   ask every member that may serve the policy whether it would; a silent member without a lease is
+            skipped, one that may still be serving blocks the change
     decide  have the voters choose it in that slot (`policy.Proposer`)
-    wait    until no older lease is out at a majority of the voters: it is in force
+    wait    until a majority of the voters has no older lease outstanding: the change is in force
 
-Until the third step nothing was proposed, so a change that ends there has had no effect anywhere and never
-will. In the third a change that is heard of no more may still be chosen: it is "under way" then, and whoever
-proposes next, or gives it up, brings it to its end."""
+Nothing is proposed before the third step, so a change that ends earlier has no effect anywhere and never
+will. A change that loses contact with the voters during the third step may still be chosen: it is then "under
+way", and the next proposal, or giving it up, settles it.
+"""
 
 from __future__ import annotations
 
@@ -31,22 +32,26 @@
     Word,
 )
 
-AGAIN_US = 300_000  # before a word that nobody answered is said again: some round trips, on a busy host
-SPREAD_US = 200_000  # drawn on top, so that two who propose at once do not go on crossing each other
-WAIT_US = 40_000  # between two looks whether older leases are back: a round trip, and some
-CHECK_US = 1_000_000  # for a member without a lease to answer before it is gone without
-LEASES = 2.5  # times a lease: for those with one to answer, and for older ones to end
-LOOK_US = 3_000_000  # for a majority of the voters to answer at all
-DECIDE_US = 10_000_000  # for a majority to vote
+RESEND_US = 300_000  # before an unanswered message is sent again: several round trips on a busy host
+RESEND_JITTER_US = 200_000  # random, on top: two simultaneous proposers do not keep preempting each other
+LEASE_POLL_US = 40_000  # between two queries whether older leases are back: a little over a round trip
+CHECK_TIMEOUT_US = 1_000_000  # for a member without a lease to answer before it is skipped
+LEASE_TIMEOUT_FACTOR = 2.5  # lease lengths, for lease holders to answer and for older leases to end
+LOOK_TIMEOUT_US = 3_000_000  # for a majority of the voters to answer at all
+DECIDE_TIMEOUT_US = 10_000_000  # for a majority to vote
 
 
 class State(Enum):
+    """Whether a change is in force; the values are printed and sent as they are."""
+
     IN_FORCE = "in force"
     NOT_IN_FORCE = "not in force"
     UNDER_WAY = "under way"
 
 
 class Stage(Enum):
+    """The step that a change has reached; the values are sent as they are."""
+
     LOOK = "look"
     CHECK = "check"
     DECIDE = "decide"
@@ -55,8 +60,11 @@
 
 
 class Outcome(NamedTuple):
-    """How far a change has come. `version` is 0 until it has one; `waits` names who is waited for, or who
-    stood in the way; `answers` has what each member said of it, empty for yes."""
+    """The progress or the result of a change.
+
+    `version` is 0 until the change has one. `waits` names the members or voters that are waited for, or that
+    blocked it. `answers` has each member's reason for rejecting it, empty if it accepts.
+    """
 
     state: State
     stage: Stage
@@ -67,232 +75,252 @@
 
 
 class Change:
-    """A change that this member proposes. One at a time at a member."""
+    """A change that this member proposes; a member proposes one at a time."""
 
     def __init__(
-        self, name: str, voters: tuple[str, ...], value: Value, onto: int | None, lease_us: int,
+        self, name: str, voters: tuple[str, ...], value: Value, base_version: int | None, lease_us: int,
         members: list[str], random: Random, now: int,
     ) -> None:  # fmt: skip
-        """`onto`: the version that whoever proposes has looked at; None for whichever is there. `members`:
-        those that live, as the view has it."""
+        """Start in the first step; nothing is sent before `on_time` is called.
+
+        `base_version` is the version that the proposal is based on, None for whichever is the latest.
+        `members` are the live members in the view.
+        """
         self.value = value
         self._name = name
         self._voters = voters
-        self._onto = onto
+        self._base_version = base_version
         self._lease_us = lease_us
         self._members = set(members)
         self._random = random
-        self._number = random.getrandbits(52)
+        self._request_id = random.getrandbits(52)
         self._stage = Stage.LOOK
-        self._since = now
-        self._again = now
-        self._shown: dict[str, Shown] = {}
+        self._stage_start_us = now
+        self._next_send_us = now
+        self._states: dict[str, Shown] = {}
         self._answers: dict[str, str] = {}
         self._asked: set[str] = set()  # members, in this round
         self._proposer: Proposer | None = None
-        self._above = (0, "")
+        self._highest_ballot = (0, "")
         self._slot = 0
         self._version = 0
         self._state = State.NOT_IN_FORCE
-        self._why = ""
-        self._waits: tuple[str, ...] = ()
+        self._reason = ""
+        self._waiting_for: tuple[str, ...] = ()
 
-    # Told
+    # Progress
 
     @property
     def done(self) -> bool:
+        """Whether the change has ended."""
         return self._stage is Stage.DONE
 
     @property
     def outcome(self) -> Outcome:
+        """The progress so far; while it is not done, its state is under way."""
         state = State.UNDER_WAY if not self.done else self._state
-        return Outcome(state, self._stage, self._version, self._why, self._waits, dict(self._answers))
+        return Outcome(
+            state, self._stage, self._version, self._reason, self._waiting_for, dict(self._answers)
+        )
 
     def next_us(self) -> int:
-        """When it wants `on_time`."""
-        return self._again
+        """When `on_time` is due next."""
+        return self._next_send_us
 
     # Events
 
     def on_time(self, now: int) -> list[Send]:
-        """Go on, or say again what was not answered. Call at `next_us`, and at the start."""
-        if self.done or now < self._again:
+        """Check the timeouts and resend what was not answered. Call at `next_us`, and at the start."""
+        if self.done or now < self._next_send_us:
             return []
-        waits = self._stage is Stage.WAIT
-        self._again = now + (WAIT_US if waits else AGAIN_US + self._random.randrange(SPREAD_US))
-        late = now - self._since
+        polls = self._stage is Stage.WAIT
+        self._next_send_us = now + (
+            LEASE_POLL_US if polls else RESEND_US + self._random.randrange(RESEND_JITTER_US)
+        )
+        elapsed_us = now - self._stage_start_us
         match self._stage:
             case Stage.LOOK:
-                if late > LOOK_US:
-                    return self._end(State.NOT_IN_FORCE, "no majority of the voters answers", self._silent())
-                return self._look()
+                if elapsed_us > LOOK_TIMEOUT_US:
+                    return self._finish(
+                        State.NOT_IN_FORCE, "no majority of the voters answers", self._silent_voters()
+                    )
+                return self._query_voters()
             case Stage.CHECK:
-                if late > int(self._lease_us * LEASES) + DECIDE_US:
-                    return self._end(State.NOT_IN_FORCE, "no majority of the voters answers", self._silent())
-                self._shown.clear()  # a voter that has died would tell of leases that are long over
+                if elapsed_us > int(self._lease_us * LEASE_TIMEOUT_FACTOR) + DECIDE_TIMEOUT_US:
+                    return self._finish(
+                        State.NOT_IN_FORCE, "no majority of the voters answers", self._silent_voters()
+                    )
+                self._states.clear()  # a voter that has died would still list leases that ended long ago
                 self._asked.clear()
-                return self._look() + self._checks()
+                return self._query_voters() + self._check_requests()
             case Stage.DECIDE:
-                if late > DECIDE_US:
-                    why = "no majority of the voters has voted; it may still be chosen"
-                    return self._end(State.UNDER_WAY, why, self._silent())
-                return self._round()
+                if elapsed_us > DECIDE_TIMEOUT_US:
+                    reason = "no majority of the voters has voted; it may still be chosen"
+                    return self._finish(State.UNDER_WAY, reason, self._silent_voters())
+                return self._send_round()
             case Stage.WAIT:
-                if late > int(self._lease_us * LEASES):
-                    why = "it is decided; older leases are still out, or too few voters answer"
-                    return self._end(State.UNDER_WAY, why, self._waits)
-                return self._look() + self._tell_late()
+                if elapsed_us > int(self._lease_us * LEASE_TIMEOUT_FACTOR):
+                    reason = "it is decided; older leases are still out, or too few voters answer"
+                    return self._finish(State.UNDER_WAY, reason, self._waiting_for)
+                return self._query_voters() + self._resend_decision()
         return []
 
-    def on_word(self, word: Word, now: int) -> list[Send]:
-        """What voters and members answer."""
+    def on_word(self, message: Word, now: int) -> list[Send]:
+        """Handle an answer of a voter or a member."""
         if self.done:
             return []
-        if isinstance(word, Shown) and word.number == self._number:
-            self._shown[word.voter] = word
-            return self._on_shown(now)
-        if isinstance(word, Checked) and word.number == self._number and self._stage is Stage.CHECK:
-            self._answers[word.member] = word.fault
-            if word.fault:
-                why = f"{word.member} refuses it: {word.fault}"
-                return self._end(State.NOT_IN_FORCE, why, (word.member,))
-            return self._checked(now)
+        if isinstance(message, Shown) and message.number == self._request_id:
+            self._states[message.voter] = message
+            return self._on_state(now)
+        if isinstance(message, Checked) and message.number == self._request_id and self._stage is Stage.CHECK:
+            self._answers[message.member] = message.fault
+            if message.fault:
+                reason = f"{message.member} refuses it: {message.fault}"
+                return self._finish(State.NOT_IN_FORCE, reason, (message.member,))
+            return self._after_check(now)
         if self._proposer is not None and self._stage is Stage.DECIDE:
-            if isinstance(word, Reject) and word.slot == self._slot:
-                self._above = max(self._above, word.ballot)
-            elif not isinstance(word, Need):
-                self._proposer, sends = self._proposer.step(word)
-                return [*sends, *self._decided(now)]
+            if isinstance(message, Reject) and message.slot == self._slot:
+                self._highest_ballot = max(self._highest_ballot, message.ballot)
+            elif not isinstance(message, Need):
+                self._proposer, sends = self._proposer.step(message)
+                return [*sends, *self._after_decision(now)]
         return []
 
-    # Looking
+    # Query
 
     @property
     def _majority(self) -> int:
         return len(self._voters) // 2 + 1
 
-    def _silent(self) -> tuple[str, ...]:
-        return tuple(name for name in self._voters if name not in self._shown)
+    def _silent_voters(self) -> tuple[str, ...]:
+        return tuple(name for name in self._voters if name not in self._states)
 
-    def _look(self) -> list[Send]:
-        return [Send(voter, Look(self._number, self._name, False)) for voter in self._voters]
+    def _query_voters(self) -> list[Send]:
+        return [Send(voter, Look(self._request_id, self._name, False)) for voter in self._voters]
 
-    def _on_shown(self, now: int) -> list[Send]:
-        known = [item for item in self._shown.values() if item.slot >= 0]
+    def _on_state(self, now: int) -> list[Send]:
+        known = [item for item in self._states.values() if item.slot >= 0]
         if len(known) < self._majority:
             return []
         if self._stage is Stage.LOOK:
-            return self._looked(max(known, key=lambda item: item.slot), now)
+            return self._after_query(max(known, key=lambda item: item.slot), now)
         if self._stage is Stage.CHECK:
             latest = max(item.slot for item in known)
             if latest >= self._slot:
-                return self._end(State.NOT_IN_FORCE, f"another change came first, as version {latest}", ())
-            return self._checks() + self._checked(now)
+                return self._finish(State.NOT_IN_FORCE, f"another change came first, as version {latest}", ())
+            return self._check_requests() + self._after_check(now)
         if self._stage is Stage.WAIT:
-            return self._waited(known)
+            return self._after_wait(known)
         return []
 
-    def _looked(self, latest: Shown, now: int) -> list[Send]:
+    def _after_query(self, latest: Shown, now: int) -> list[Send]:
         if latest.change == self.value.change:
             self._slot = latest.slot
-            return self._enter(Stage.WAIT, now) + self._look()
-        if self._onto is not None and latest.slot != self._onto:
-            return self._end(State.NOT_IN_FORCE, f"another change came first, as version {latest.slot}", ())
+            return self._enter_stage(Stage.WAIT, now) + self._query_voters()
+        if self._base_version is not None and latest.slot != self._base_version:
+            return self._finish(
+                State.NOT_IN_FORCE, f"another change came first, as version {latest.slot}", ()
+            )
         self._slot = latest.slot + 1
         if self.value.void or latest.under_way == self.value.change:
-            # Given up, or proposed again: it was checked when it was proposed first.
-            return self._enter(Stage.DECIDE, now) + self._round()
-        return self._enter(Stage.CHECK, now) + self._checks() + self._checked(now)
+            # A no-op, or a repeated proposal: the policy was checked when it was first proposed.
+            return self._enter_stage(Stage.DECIDE, now) + self._send_round()
+        return self._enter_stage(Stage.CHECK, now) + self._check_requests() + self._after_check(now)
 
-    def _enter(self, stage: Stage, now: int) -> list[Send]:
-        self._stage, self._since = stage, now
+    def _enter_stage(self, stage: Stage, now: int) -> list[Send]:
+        self._stage, self._stage_start_us = stage, now
         if stage is Stage.WAIT:
-            self._version = self._slot  # this change's own, for good
-        self._again = now + (WAIT_US if stage is Stage.WAIT else AGAIN_US)
+            self._version = self._slot  # final: the version of this change
+        self._next_send_us = now + (LEASE_POLL_US if stage is Stage.WAIT else RESEND_US)
         return []
 
-    # Checking
+    # Check
 
     def _holders(self) -> set[str]:
-        """Members that may be serving, by those voters that answered."""
-        return {name for item in self._shown.values() for name, _, _ in item.leases}
-
-    def _checks(self) -> list[Send]:
-        """To those that were not asked in this round. Risk: one that was away when it began, and has a lease
-        by now, would never be asked and stand in the way."""
-        wanted = sorted((self._members | self._holders()) - set(self._answers) - self._asked)
-        self._asked.update(wanted)
-        return [Send(name, Check(self._number, self._name, self.value.document)) for name in wanted]
-
-    def _checked(self, now: int) -> list[Send]:
-        # Risk: a voter that has just started does not know whom its former life granted a lease.
-        if sum(item.slot >= 0 and not item.blind_us for item in self._shown.values()) < self._majority:
-            return []  # who may be serving is not known in this round yet
-        late = now - self._since
+        """Members that may be serving, according to the voters that answered."""
+        return {name for item in self._states.values() for name, _, _ in item.leases}
+
+    def _check_requests(self) -> list[Send]:
+        """Requests to the members that were not asked in this round.
+
+        Members are collected anew each round: one that was away when the check began and has a lease by now
+        would otherwise never be asked, and block the change.
+        """
+        unasked = sorted((self._members | self._holders()) - set(self._answers) - self._asked)
+        self._asked.update(unasked)
+        return [Send(name, Check(self._request_id, self._name, self.value.document)) for name in unasked]
+
+    def _after_check(self, now: int) -> list[Send]:
+        # A voter that has just restarted does not count: it does not know the leases that it granted before.
+        if sum(item.slot >= 0 and not item.blind_us for item in self._states.values()) < self._majority:
+            return []  # this round does not know yet which members may be serving
+        elapsed_us = now - self._stage_start_us
         holders = self._holders() - set(self._answers)
         silent = self._members - set(self._answers)
         if holders:
-            self._waits = tuple(sorted(holders))
-            if late <= int(self._lease_us * LEASES):
+            self._waiting_for = tuple(sorted(holders))
+            if elapsed_us <= int(self._lease_us * LEASE_TIMEOUT_FACTOR):
                 return []
-            return self._end(State.NOT_IN_FORCE, "members that may be serving do not answer", self._waits)
-        if silent and late <= CHECK_US:
-            self._waits = tuple(sorted(silent))
+            return self._finish(
+                State.NOT_IN_FORCE, "members that may be serving do not answer", self._waiting_for
+            )
+        if silent and elapsed_us <= CHECK_TIMEOUT_US:
+            self._waiting_for = tuple(sorted(silent))
             return []
-        self._waits = ()
-        return self._enter(Stage.DECIDE, now) + self._round()
+        self._waiting_for = ()
+        return self._enter_stage(Stage.DECIDE, now) + self._send_round()
 
-    # Deciding
+    # Decide
 
-    def _round(self) -> list[Send]:
+    def _send_round(self) -> list[Send]:
         if self._proposer is None:
-            # Risk: by its name alone, another change that this member proposes in the same slot, or its next
-            # life, would vote under the same ballot for another value, and two could be chosen.
-            who = f"{self._name}#{self._number:x}"
-            self._proposer = Proposer(who, self._voters, self._slot, self.value, (1, who))
+            # The name alone is not unique: another change that this member proposes in the same slot, or
+            # after a restart, would use the same ballot for another value, and two values could be chosen.
+            proposer = f"{self._name}#{self._request_id:x}"
+            self._proposer = Proposer(proposer, self._voters, self._slot, self.value, (1, proposer))
             return self._proposer.begin()
-        if self._above <= self._proposer.ballot:
-            return self._proposer.still()  # a higher round would only void what is on its way
-        self._proposer, sends = self._proposer.again(self._above)
+        if self._highest_ballot <= self._proposer.ballot:
+            return self._proposer.resend()  # a higher round would only invalidate what is in flight
+        self._proposer, sends = self._proposer.again(self._highest_ballot)
         return sends
 
-    def _decided(self, now: int) -> list[Send]:
+    def _after_decision(self, now: int) -> list[Send]:
         proposer = self._proposer
         if proposer is None or proposer.outcome is None:
             return []
         current = Current(self._slot, proposer.outcome)
         others = sorted((self._members | self._holders()) - set(self._voters))
-        told: list[Send] = []
-        if not proposer.outcome.void:  # what a void slot leaves in force its voters know
-            told = [Send(name, current) for name in others]
+        sends: list[Send] = []
+        if not proposer.outcome.void:  # the voters know which policy a void slot leaves in force
+            sends = [Send(name, current) for name in others]
         if proposer.outcome.change != self.value.change:
-            why = f"another change came first, as version {self._slot}"
-            return told + self._end(State.NOT_IN_FORCE, why, ())
-        self._shown.clear()
-        return told + self._enter(Stage.WAIT, now) + self._look()
-
-    # Waiting
-
-    def _waited(self, known: list[Shown]) -> list[Send]:
-        there = [item for item in known if item.slot >= self._slot and not item.blind_us]
-        old = {name for item in there for name, version, _ in item.leases if version < self._slot}
-        free = [item for item in there if not any(version < self._slot for _, version, _ in item.leases)]
-        self._waits = tuple(sorted(old))
+            reason = f"another change came first, as version {self._slot}"
+            return sends + self._finish(State.NOT_IN_FORCE, reason, ())
+        self._states.clear()
+        return sends + self._enter_stage(Stage.WAIT, now) + self._query_voters()
+
+    # Wait
+
+    def _after_wait(self, known: list[Shown]) -> list[Send]:
+        current = [item for item in known if item.slot >= self._slot and not item.blind_us]
+        old = {name for item in current for name, version, _ in item.leases if version < self._slot}
+        free = [item for item in current if not any(version < self._slot for _, version, _ in item.leases)]
+        self._waiting_for = tuple(sorted(old))
         if len(free) < self._majority:
             return []
-        return self._end(State.IN_FORCE, "", ())
+        return self._finish(State.IN_FORCE, "", ())
 
-    def _tell_late(self) -> list[Send]:
-        """What was chosen, once more to those that seem not to have heard of it."""
+    def _resend_decision(self) -> list[Send]:
+        """Send the chosen value again to voters and members that seem to have missed it."""
         outcome = self._proposer.outcome if self._proposer is not None else None
         if outcome is None:
             return []
-        late = [item.voter for item in self._shown.values() if item.slot == self._slot - 1]
-        told = [Send(voter, Chosen(self._slot, outcome)) for voter in late]
+        behind = [item.voter for item in self._states.values() if item.slot == self._slot - 1]
+        sends = [Send(voter, Chosen(self._slot, outcome)) for voter in behind]
         if not outcome.void:
-            told += [Send(name, Current(self._slot, outcome)) for name in self._waits]
-        return told
+            sends += [Send(name, Current(self._slot, outcome)) for name in self._waiting_for]
+        return sends
 
-    def _end(self, state: State, why: str, waits: tuple[str, ...]) -> list[Send]:
-        self._stage, self._state, self._why, self._waits = Stage.DONE, state, why, waits
+    def _finish(self, state: State, reason: str, waits: tuple[str, ...]) -> list[Send]:
+        self._stage, self._state, self._reason, self._waiting_for = Stage.DONE, state, reason, waits
         return []
--- a/sorrelfront/decisions/fleet/policy.py
+++ b/sorrelfront/decisions/fleet/policy.py
@@ -1,47 +1,51 @@
-"""One policy for a whole fleet: a change is decided once by a quorum of voters, and served by leases. Without
-I/O.
+"""Consensus on one versioned policy for a fleet, and leases on its versions. Without I/O.
 
 Versions are slots. In each slot the voters choose one value by Paxos (Lamport, "Paxos Made Simple", 2001): a
-policy, or nothing, which is how a change is given up for good. A voter votes in a slot only if it knows what
-was chosen in the one before, so a slot has no gap below it. A member serves by a version while a majority of
+policy, or a void value, which gives up a change for good. A voter votes in a slot only if it knows the value
+chosen in the previous one, so there are no gaps below a slot. A member serves a version while a majority of
 the voters has granted it a lease on that version (Gray and Cheriton, 1989), counted from when it asked. A
-voter grants one on a newer version only once every older lease that it granted has run out by its own clock,
-or was given back; a majority that grants the newer has a voter in common with each that granted an older one,
-so no two versions are served at once.
+voter grants a lease on a newer version only after every older lease that it granted has expired by its own
+clock or was released. A majority that grants the newer version shares a voter with each majority that granted
+an older one, so two versions are never served at the same time.
 
-State is immutable: each step returns the next state and what to do, in order. What is to be kept (`Keep`) has
-to be on disk before anything after it is sent."""
+State is immutable: each step returns the next state and the actions to take, in order. A record to persist
+(`Keep`) has to be on disk before any later action is sent.
+"""
 
 from __future__ import annotations
 
 from hashlib import blake2b
 from typing import NamedTuple
 
-DRIFT = 500e-6  # between two clocks, at most, as a share: 200 millionths each, and some
-AHEAD = 2  # slots past the last that others know, in which a voter may have voted before it lost its memory
-HISTORY = 16  # chosen values that a voter keeps for members that were away
+MAX_CLOCK_DRIFT = 500e-6  # relative drift between two clocks: 200 ppm each, with a margin
+MAX_SLOTS_AHEAD = 2  # how far past the slots known to others a voter may have voted before it lost its disk
+HISTORY_LENGTH = 16  # chosen values that a voter keeps for members that were away
 
-Ballot = tuple[int, str]  # round, and who
-NONE: Ballot = (0, "")
+Ballot = tuple[int, str]  # round, proposer
+NO_BALLOT: Ballot = (0, "")
 
 
 class Value(NamedTuple):
-    """What a slot may hold. `void`: the change was given up; the policy before it stays."""
+    """The value of a slot: a policy, or with `void` a no-op that leaves the previous policy in force."""
 
     change: str
     document: bytes = b""
     void: bool = False
 
 
-# Words
+# Messages
 
 
 class Prepare(NamedTuple):
+    """Paxos phase 1a: a proposer asks the voters to promise its ballot."""
+
     slot: int
     ballot: Ballot
 
 
 class Promise(NamedTuple):
+    """Paxos phase 1b: the voter promises the ballot and reports the value that it accepted last."""
+
     slot: int
     ballot: Ballot
     voter: str
@@ -50,19 +54,23 @@
 
 
 class Accept(NamedTuple):
+    """Paxos phase 2a: a proposer asks the voters to accept a value."""
+
     slot: int
     ballot: Ballot
     value: Value
 
 
 class Accepted(NamedTuple):
+    """Paxos phase 2b: the voter has accepted the value of this ballot."""
+
     slot: int
     ballot: Ballot
     voter: str
 
 
 class Reject(NamedTuple):
-    """A higher ballot was promised."""
+    """The voter has promised a higher ballot, which is given here."""
 
     slot: int
     ballot: Ballot
@@ -70,15 +78,18 @@
 
 
 class Chosen(NamedTuple):
-    """This slot holds this value, for good."""
+    """The value that was chosen in this slot; it never changes."""
 
     slot: int
     value: Value
 
 
 class Current(NamedTuple):
-    """What the latest slot that I know holds, and the policy in force by it: for members, and for a voter
-    that is further behind than any history goes. `document` is left empty if it is the value's own."""
+    """The value of the latest slot that the sender knows, and the policy in force by it.
+
+    For members, and for a voter that is further behind than the history reaches. `document` is empty if the
+    policy is the value's own.
+    """
 
     slot: int
     value: Value
@@ -86,18 +97,19 @@
 
     @property
     def policy(self) -> bytes:
+        """The encoded policy in force as of this slot."""
         return self.document if self.value.void else self.value.document
 
 
 class Need(NamedTuple):
-    """I lack what was chosen from this slot on."""
+    """A request for the values chosen from this slot on."""
 
     slot: int
-    who: str
+    requester: str
 
 
 class Renew(NamedTuple):
-    """A lease on this version, please. `asked_us` is the asker's clock and comes back."""
+    """A request for a lease on this version, new or renewed; `asked_us`, by the member's clock, is echoed."""
 
     member: str
     version: int
@@ -105,56 +117,67 @@
 
 
 class Grant(NamedTuple):
+    """A lease on this version; it runs from `asked_us`, the member's clock at its request."""
+
     voter: str
     version: int
     asked_us: int
 
 
 class Release(NamedTuple):
-    """I serve by nothing older than this version any more, and nothing of mine is under way by it."""
+    """The member no longer serves any version older than this, and has no requests in flight under one."""
 
     member: str
     version: int
 
 
 class Ask(NamedTuple):
-    """From a voter without memory: what do you know?"""
+    """A voter that has lost its record asks another one for its latest slot."""
 
     voter: str
 
 
 class Known(NamedTuple):
+    """The latest slot whose chosen value the voter knows; the answer to `Ask` and `Found`."""
+
     voter: str
-    chosen: int
+    latest_slot: int
 
 
 class Blank(NamedTuple):
-    """From a voter that knows of no fleet: it has just been set up, or has lost its disk."""
+    """The voter has no record: it was never initialized, or it has lost its disk."""
 
     voter: str
 
 
 class Found(NamedTuple):
-    """An operator's word to a voter: this is a new fleet (no value), or, where too many voters are gone for
-    good, go on from this slot with this value whatever was voted."""
+    """An operator initializes a voter.
+
+    Without a value, as a voter of a new fleet. With one, which is for a fleet that has lost its quorum for
+    good: the voter continues from this slot with this value, whatever was voted.
+    """
 
     slot: int
     value: Value | None
-    who: str
+    requester: str
 
 
 class Look(NamedTuple):
-    """What do you know? `number` comes back."""
+    """A query for a voter's state; `number` is echoed in the answer."""
 
     number: int
-    who: str
+    requester: str
     history: bool
 
 
 class Shown(NamedTuple):
-    """What a voter knows: its latest slot (-1: blank) and what that holds, by its change and the digest of
-    the policy in force; the change that it has accepted in the next slot; the leases that run (holder,
-    version, how long still); for how long it grants none; and, if asked for, earlier slots."""
+    """A voter's state.
+
+    `slot` is its latest slot (-1 without a record), with the id of the change chosen there and the digest of
+    the policy in force. `under_way` is the change that it has accepted in the next slot. `leases` are the
+    running ones: holder, version, remaining time in microseconds. For `blind_us` it grants none. `history`
+    has the latest chosen values, if asked for.
+    """
 
     number: int
     voter: str
@@ -168,7 +191,7 @@
 
 
 class Check(NamedTuple):
-    """Would you serve by this policy?"""
+    """A request to a member to validate a policy before it is proposed."""
 
     number: int
     who: str
@@ -176,7 +199,7 @@
 
 
 class Checked(NamedTuple):
-    """I would, or why not."""
+    """The result of a check: `fault` is empty if the member would serve the policy, else the reason."""
 
     number: int
     member: str
@@ -190,29 +213,31 @@
 
 
 def digest_of(document: bytes) -> str:
-    """Of a policy, for people and for comparing. Empty for none."""
+    """Return the digest of an encoded policy, for display and comparison; empty for an empty document."""
     return blake2b(document, digest_size=8).hexdigest() if document else ""
 
 
-# What to do
+# Actions
 
 
 class Keep(NamedTuple):
-    """Have this on disk before what follows is done."""
+    """Persist this record before any later action is taken."""
 
     record: Record
 
 
 class Send(NamedTuple):
+    """Send a message to a voter or a member, by name."""
+
     to: str
     word: Word
 
 
 class Record(NamedTuple):
-    """What a voter has on disk."""
+    """The persistent state of a voter."""
 
-    chosen: tuple[Value, ...]  # the latest HISTORY of them
-    slot: int  # of the last of these; 0: none yet
+    chosen: tuple[Value, ...]  # the latest HISTORY_LENGTH of them
+    slot: int  # of the last of `chosen`; 0: nothing was chosen yet
     promised: Ballot
     accepted: Ballot
     value: Value | None
@@ -220,70 +245,73 @@
     document: bytes = b""  # the policy in force by the last of `chosen`
 
 
-FIRST = Record((), 0, NONE, NONE, None, 0)  # of a voter of a new fleet, written when the fleet is founded
+FIRST = Record((), 0, NO_BALLOT, NO_BALLOT, None, 0)  # of a voter of a new fleet, on initialization
 Step = tuple["Voter", list[Keep | Send]]
 
 
 class Voter(NamedTuple):
-    """One voter: its record, and what it knows only while it runs."""
+    """One voter, the acceptor of Paxos and the grantor of leases: its record and its volatile state."""
 
     name: str
     voters: tuple[str, ...]
-    record: Record | None  # None: it has lost its memory
+    record: Record | None  # None: it was never initialized, or it has lost its disk
     lease_us: int
-    blind_until_us: int  # leases that a former life granted may still run until then
-    leases: tuple[tuple[str, int, int], ...] = ()  # holder, version, until when by this clock
-    told: tuple[tuple[str, int], ...] = ()  # while without memory: what others know
+    no_grants_until_us: int  # leases that it granted before a restart may run until then
+    leases: tuple[tuple[str, int, int], ...] = ()  # holder, version, expiry by this voter's clock
+    told: tuple[tuple[str, int], ...] = ()  # without a record: the latest slots that other voters report
 
     @property
     def majority(self) -> int:
+        """The number of voters that form a quorum."""
         return len(self.voters) // 2 + 1
 
-    # Choosing
+    # Voting
 
-    def on_prepare(self, word: Prepare, sender: str) -> Step:
+    def on_prepare(self, message: Prepare, sender: str) -> Step:
+        """Promise the ballot, unless a higher one was promised or the slot is not the next."""
         record = self.record
         if record is None:
             return self, []
-        refused = self._refused(record, word.slot, word.ballot, sender)
-        if refused is not None:
-            return self, refused
-        kept = record._replace(promised=word.ballot)
-        answer = Promise(word.slot, word.ballot, self.name, record.accepted, record.value)
-        return self._replace(record=kept), [Keep(kept), Send(sender, answer)]
-
-    def on_accept(self, word: Accept, sender: str) -> Step:
+        refusal = self._refusal(record, message.slot, message.ballot, sender)
+        if refusal is not None:
+            return self, refusal
+        updated = record._replace(promised=message.ballot)
+        answer = Promise(message.slot, message.ballot, self.name, record.accepted, record.value)
+        return self._replace(record=updated), [Keep(updated), Send(sender, answer)]
+
+    def on_accept(self, message: Accept, sender: str) -> Step:
+        """Accept the value, unless a higher ballot was promised or the slot is not the next."""
         record = self.record
         if record is None:
             return self, []
-        refused = self._refused(record, word.slot, word.ballot, sender)
-        if refused is not None:
-            return self, refused
-        kept = record._replace(promised=word.ballot, accepted=word.ballot, value=word.value)
-        answer = Accepted(word.slot, word.ballot, self.name)
-        return self._replace(record=kept), [Keep(kept), Send(sender, answer)]
-
-    def _refused(self, record: Record, slot: int, ballot: Ballot, sender: str) -> list[Keep | Send] | None:
-        """What to do instead of voting, perhaps nothing; None if it may vote."""
-        turned = self._out_of_turn(record, slot, sender)
-        if turned is not None:
-            return turned
+        refusal = self._refusal(record, message.slot, message.ballot, sender)
+        if refusal is not None:
+            return self, refusal
+        updated = record._replace(promised=message.ballot, accepted=message.ballot, value=message.value)
+        answer = Accepted(message.slot, message.ballot, self.name)
+        return self._replace(record=updated), [Keep(updated), Send(sender, answer)]
+
+    def _refusal(self, record: Record, slot: int, ballot: Ballot, sender: str) -> list[Keep | Send] | None:
+        """The actions to take instead of voting, possibly none; None if it may vote."""
+        actions = self._other_slot_actions(record, slot, sender)
+        if actions is not None:
+            return actions
         if slot <= record.abstains:
             return []
         if ballot < record.promised:
             return [Send(sender, Reject(slot, record.promised, self.name))]
         return None
 
-    def _out_of_turn(self, record: Record, slot: int, sender: str) -> list[Keep | Send] | None:
-        """What to say of a slot that is not the next one; None if it is."""
+    def _other_slot_actions(self, record: Record, slot: int, sender: str) -> list[Keep | Send] | None:
+        """The answer to a vote in a slot that is not the next one; None if it is."""
         if slot <= record.slot:
-            return [Send(sender, word) for word in self.chosen_from(slot)]
+            return [Send(sender, message) for message in self.chosen_from(slot)]
         if slot > record.slot + 1:
             return [Send(sender, Need(record.slot + 1, self.name))]
         return None
 
     def current(self) -> list[Current]:
-        """Where this voter stands, if anything was chosen yet."""
+        """The latest chosen value that this voter knows; empty if it knows none."""
         record = self.record
         if record is None or not record.chosen:
             return []
@@ -291,7 +319,7 @@
         return [Current(record.slot, value, record.document if value.void else b"")]
 
     def chosen_from(self, slot: int) -> list[Chosen | Current]:
-        """What was chosen from this slot on; where the history does not go back so far, the latest alone."""
+        """The values chosen from this slot on; only the latest if the history does not reach back so far."""
         record = self.record
         if record is None:
             return []
@@ -300,135 +328,149 @@
             return [*self.current()]
         return [Chosen(first + at, value) for at, value in enumerate(record.chosen) if first + at >= slot]
 
-    def on_chosen(self, word: Chosen) -> Step:
+    def on_chosen(self, message: Chosen) -> Step:
+        """Learn the value of the next slot; other slots are ignored."""
         record = self.record
-        if record is None or word.slot != record.slot + 1:
+        if record is None or message.slot != record.slot + 1:
             return self, []
-        chosen = (*record.chosen, word.value)[-HISTORY:]
-        document = record.document if word.value.void else word.value.document
-        kept = Record(chosen, word.slot, NONE, NONE, None, record.abstains, document)
-        return self._replace(record=kept), [Keep(kept)]
+        chosen = (*record.chosen, message.value)[-HISTORY_LENGTH:]
+        document = record.document if message.value.void else message.value.document
+        updated = Record(chosen, message.slot, NO_BALLOT, NO_BALLOT, None, record.abstains, document)
+        return self._replace(record=updated), [Keep(updated)]
 
-    def on_current(self, word: Current) -> Step:
-        """Skip slots whose values nobody near remembers. What was voted in them does not matter any more."""
+    def on_current(self, message: Current) -> Step:
+        """Skip to a later slot; votes in earlier ones, whose values may be in no history, are dropped."""
         record = self.record
-        if record is None or word.slot <= record.slot:
+        if record is None or message.slot <= record.slot:
             return self, []
-        earlier = record.chosen if word.slot == record.slot + 1 else ()
-        chosen = (*earlier, word.value)[-HISTORY:]
-        kept = Record(chosen, word.slot, NONE, NONE, None, record.abstains, word.policy)
-        return self._replace(record=kept), [Keep(kept)]
-
-    def on_found(self, word: Found, sender: str) -> Step:
-        """Be a voter of a new fleet; or, forced, stand where the operator says. A forced one goes forward
-        only. Risk: a voter that comes back after all may have chosen something else meanwhile."""
+        earlier = record.chosen if message.slot == record.slot + 1 else ()
+        chosen = (*earlier, message.value)[-HISTORY_LENGTH:]
+        updated = Record(chosen, message.slot, NO_BALLOT, NO_BALLOT, None, record.abstains, message.policy)
+        return self._replace(record=updated), [Keep(updated)]
+
+    def on_found(self, message: Found, sender: str) -> Step:
+        """Initialize a voter of a new fleet, or force an existing one to the operator's slot and value.
+
+        A forced slot only moves forward: a voter that returns after all may have taken part in choosing other
+        values in lower slots.
+        """
         record = self.record
-        if word.value is None and record is None:
-            fresh = self._replace(record=FIRST, told=(), blind_until_us=0)  # nobody ever had a lease
+        if message.value is None and record is None:
+            fresh = self._replace(record=FIRST, told=(), no_grants_until_us=0)  # no lease was ever granted
             return fresh, [Keep(FIRST), Send(sender, Known(self.name, 0))]
-        if word.value is not None and (record is None or word.slot > record.slot):
-            document = word.value.document
-            kept = Record((word.value,), word.slot, NONE, NONE, None, 0, document)
-            told = Known(self.name, word.slot)
-            return self._replace(record=kept, told=()), [Keep(kept), Send(sender, told)]
+        if message.value is not None and (record is None or message.slot > record.slot):
+            document = message.value.document
+            updated = Record((message.value,), message.slot, NO_BALLOT, NO_BALLOT, None, 0, document)
+            told = Known(self.name, message.slot)
+            return self._replace(record=updated, told=()), [Keep(updated), Send(sender, told)]
         return self, [] if record is None else [Send(sender, Known(self.name, record.slot))]
 
-    # Without memory
+    # Recovery of a voter without a record
 
-    def on_known(self, word: Known) -> Step:
-        """A voter that lost its disk votes again only where its former life cannot have voted.
+    def on_known(self, message: Known) -> Step:
+        """Vote again, after losing the disk, only in slots in which this voter cannot have voted before.
 
-        It voted in no slot beyond the next but one of what a majority of the others knows: to vote in a slot
-        takes to know the one before, and that one was chosen by a majority that knew the one before it.
+        The highest such slot is two past the latest slot known to a majority of the voters: to vote in a slot
+        a voter must know the value of the previous one, and that was chosen by a majority that knew the value
+        of the one before it.
         """
-        if self.record is not None or word.voter == self.name or word.voter not in self.voters:
+        if self.record is not None or message.voter == self.name or message.voter not in self.voters:
             return self, []
-        told = tuple(sorted({**dict(self.told), word.voter: word.chosen}.items()))
-        if len(told) < self.majority:
-            return self._replace(told=told), []
-        kept = FIRST._replace(abstains=max(chosen for _, chosen in told) + AHEAD)
-        asks: list[Keep | Send] = [Keep(kept)]
-        asks += [Send(voter, Need(1, self.name)) for voter, _ in told]
-        return self._replace(record=kept, told=()), asks
+        replies = tuple(sorted({**dict(self.told), message.voter: message.latest_slot}.items()))
+        if len(replies) < self.majority:
+            return self._replace(told=replies), []
+        updated = FIRST._replace(abstains=max(slot for _, slot in replies) + MAX_SLOTS_AHEAD)
+        actions: list[Keep | Send] = [Keep(updated)]
+        actions += [Send(voter, Need(1, self.name)) for voter, _ in replies]
+        return self._replace(record=updated, told=()), actions
 
     # Leases
 
-    def on_renew(self, word: Renew, now: int) -> Step:
+    def on_renew(self, message: Renew, now: int) -> Step:
+        """Grant a lease on the latest version, once no other member holds one on an older version.
+
+        A refusal member gets no answer and asks again.
+        """
         record = self.record
         if record is None:
-            return self, [Send(word.member, Blank(self.name))]
-        if word.version < record.slot:
-            return self, [Send(word.member, item) for item in self.current()]
-        if word.version > record.slot:
-            return self, [Send(word.member, Need(record.slot + 1, self.name))]
-        if record.slot < record.abstains - AHEAD:
-            # Risk: it lost its memory, and grants an older version than it had granted before, together with
-            # a voter that was behind. A version that was served by is known to a majority, so to one of those
-            # that it asked.
+            return self, [Send(message.member, Blank(self.name))]
+        if message.version < record.slot:
+            return self, [Send(message.member, item) for item in self.current()]
+        if message.version > record.slot:
+            return self, [Send(message.member, Need(record.slot + 1, self.name))]
+        if record.slot < record.abstains - MAX_SLOTS_AHEAD:
+            # A voter that lost its disk could grant an older version than it had granted before, together
+            # with a voter that is behind. Any version that was ever served is known to a majority, so to one
+            # of the voters that it asked; it grants nothing until it has caught up with them.
             return self, []
-        # Its former lease on an older version is over: it asks for this one.
-        running = [item for item in self.leases if item[2] > now and item[0] != word.member]
-        older = any(version < word.version for _, version, _ in running)
-        if older or now < self.blind_until_us:
-            return self._replace(leases=tuple(running)), []  # it asks again
-        until = now + int(self.lease_us * (1 + DRIFT)) + 1
-        leases = (*running, (word.member, word.version, until))
+        # The member's own older lease does not count: asking for this version ends it.
+        running = [item for item in self.leases if item[2] > now and item[0] != message.member]
+        older = any(version < message.version for _, version, _ in running)
+        if older or now < self.no_grants_until_us:
+            return self._replace(leases=tuple(running)), []  # the member asks again
+        until = now + int(self.lease_us * (1 + MAX_CLOCK_DRIFT)) + 1
+        leases = (*running, (message.member, message.version, until))
         return self._replace(leases=leases), [
-            Send(word.member, Grant(self.name, word.version, word.asked_us))
+            Send(message.member, Grant(self.name, message.version, message.asked_us))
         ]
 
-    def on_release(self, word: Release, now: int) -> Step:
-        left = tuple(
+    def on_release(self, message: Release, now: int) -> Step:
+        """Drop the member's leases on older versions, and all expired ones."""
+        remaining = tuple(
             item
             for item in self.leases
-            if item[2] > now and not (item[0] == word.member and item[1] < word.version)
+            if item[2] > now and not (item[0] == message.member and item[1] < message.version)
         )
-        return self._replace(leases=left), []
+        return self._replace(leases=remaining), []
 
-    def shown(self, word: Look, now: int) -> Shown:
-        """What it knows, for whoever asks."""
+    def state_reply(self, message: Look, now: int) -> Shown:
+        """The answer to a query for this voter's state."""
         record = self.record
-        running = tuple((who, version, until - now) for who, version, until in self.leases if until > now)
-        blind = max(0, self.blind_until_us - now)
+        running = tuple(
+            (holder, version, until - now) for holder, version, until in self.leases if until > now
+        )
+        no_grants_us = max(0, self.no_grants_until_us - now)
         if record is None:
-            return Shown(word.number, self.name, -1, "", "", "", running, blind, ())
+            return Shown(message.number, self.name, -1, "", "", "", running, no_grants_us, ())
         change = record.chosen[-1].change if record.chosen else ""
         under_way = record.value.change if record.value is not None else ""
-        history = record.chosen if word.history else ()
+        history = record.chosen if message.history else ()
         digest = digest_of(record.document)
-        return Shown(word.number, self.name, record.slot, change, digest, under_way, running, blind, history)
+        return Shown(
+            message.number, self.name, record.slot, change, digest, under_way, running, no_grants_us, history
+        )
 
-    def step(self, word: Word, sender: str, now: int) -> Step:
-        """One word from `sender`, at this time of this voter's own clock."""
-        match word:
+    def step(self, message: Word, sender: str, now: int) -> Step:
+        """Handle one message from `sender`; `now` is by this voter's own clock."""
+        match message:
             case Current():
-                return self.on_current(word)
+                return self.on_current(message)
             case Found():
-                return self.on_found(word, sender)
+                return self.on_found(message, sender)
             case Look():
-                return self, [Send(word.who, self.shown(word, now))]
+                return self, [Send(message.requester, self.state_reply(message, now))]
             case Ask() if self.record is None:
-                return self, [Send(word.voter, Blank(self.name))]
+                return self, [Send(message.voter, Blank(self.name))]
             case Prepare():
-                return self.on_prepare(word, sender)
+                return self.on_prepare(message, sender)
             case Accept():
-                return self.on_accept(word, sender)
+                return self.on_accept(message, sender)
             case Chosen():
-                return self.on_chosen(word)
+                return self.on_chosen(message)
             case Need() if self.record is not None:
-                return self, [Send(word.who, item) for item in self.chosen_from(word.slot)]
+                return self, [Send(message.requester, item) for item in self.chosen_from(message.slot)]
             case Renew():
-                return self.on_renew(word, now)
+                return self.on_renew(message, now)
             case Release():
-                return self.on_release(word, now)
+                return self.on_release(message, now)
             case Ask() if self.record is not None:
-                return self, [Send(word.voter, Known(self.name, self.record.slot))]
+                return self, [Send(message.voter, Known(self.name, self.record.slot))]
             case Known():
-                return self.on_known(word)
+                return self.on_known(message)
         return self, []
 
     def begin(self) -> list[Keep | Send]:
-        """What to do at the start."""
+        """Actions at the start: a voter without a record asks the others for their latest slots."""
         if self.record is not None:
             return []
         return [Send(voter, Ask(self.name)) for voter in self.voters if voter != self.name]
@@ -437,14 +479,17 @@
 def started(
     name: str, voters: tuple[str, ...], record: Record | None, lease_us: int, now: int, fresh: bool
 ) -> Voter:
-    """A voter that starts with what its disk holds. `fresh`: its fleet is just being founded, and no lease is
-    out."""
-    blind = now if fresh else now + int(lease_us * (1 + DRIFT)) + 1
-    return Voter(name, voters, record, lease_us, blind)
+    """Create a voter from the record on its disk.
+
+    `fresh` says that its fleet is being created, so no lease can be running. Otherwise it grants none for one
+    lease, since it does not know which it granted before.
+    """
+    no_grants_until_us = now if fresh else now + int(lease_us * (1 + MAX_CLOCK_DRIFT)) + 1
+    return Voter(name, voters, record, lease_us, no_grants_until_us)
 
 
 class Proposer(NamedTuple):
-    """One attempt to have a value chosen in a slot; another one takes a higher round."""
+    """One round of proposing a value in a slot; `again` starts the next round."""
 
     name: str
     voters: tuple[str, ...]
@@ -453,113 +498,126 @@
     ballot: Ballot
     promises: tuple[tuple[str, Ballot, Value | None], ...] = ()
     accepts: frozenset[str] = frozenset()
-    proposed: Value | None = None  # what it had to propose: its own, or one that may be chosen already
-    outcome: Value | None = None
+    proposed: Value | None = None  # sent in phase 2: its own value, or one that may be chosen already
+    outcome: Value | None = None  # the chosen value, once known
 
     @property
     def majority(self) -> int:
+        """The number of voters that form a quorum."""
         return len(self.voters) // 2 + 1
 
     def begin(self) -> list[Send]:
+        """The messages of phase 1, to all voters."""
         return [Send(voter, Prepare(self.slot, self.ballot)) for voter in self.voters]
 
-    def still(self) -> list[Send]:
-        """What is under way, once more, for those that may not have heard it: a slow disk, a lost word."""
+    def resend(self) -> list[Send]:
+        """Repeat the messages of the current phase, for voters with a slow disk or a lost message."""
         if self.proposed is None:
             return self.begin()
         return [Send(voter, Accept(self.slot, self.ballot, self.proposed)) for voter in self.voters]
 
     def again(self, above: Ballot) -> tuple[Proposer, list[Send]]:
-        """With a higher round, after a rejection or a silence."""
+        """Start a round higher than `above`, after a rejection or a timeout."""
         fresh = Proposer(
             self.name, self.voters, self.slot, self.value,
             (max(above[0], self.ballot[0]) + 1, self.name), outcome=self.outcome,
         )  # fmt: skip
         return fresh, [] if self.outcome is not None else fresh.begin()
 
-    def on_promise(self, word: Promise) -> tuple[Proposer, list[Send]]:
-        if word.slot != self.slot or word.ballot != self.ballot or self.proposed is not None:
+    def on_promise(self, message: Promise) -> tuple[Proposer, list[Send]]:
+        """Count a promise; at a majority, start phase 2."""
+        if message.slot != self.slot or message.ballot != self.ballot or self.proposed is not None:
             return self, []
-        if any(voter == word.voter for voter, _, _ in self.promises):
+        if any(voter == message.voter for voter, _, _ in self.promises):
             return self, []
-        promises = (*self.promises, (word.voter, word.accepted, word.value))
+        promises = (*self.promises, (message.voter, message.accepted, message.value))
         if len(promises) < self.majority:
             return self._replace(promises=promises), []
         _, ballot, value = max(promises, key=lambda item: item[1])
-        # What may have been chosen is proposed again, not one's own.
-        chosen = value if ballot != NONE and value is not None else self.value
+        # The accepted value with the highest ballot may already be chosen: it replaces the proposer's own.
+        chosen = value if ballot != NO_BALLOT and value is not None else self.value
         sends = [Send(voter, Accept(self.slot, self.ballot, chosen)) for voter in self.voters]
         return self._replace(promises=promises, proposed=chosen), sends
 
-    def on_accepted(self, word: Accepted) -> tuple[Proposer, list[Send]]:
-        if word.slot != self.slot or word.ballot != self.ballot or self.outcome is not None:
+    def on_accepted(self, message: Accepted) -> tuple[Proposer, list[Send]]:
+        """Count an acceptance; at a majority the value is chosen, and the voters are informed."""
+        if message.slot != self.slot or message.ballot != self.ballot or self.outcome is not None:
             return self, []
-        accepts = self.accepts | {word.voter}
+        accepts = self.accepts | {message.voter}
         if len(accepts) < self.majority or self.proposed is None:
             return self._replace(accepts=accepts), []
-        told = [Send(voter, Chosen(self.slot, self.proposed)) for voter in self.voters]
-        return self._replace(accepts=accepts, outcome=self.proposed), told
+        sends = [Send(voter, Chosen(self.slot, self.proposed)) for voter in self.voters]
+        return self._replace(accepts=accepts, outcome=self.proposed), sends
 
-    def on_chosen(self, word: Chosen) -> Proposer:
-        if word.slot != self.slot or self.outcome is not None:
+    def on_chosen(self, message: Chosen) -> Proposer:
+        """Learn the value that another proposer's round has chosen in this slot."""
+        if message.slot != self.slot or self.outcome is not None:
             return self
-        return self._replace(outcome=word.value)
+        return self._replace(outcome=message.value)
 
-    def step(self, word: Word) -> tuple[Proposer, list[Send]]:
-        match word:
+    def step(self, message: Word) -> tuple[Proposer, list[Send]]:
+        """Handle one message; those that are not for a proposer are ignored."""
+        match message:
             case Promise():
-                return self.on_promise(word)
+                return self.on_promise(message)
             case Accepted():
-                return self.on_accepted(word)
+                return self.on_accepted(message)
             case Chosen():
-                return self.on_chosen(word), []
+                return self.on_chosen(message), []
         return self, []
 
 
 class Holder(NamedTuple):
-    """A member that serves by leases: which version it knows, and who has granted it that."""
+    """A member that serves under leases: the version that it knows, and the voters that have granted it."""
 
     name: str
     voters: tuple[str, ...]
     lease_us: int
     version: int = 0
     document: bytes = b""
-    grants: tuple[tuple[str, int], ...] = ()  # voter, and until when by this member's clock
+    grants: tuple[tuple[str, int], ...] = ()  # voter, expiry by this member's clock
 
     @property
     def majority(self) -> int:
+        """The number of voters that form a quorum."""
         return len(self.voters) // 2 + 1
 
     def serves(self, now: int) -> int | None:
-        """The version that a request may be decided by at this moment; None: by none. Ask at each decision: a
-        process that was stopped finds out only by looking."""
+        """The version that requests may be served under at this moment, or None.
+
+        Call it for each decision: a process that was suspended notices an expired lease only by checking.
+        """
         valid = sum(until > now for _, until in self.grants)
         return self.version if valid >= self.majority else None
 
-    def until_us(self) -> int:
-        """Until when it may serve if nobody renews; 0 if it may not."""
+    def lease_until_us(self) -> int:
+        """When its lease expires unless it is renewed, by its clock; 0 without a majority of grants."""
         ends = sorted((until for _, until in self.grants), reverse=True)
         return ends[self.majority - 1] if len(ends) >= self.majority else 0
 
     def renew(self, now: int) -> list[Send]:
-        """Call every third of a lease, and at the start."""
+        """Requests for the lease, to all voters; call at the start and several times per lease."""
         return [Send(voter, Renew(self.name, self.version, now)) for voter in self.voters]
 
-    def on_grant(self, word: Grant, now: int) -> Holder:
-        if word.version != self.version or word.voter not in self.voters or word.asked_us > now:
+    def on_grant(self, message: Grant, now: int) -> Holder:
+        """Record a voter's grant of the current version, counted from when it was asked for."""
+        if message.version != self.version or message.voter not in self.voters or message.asked_us > now:
             return self
-        until = word.asked_us + int(self.lease_us * (1 - DRIFT))
-        kept = {**dict(self.grants)}
-        kept[word.voter] = max(kept.get(word.voter, 0), until)
-        return self._replace(grants=tuple(sorted(kept.items())))
-
-    def on_current(self, word: Current) -> tuple[Holder, bool]:
-        """Take this version if it is a newer one, and serve by none until it is granted. Whether it was
-        newer: then call `released` as soon as nothing is under way by the one before. Versions in between
-        may be skipped: each says the whole policy."""
-        if word.slot <= self.version:
+        until = message.asked_us + int(self.lease_us * (1 - MAX_CLOCK_DRIFT))
+        grants = {**dict(self.grants)}
+        grants[message.voter] = max(grants.get(message.voter, 0), until)
+        return self._replace(grants=tuple(sorted(grants.items())))
+
+    def on_current(self, message: Current) -> tuple[Holder, bool]:
+        """Switch to this version if it is newer, and serve none until it is granted.
+
+        Also returns whether it was newer: then call `released` as soon as no request is in flight under the
+        previous version. Versions in between may be skipped, since each has the whole policy.
+        """
+        if message.slot <= self.version:
             return self, False
-        return self._replace(version=word.slot, document=word.policy, grants=()), True
+        return self._replace(version=message.slot, document=message.policy, grants=()), True
 
     def released(self) -> list[Send]:
+        """Releases of all older versions, to all voters."""
         return [Send(voter, Release(self.name, self.version)) for voter in self.voters]
