--- a/sorrelfront/cli/policy.py
+++ b/sorrelfront/cli/policy.py
@@ -25,7 +25,7 @@
     "--wait", type=click.FloatRange(0.1, 3_600), default=60.0, show_default=True, metavar="SECONDS",
     help="For the change to come to its end.",
 )  # fmt: skip
-LOOK_S = 0.1  # between two looks at how far a change has come
+POLL_S = 0.1  # between two queries of a change's progress
 
 
 @click.group()
@@ -45,9 +45,10 @@
     remedy = "Call it at another member of the fleet, or start the daemon of this FILE."
 
 
-def _ask(daemon: Document, **words: Any) -> dict[str, Any]:
+def _ask(daemon: Document, **command: Any) -> dict[str, Any]:
+    """Send a policy command to the daemon; raises Unreached without a valid answer."""
     try:
-        answer = asyncio.run(control.ask(daemon.control, {"op": "policy", **words}))
+        answer = asyncio.run(control.ask(daemon.control, {"op": "policy", **command}))
     except control.Unavailable as fault:
         raise Unreached(f"the daemon does not answer: {fault}") from None
     if not answer.get("ok"):
@@ -55,28 +56,28 @@
     return answer
 
 
-def _known(document: Document, history: bool = False) -> dict[str, Any]:
+def _query(document: Document, history: bool = False) -> dict[str, Any]:
     try:
         return _ask(document, what="look", history=history)
     except Unreached as fault:
         raise click.ClickException(fault.told()) from None
 
 
-def _latest(told: dict[str, Any]) -> dict[str, Any] | None:
-    """What the voter that knows most knows."""
-    known = [item for item in told["shown"] if item["slot"] >= 0]
+def _latest(answer: dict[str, Any]) -> dict[str, Any] | None:
+    """The state of the most advanced voter that answered; None without one."""
+    known = [item for item in answer["shown"] if item["slot"] >= 0]
     return max(known, key=lambda item: int(item["slot"]), default=None)
 
 
-def _quorum(told: dict[str, Any]) -> bool:
-    return len([item for item in told["shown"] if item["slot"] >= 0]) > len(told["voters"]) // 2
+def _has_quorum(answer: dict[str, Any]) -> bool:
+    return len([item for item in answer["shown"] if item["slot"] >= 0]) > len(answer["voters"]) // 2
 
 
-def _in_force(told: dict[str, Any]) -> tuple[policies.Policy, policies.Envelope] | None:
-    """The newest policy that a history has."""
-    for item in reversed(told["history"]):
+def _policy_in_force(answer: dict[str, Any]) -> tuple[policies.Policy, policies.Envelope] | None:
+    """The newest policy in the history; void slots are skipped."""
+    for item in reversed(answer["history"]):
         if not item["void"]:
-            return policies.unseal(item["document"].encode())
+            return policies.decode_envelope(item["document"].encode())
     return None
 
 
@@ -89,24 +90,24 @@
         raise SystemExit(1) from None
 
 
-def _state(told: dict[str, Any]) -> dict[str, Any]:
-    """What the voters together say: of the latest change, and of each member."""
-    latest = _latest(told)
+def _summary(answer: dict[str, Any]) -> dict[str, Any]:
+    """Combine the voters' answers: the state of the latest change, and each member's version and lease."""
+    latest = _latest(answer)
     members: dict[str, dict[str, Any]] = {}
-    for item in told["shown"]:
+    for item in answer["shown"]:
         for name, version, left in item["leases"]:
             before = members.get(name)
             if before is None or version > before["version"]:
                 members[name] = {"name": name, "version": version, "lease_left_s": round(left / 1e6, 3)}
-    silent = sorted(set(told["voters"]) - {item["voter"] for item in told["shown"]})
-    words = {"voters": told["voters"], "silent": silent}
+    silent = sorted(set(answer["voters"]) - {item["voter"] for item in answer["shown"]})
+    voters = {"voters": answer["voters"], "silent": silent}
     rows = [members[name] for name in sorted(members)]
     if latest is None:
-        why = "this is no fleet yet: `policy FILE found`" if told["shown"] else "no voter answers"
-        return {**words, "version": 0, "digest": "", "change": "", "state": "not in force", "quorum": False,
+        why = "this is no fleet yet: `policy FILE found`" if answer["shown"] else "no voter answers"
+        return {**voters, "version": 0, "digest": "", "change": "", "state": "not in force", "quorum": False,
                 "why": why, "members": rows}  # fmt: skip
     older = [row["name"] for row in rows if row["version"] < latest["slot"]]
-    voted = [item["under_way"] for item in told["shown"] if item["slot"] == latest["slot"]]
+    voted = [item["under_way"] for item in answer["shown"] if item["slot"] == latest["slot"]]
     under_way = next(filter(None, voted), "")
     state, why = "in force", ""
     if under_way:
@@ -115,10 +116,10 @@
         state, why = "under way", f"older leases are out: {', '.join(older)}"
     elif not latest["slot"]:
         state, why = "not in force", "no policy was decided on yet: each host goes by its own file"
-    if not _quorum(told):
+    if not _has_quorum(answer):
         why = "; ".join(filter(None, [why, "too few voters answer: leases end, and nothing can be changed"]))
-    return {**words, "version": latest["slot"], "digest": latest["digest"], "change": latest["change"],
-            "state": state, "quorum": _quorum(told), "why": why, "members": rows}  # fmt: skip
+    return {**voters, "version": latest["slot"], "digest": latest["digest"], "change": latest["change"],
+            "state": state, "quorum": _has_quorum(answer), "why": why, "members": rows}  # fmt: skip
 
 
 @policy.command()
@@ -126,16 +127,16 @@
 @click.pass_obj
 def status(document: Document, as_json: bool) -> None:
     """Say what is in force, and by which version each member serves."""
-    told = _state(_known(document))
+    answer = _summary(_query(document))
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(answer))
         return
-    click.echo(f"version {told['version']} ({told['digest'] or 'no policy'}): {told['state']}")
-    if told["why"]:
-        click.echo(told["why"])
-    if told["silent"]:
-        click.echo(f"voters that do not answer: {', '.join(told['silent'])}")
-    for row in told["members"]:
+    click.echo(f"version {answer['version']} ({answer['digest'] or 'no policy'}): {answer['state']}")
+    if answer["why"]:
+        click.echo(answer["why"])
+    if answer["silent"]:
+        click.echo(f"voters that do not answer: {', '.join(answer['silent'])}")
+    for row in answer["members"]:
         click.echo(f"  {row['name']}  version {row['version']}, lease for {row['lease_left_s']:.1f} s")
 
 
@@ -144,9 +145,9 @@
 @click.pass_obj
 def show(document: Document, as_json: bool) -> None:
     """Print the policy in force; before the first, what FILE says."""
-    told = _known(document, history=True)
-    latest, found = _latest(told), _in_force(told)
-    made = found[0] if found is not None else policies.of(document)
+    answer = _query(document, history=True)
+    latest, found = _latest(answer), _policy_in_force(answer)
+    made = found[0] if found is not None else policies.from_document(document)
     if as_json:
         version = latest["slot"] if latest else 0
         click.echo(json.dumps({"version": version, "digest": made.digest, "policy": made.table()}))
@@ -162,11 +163,11 @@
     """Check POLICY, and say what it would change."""
     made = _read(policy)
     try:
-        found = _in_force(_ask(document, what="look", history=True))
+        found = _policy_in_force(_ask(document, what="look", history=True))
         base = "the policy in force" if found is not None else "the file"
     except Unreached:
         found, base = None, "the file (no daemon answers)"
-    old = found[0] if found is not None else policies.of(document)
+    old = found[0] if found is not None else policies.from_document(document)
     lines = policies.differences(old, made)
     if as_json:
         click.echo(json.dumps({"ok": True, "digest": made.digest, "against": base, "differences": lines}))
@@ -187,24 +188,29 @@
 def propose(document: Document, policy: Path, change: str | None, wait: float, as_json: bool) -> None:
     """Have the fleet go by POLICY, everywhere or nowhere.
 
-    Exit code 0 in force, 1 not in force, 3 under way."""
+    Exit code 0 in force, 1 not in force, 3 under way.
+    """
     made = _read(policy)
-    told = _known(document, history=True)
-    latest = _latest(told)
+    answer = _query(document, history=True)
+    latest = _latest(answer)
     if latest is None:
-        raise click.ClickException(_state(told)["why"])
-    for item in told["history"]:
+        raise click.ClickException(_summary(answer)["why"])
+    for item in answer["history"]:
         if change is not None and item["change"] == change:
-            later = [other for other in told["history"] if other["version"] > item["version"]]
+            later = [other for other in answer["history"] if other["version"] > item["version"]]
             last = all(other["void"] for other in later)
             why = "it was decided on before" if last else "it was, and another has come after it"
-            _end(as_json, change, "in force" if last else "not in force", int(item["version"]), why, {})
-    found = _in_force(told)
+            _report_and_exit(
+                as_json, change, "in force" if last else "not in force", int(item["version"]), why, {}
+            )
+    found = _policy_in_force(answer)
     if change is None and found is not None and found[0].digest == made.digest:
-        _end(as_json, str(latest["change"]), "in force", int(latest["slot"]), "it is the policy there is", {})
+        _report_and_exit(
+            as_json, str(latest["change"]), "in force", int(latest["slot"]), "it is the policy there is", {}
+        )
     name = change or f"{made.digest}-{latest['slot'] + 1}"
-    sealed = policies.seal(made, getpass.getuser(), time.time(), str(policy))
-    _see_through(document, name, sealed.decode(), False, int(latest["slot"]), wait, as_json)
+    encoded = policies.seal(made, getpass.getuser(), time.time(), str(policy))
+    _propose_and_wait(document, name, encoded.decode(), False, int(latest["slot"]), wait, as_json)
 
 
 @policy.command()
@@ -213,46 +219,52 @@
 @click.pass_obj
 def abandon(document: Document, wait: float, as_json: bool) -> None:
     """Give up the change that is under way, for good; or learn that it was chosen."""
-    latest = _latest(_known(document))
+    latest = _latest(_query(document))
     if latest is None:
         raise click.ClickException("no voter answers, or this is no fleet yet")
     name = f"given-up-{latest['slot'] + 1}-{secrets.token_hex(4)}"
-    _see_through(document, name, "", True, int(latest["slot"]), wait, as_json)
+    _propose_and_wait(document, name, "", True, int(latest["slot"]), wait, as_json)
 
 
-def _see_through(
-    document: Document, change: str, sealed: str, void: bool, onto: int, wait: float, as_json: bool
+def _propose_and_wait(
+    document: Document, change: str, encoded: str, void: bool, base_version: int, wait: float, as_json: bool
 ) -> None:
-    """Propose it at one instance, and look there until it is at its end."""
+    """Propose the change at one instance, poll that instance until the change ends, and exit."""
     until = time.monotonic() + wait
     try:
-        told = _ask(document, what="propose", change=change, document=sealed, void=void, onto=onto)
-        by = told["instance"]
-        if not told["begun"]:
-            other = told["outcome"]["change"]
-            why = f"another change, {other}, is under way at {told['self']}"
-            _end(as_json, change, "not in force", 0, why, {})
-        while told["outcome"] is not None and told["outcome"]["stage"] != "done":
+        answer = _ask(document, what="propose", change=change, document=encoded, void=void, onto=base_version)
+        proposer = answer["instance"]
+        if not answer["begun"]:
+            other = answer["outcome"]["change"]
+            why = f"another change, {other}, is under way at {answer['self']}"
+            _report_and_exit(as_json, change, "not in force", 0, why, {})
+        while answer["outcome"] is not None and answer["outcome"]["stage"] != "done":
             if time.monotonic() > until:
-                waits = ", ".join(told["outcome"]["waits"])
-                _end(as_json, change, "under way", 0, f"waiting for {waits or 'the voters'}", told["outcome"])
-            time.sleep(LOOK_S)
-            told = _ask(document, what="outcome", instance=by)
+                waits = ", ".join(answer["outcome"]["waits"])
+                _report_and_exit(
+                    as_json, change, "under way", 0, f"waiting for {waits or 'the voters'}", answer["outcome"]
+                )
+            time.sleep(POLL_S)
+            answer = _ask(document, what="outcome", instance=proposer)
     except Unreached as fault:
-        # Risk: whoever proposed has died; what it had proposed may still be chosen.
-        _end(as_json, change, "under way", 0, f"{fault}; run it again, or `policy FILE status`", {})
-    outcome = told["outcome"]
+        # The proposer may have died; what it had proposed may still be chosen.
+        _report_and_exit(
+            as_json, change, "under way", 0, f"{fault}; run it again, or `policy FILE status`", {}
+        )
+    outcome = answer["outcome"]
     if outcome is None or outcome["change"] != change:
-        _end(as_json, change, "under way", 0, "whoever proposed it has started again; run it again", {})
+        _report_and_exit(
+            as_json, change, "under way", 0, "whoever proposed it has started again; run it again", {}
+        )
     state = outcome["state"]
     if void and state == "in force":
-        _end(
+        _report_and_exit(
             as_json, change, "not in force", outcome["version"], "what was under way is given up", outcome, 0
         )
-    _end(as_json, change, state, outcome["version"], outcome["why"], outcome)
+    _report_and_exit(as_json, change, state, outcome["version"], outcome["why"], outcome)
 
 
-def _end(
+def _report_and_exit(
     as_json: bool,
     change: str,
     state: str,
@@ -261,6 +273,7 @@
     outcome: dict[str, Any],
     code: int | None = None,
 ) -> None:
+    """Print the outcome of a change, and exit with the code of its state unless one is given."""
     answers = outcome.get("answers", {})
     if as_json:
         waits = outcome.get("waits", ())
@@ -279,21 +292,21 @@
 @click.pass_obj
 def history(document: Document, as_json: bool) -> None:
     """Print what was decided: when, by whom, and what it changed."""
-    before = policies.of(document)
-    told = []
-    for item in _known(document, history=True)["history"]:
+    before = policies.from_document(document)
+    rows = []
+    for item in _query(document, history=True)["history"]:
         version = item["version"]
         row: dict[str, Any] = {"version": version, "change": item["change"], "void": item["void"]}
         if not item["void"]:
-            made, envelope = policies.unseal(item["document"].encode())
+            made, envelope = policies.decode_envelope(item["document"].encode())
             row |= {"digest": made.digest, "who": envelope.who, "at": envelope.at, "file": envelope.file}
             row["differences"] = policies.differences(before, made)
             before = made
-        told.append(row)
+        rows.append(row)
     if as_json:
-        click.echo(json.dumps({"history": told}))
+        click.echo(json.dumps({"history": rows}))
         return
-    for row in told:
+    for row in rows:
         if row["void"]:
             click.echo(f"{row['version']}  {row['change']}: nothing changed")
             continue
@@ -314,18 +327,18 @@
 @click.pass_obj
 def found(document: Document, force: Path | None, as_json: bool) -> None:
     """Make the voters those of a new fleet. Once, when all of them run."""
-    words: dict[str, Any] = {"what": "found"}
+    command: dict[str, Any] = {"what": "found"}
     if force is not None:
-        sealed = policies.seal(_read(force), getpass.getuser(), time.time(), str(force))
-        words |= {"document": sealed.decode(), "change": f"forced-{secrets.token_hex(4)}"}
+        encoded = policies.seal(_read(force), getpass.getuser(), time.time(), str(force))
+        command |= {"document": encoded.decode(), "change": f"forced-{secrets.token_hex(4)}"}
     try:
-        told = _ask(document, **words)
+        answer = _ask(document, **command)
     except Unreached as fault:
         raise click.ClickException(fault.told()) from None
-    there = sorted(item["voter"] for item in told["shown"] if item["slot"] >= 0)
-    ok = not told["fault"] and len(there) > len(told["voters"]) // 2
+    initialized = sorted(item["voter"] for item in answer["shown"] if item["slot"] >= 0)
+    ok = not answer["fault"] and len(initialized) > len(answer["voters"]) // 2
     if as_json:
-        click.echo(json.dumps({"ok": ok, "voters": there, "fault": told["fault"]}))
+        click.echo(json.dumps({"ok": ok, "voters": initialized, "fault": answer["fault"]}))
     else:
-        click.echo(told["fault"] or f"voters of this fleet: {', '.join(there)}")
+        click.echo(answer["fault"] or f"voters of this fleet: {', '.join(initialized)}")
     raise SystemExit(0 if ok else 1)
--- a/sorrelfront/daemon/gate.py
+++ b/sorrelfront/daemon/gate.py
@@ -1,8 +1,9 @@
-"""An agent that takes a request only by a policy that the fleet has granted, and sees it through by that one.
+"""An agent with an admission filter: it takes requests only under a lease on the fleet's policy.
 
-Each request bears a mark: the version that it was taken by, and whether that was inside the promise. A
-further attempt is made only while that version may still be served by. What cannot be decided now, since a
-change is taking hold, waits for a moment; what may not be decided at all is refused at once: nothing ran."""
+Each request is admitted under one version, and finishes under that version. An attempt is started only while
+that version may still be served. A request that arrives while the member waits for a lease is queued briefly;
+one that may not be admitted at all is refused at once, before anything ran.
+"""
 
 from __future__ import annotations
 
@@ -14,32 +15,32 @@
 from sorrelfront.fleet.council import Council, Standing
 from sorrelfront.messages import Answer, Call, Ended, Failed, Final, Refused
 
-WAITING_MOST = 512  # requests that wait for a change to take hold
-WAIT_S = 0.5  # for it; one that has not come then is refused, and may come again
-COME_BACK_US = 500_000  # about when it is worth another try: leases are renewed more often
-HEADER = b"X-Sorrelfront-Policy"
+MAX_WAITING = 512  # requests that wait for a lease
+MAX_WAIT_S = 0.5  # how long a request waits for a lease; then it is refused, and the client may retry
+RETRY_AFTER_US = 500_000  # when a retry may succeed: leases are renewed more often than that
+POLICY_HEADER = b"X-Sorrelfront-Policy"
 
 
-class Mark(NamedTuple):
-    """How a request was taken. `inside`: of what is promised."""
+class Admission(NamedTuple):
+    """The version that a request was admitted under, and whether under a lease or while cut off."""
 
     version: int
-    inside: bool
+    leased: bool
 
 
 @dataclass(slots=True)
 class Counts:
-    """Requests by how they stood with the promise."""
+    """Requests by how they were admitted."""
 
-    inside: int = 0
-    outside: int = 0  # taken while cut off, by the policy that was there
-    waited: int = 0
-    refused: int = 0  # for want of a lease
-    ended: int = 0  # not tried again, since their version was not served by any more
+    inside: int = 0  # under a lease, or before the fleet has a policy
+    outside: int = 0  # while cut off, under the last known policy
+    waited: int = 0  # queued until a lease was granted
+    refused: int = 0  # for lack of a lease
+    ended: int = 0  # ended before an attempt, since their version may not be served any more
 
 
 class GatedAgent(Agent):
-    """With `council` set it goes by its word; without, it is an agent like any other."""
+    """An agent that admits requests by the lease of `council`; without one, it admits all."""
 
     council: Council | None = None
     isolation: dict[str, str]
@@ -49,51 +50,52 @@
         super().__init__(*told)
         self.isolation = {}
         self.gate = Counts()
-        self._marks: dict[int, Mark] = {}
-        self._waiting: dict[int, tuple[Held, int]] = {}  # with when its time is up, on the agent's clock
+        self._admissions: dict[int, Admission] = {}
+        self._waiting: dict[int, tuple[Held, int]] = {}  # with its deadline by the agent's clock
 
-    # Taking
+    # Admission
 
-    def _mark(self, cls: str) -> Mark | Standing:
+    def _admit(self, cls: str) -> Admission | Standing:
         council = self.council
         assert council is not None
         standing = council.standing()
         if standing is Standing.LEASED:
-            return Mark(council.taken, True)
+            return Admission(council.applied_version, True)
         if standing is Standing.FREE:
-            return Mark(0, True)
+            return Admission(0, True)
         if standing is Standing.CUT_OFF and self.isolation.get(cls, "go-on") == "go-on":
-            return Mark(council.taken, False)
+            return Admission(council.applied_version, False)
         return standing
 
     def take(self, call: Call) -> Held:
+        """Admit a request, queue it until a lease is granted, or refuse it."""
         if self.council is None:
             return super().take(call)
-        mark = self._mark(call.class_name)
-        if isinstance(mark, Mark):
+        admission = self._admit(call.class_name)
+        if isinstance(admission, Admission):
             number = self._count + 1
-            self._marks[number] = mark  # before it is decided: its first attempt asks for it
+            self._admissions[number] = admission  # before it is decided: the first attempt looks it up
             held = super().take(call)
             if number not in self._held:
-                self._marks.pop(number, None)
-            self._counted(mark)
+                self._admissions.pop(number, None)
+            self._count_admission(admission)
             return held
-        if mark is Standing.WAIT and call.upload is None and len(self._waiting) < WAITING_MOST:
+        if admission is Standing.WAIT and call.upload is None and len(self._waiting) < MAX_WAITING:
             return self._wait(call)
-        return self._turned_away(call)
+        return self._refuse(call)
 
-    def _counted(self, mark: Mark) -> None:
-        if mark.inside:
+    def _count_admission(self, admission: Admission) -> None:
+        if admission.leased:
             self.gate.inside += 1
         else:
             self.gate.outside += 1
 
-    def _turned_away(self, call: Call) -> Held:
+    def _refuse(self, call: Call) -> Held:
         self._count += 1
         self.gate.refused += 1
         held = Held(self._count, call, self._loop.create_future())
         self.tallies[call.class_name].refused += 1
-        held.answer.set_result(Refused(COME_BACK_US))
+        held.answer.set_result(Refused(RETRY_AFTER_US))
         return held
 
     def _wait(self, call: Call) -> Held:
@@ -105,83 +107,87 @@
         left_us = call.budget_us - DEADLINE_MARGIN_US
         held.overdue = self._loop.call_later((left_us + OVERDUE_US) / 1e6, self._overdue, held)
         self._waiting[held.id] = (held, self.now() + left_us)
-        self._loop.call_later(min(WAIT_S, max(0.0, left_us / 2e6)), self._waited, held)
+        self._loop.call_later(min(MAX_WAIT_S, max(0.0, left_us / 2e6)), self._on_wait_timeout, held)
         return held
 
-    def _waited(self, held: Held) -> None:
-        """Long enough."""
+    def _on_wait_timeout(self, held: Held) -> None:
+        """Decide a request that has waited for as long as it may."""
         waiting = self._waiting.pop(held.id, None)
         if waiting is not None:
-            self._decide_late(*waiting)
+            self._decide_queued(*waiting)
 
     def opened(self) -> None:
-        """The fleet has granted a version: decide what waits for one."""
+        """A lease was granted: decide the requests that wait for one."""
         waiting, self._waiting = self._waiting, {}
         for held, until in waiting.values():
-            self._decide_late(held, until)
+            self._decide_queued(held, until)
 
-    def _decide_late(self, held: Held, until: int) -> None:
+    def _decide_queued(self, held: Held, until: int) -> None:
         if held.id not in self._held:
             return
         call = held.call
-        mark = self._mark(call.class_name)
-        if not isinstance(mark, Mark):
+        admission = self._admit(call.class_name)
+        if not isinstance(admission, Admission):
             self.gate.refused += 1
-            self._finish(held, Refused(COME_BACK_US))
+            self._finish(held, Refused(RETRY_AFTER_US))
             return
-        self._marks[held.id] = mark
-        self._counted(mark)
+        self._admissions[held.id] = admission
+        self._count_admission(admission)
         event = api.Request(
             held.id, call.class_name, until, call.cost_hint_us, call.tenant, call.key, call.is_retry, False
         )
         self._tell(self.balancer.on_request, event, held)
 
-    # Going on
+    # Attempts
 
     def _send(self, action: api.Send) -> None:
         held = self._held.get(action.request_id)
-        if self.council is None or held is None or self._may_go_on(held):
+        if self.council is None or held is None or self._may_attempt(held):
             super()._send(action)
             return
         self.gate.ended += 1
         key = (held.id, held.attempts)
-        # Nothing was sent yet: a refusal that promises so. Else it may have run.
-        self._finish(held, Failed() if held.attempts else Refused(COME_BACK_US))
-        # The module counts the attempt that it has just ordered.
+        # Before the first attempt nothing was sent, so a refusal is safe to retry. Later it may have run.
+        self._finish(held, Failed() if held.attempts else Refused(RETRY_AFTER_US))
+        # The balancer counts the attempt that it has just ordered, so its end has to be reported.
         self._loop.call_soon(self._ended, held, key, Ended(api.Outcome.CANCELLED), 0)
 
-    def _may_go_on(self, held: Held) -> bool:
-        council, mark = self.council, self._marks.get(held.id)
-        if council is None or mark is None:
+    def _may_attempt(self, held: Held) -> bool:
+        council, admission = self.council, self._admissions.get(held.id)
+        if council is None or admission is None:
             return True
         if council.free:
-            return mark.version == 0
-        if mark.inside and council.may_go_on(mark.version):
+            return admission.version == 0
+        if admission.leased and council.may_go_on(admission.version):
             return True
-        goes_on = self.isolation.get(held.call.class_name, "go-on") == "go-on"
-        if goes_on and mark.version == council.taken and council.standing() is Standing.CUT_OFF:
-            self.gate.outside += mark.inside
-            self._marks[held.id] = mark._replace(inside=False)
+        serves_cut_off = self.isolation.get(held.call.class_name, "go-on") == "go-on"
+        if (
+            serves_cut_off
+            and admission.version == council.applied_version
+            and council.standing() is Standing.CUT_OFF
+        ):
+            self.gate.outside += admission.leased
+            self._admissions[held.id] = admission._replace(leased=False)
             return True
         return False
 
     @property
     def finished(self) -> bool:
-        """Nothing is under way by the version before."""
-        return not self._marks
+        """Whether no admitted request is in flight."""
+        return not self._admissions
 
-    # Ending
+    # End
 
     def _end(self, held: Held) -> bool:
         self._waiting.pop(held.id, None)
         ended = super()._end(held)
         if ended:
-            self._marks.pop(held.id, None)
+            self._admissions.pop(held.id, None)
         return ended
 
     def _finish(self, held: Held, answer: Final) -> bool:
-        mark = self._marks.get(held.id)
-        if self.header and mark is not None and isinstance(answer, Answer):
-            word = b"%d" % mark.version + (b"" if mark.inside else b" outside")
-            answer.headers.append((HEADER, word))
+        admission = self._admissions.get(held.id)
+        if self.header and admission is not None and isinstance(answer, Answer):
+            value = b"%d" % admission.version + (b"" if admission.leased else b" outside")
+            answer.headers.append((POLICY_HEADER, value))
         return super()._finish(held, answer)
--- a/sorrelfront/daemon/policies.py
+++ b/sorrelfront/daemon/policies.py
@@ -1,8 +1,9 @@
-"""A policy: the part of the configuration that says how agents decide, one document for a whole fleet.
+"""Policies: the part of the configuration that governs how agents decide, one document for a whole fleet.
 
-As a file it is TOML with the tables [classes.NAME], [limits] and [rules] of the daemon's file, and `out`, ids
-of servers that are out by hand. As it is voted on it is JSON with every key, in one order, so that two that
-mean the same are the same bytes but for who proposed them and when."""
+A policy's file is TOML with the tables [classes.NAME], [limits] and [rules] of the daemon's file, and `out`,
+the ids of servers that an operator has disabled. The document that is voted on is JSON with every key, in a
+fixed order, so that equivalent policies have the same bytes except for who proposed them and when.
+"""
 
 from __future__ import annotations
 
@@ -36,31 +37,33 @@
 
 log = logging.getLogger("sorrelfront.daemon")
 
-TOLD_MOST = 8  # differences in one line of the log
-CHANGE_MOST = 96  # characters of a change's id
-TOP = ("classes", "limits", "rules", "out")
-OUT_MOST = 1_000  # servers out by hand
-WHO_MOST = 128
+MAX_LOGGED_DIFFERENCES = 8  # differences in one log line
+MAX_CHANGE_ID_LENGTH = 96  # characters
+TOP_LEVEL_KEYS = ("classes", "limits", "rules", "out")
+MAX_DISABLED_SERVERS = 1_000  # servers disabled by an operator
+MAX_WHO_LENGTH = 128  # characters
 
 
 class Out(msgspec.Struct, frozen=True):
+    """The ids of servers that an operator has disabled; used to validate `out`."""
+
     servers: Annotated[
-        list[Annotated[str, Meta(min_length=1, max_length=128)]], Meta(max_length=OUT_MOST)
+        list[Annotated[str, Meta(min_length=1, max_length=128)]], Meta(max_length=MAX_DISABLED_SERVERS)
     ] = msgspec.field(default_factory=list)
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """What is voted on."""
+    """The document that is voted on: a policy, and who proposed it when and from which file."""
 
     policy: dict[str, Any]
-    who: Annotated[str, Meta(max_length=WHO_MOST)] = ""
-    at: float = 0.0  # Unix time, as the proposer's clock had it: for people alone
+    who: Annotated[str, Meta(max_length=MAX_WHO_LENGTH)] = ""
+    at: float = 0.0  # Unix time by the proposer's clock, for display only
     file: Annotated[str, Meta(max_length=256)] = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """A good policy, with defaults filled in."""
+    """A valid policy, with defaults filled in."""
 
     classes: dict[str, dict[str, Any]]
     limits: dict[str, Any]
@@ -68,34 +71,37 @@
     out: tuple[str, ...] = field(default=())
 
     def table(self) -> dict[str, Any]:
+        """The policy as plain data, as its file has it."""
         return {"classes": self.classes, "limits": self.limits, "rules": self.rules, "out": [*self.out]}
 
     def encoded(self) -> bytes:
+        """The policy as JSON with sorted keys; equivalent policies have the same bytes."""
         return msgspec.json.encode(self.table(), order="sorted")
 
     @property
     def digest(self) -> str:
-        """The same for policies that mean the same, whoever proposed them."""
+        """The digest of the policy, equal for equivalent policies whoever proposed them."""
         return digest_of(self.encoded())
 
     @property
     def isolation(self) -> dict[str, str]:
+        """For each class, whether its requests go on or are refused while the member is cut off."""
         return {name: str(cls["on_isolation"]) for name, cls in self.classes.items()}
 
 
-def of(document: Document) -> Policy:
-    """The policy that a daemon's own file says."""
+def from_document(document: Document) -> Policy:
+    """Return the policy that a daemon's own file contains."""
     return Policy(document.classes, document.limits, document.rules)
 
 
 def check(top: Any, path: Path) -> Policy:
-    """Raises BadDocument, with every fault."""
+    """Validate a policy's table. Raises BadDocument with every fault."""
     checker = Checker()
     if not isinstance(top, dict):
         raise BadDocument(path, [Fault("", "", "is not a table")])
     for key in top:
-        if key not in TOP:
-            checker.unknown("", key, TOP)
+        if key not in TOP_LEVEL_KEYS:
+            checker.unknown("", key, TOP_LEVEL_KEYS)
     try:
         out = msgspec.convert({"servers": top.get("out", [])}, type=Out).servers
     except msgspec.ValidationError as fault:
@@ -116,7 +122,7 @@
 
 
 def read(path: Path) -> Policy:
-    """A policy's file. Raises BadDocument."""
+    """Read and validate a policy's file. Raises BadDocument."""
     try:
         with path.open("rb") as file:
             data = file.read(4 * POLICY_MOST + 1)
@@ -129,12 +135,15 @@
 
 
 def seal(policy: Policy, who: str, at: float, file: str) -> bytes:
-    """As it is voted on."""
-    return msgspec.json.encode(Envelope(policy.table(), who[:WHO_MOST], at, file[:256]), order="sorted")
+    """Encode the document that is voted on."""
+    return msgspec.json.encode(Envelope(policy.table(), who[:MAX_WHO_LENGTH], at, file[:256]), order="sorted")
+
 
+def decode_envelope(document: bytes) -> tuple[Policy, Envelope]:
+    """Decode and validate a document that was voted on.
 
-def unseal(document: bytes) -> tuple[Policy, Envelope]:
-    """Raises BadDocument: cut, or a key that this version of the program does not know."""
+    Raises BadDocument if it is damaged, or has a key that this version of the program does not know.
+    """
     place = Path("the policy")
     if len(document) > POLICY_MOST:
         raise BadDocument(place, [Fault("", "", "is too long")])
@@ -145,17 +154,17 @@
     return check(envelope.policy, place), envelope
 
 
-def laid_over(table: dict[str, Any], policy: Policy) -> dict[str, Any]:
-    """An instance's terms with this policy in place of what its host's file says."""
-    words = how_to_decide(policy.classes, policy.limits, policy.rules)
-    return {**table, "settings": {**table["settings"], **words}}
+def overlay(table: dict[str, Any], policy: Policy) -> dict[str, Any]:
+    """Return an instance's terms with this policy in place of its host's file."""
+    settings = how_to_decide(policy.classes, policy.limits, policy.rules)
+    return {**table, "settings": {**table["settings"], **settings}}
 
 
-def refusal(document: bytes, table: dict[str, Any]) -> str:
-    """Why an instance with these terms would not go by this policy; empty if it would."""
+def rejection_reason(document: bytes, table: dict[str, Any]) -> str:
+    """Return why an instance with these terms cannot apply this policy; empty if it can."""
     try:
-        policy, _ = unseal(document)
-        parse(laid_over(table, policy))
+        policy, _ = decode_envelope(document)
+        parse(overlay(table, policy))
     except BadDocument as bad:
         return "; ".join(str(fault) for fault in bad.faults)
     except BadConfig as bad:
@@ -164,81 +173,91 @@
 
 
 class Governed:
-    """What of one instance goes by the fleet's policy: its terms as its host's file has them, with the policy
-    in force laid over them."""
+    """One instance's terms: those of its host's file, overlaid with the fleet's policy in force."""
 
     def __init__(self, table: dict[str, Any], apply: Callable[[dict[str, Any], Policy | None], None]) -> None:
-        """`apply` has the instance go by these terms; it raises BadConfig if that cannot be."""
+        """Start with the terms of the host's file.
+
+        `apply` makes the instance use the given terms and policy; it raises BadConfig if it cannot.
+        """
         self.table = table
         self.policy: Policy | None = None
         self._apply = apply
 
     def terms(self, table: dict[str, Any]) -> dict[str, Any]:
-        """These terms of the host's file, as they hold."""
-        return table if self.policy is None else laid_over(table, self.policy)
+        """These terms of a host's file, overlaid with the policy in force."""
+        return table if self.policy is None else overlay(table, self.policy)
 
     def refusal(self, document: bytes) -> str:
-        return refusal(document, self.table)
+        """Return why this instance cannot apply a policy; empty if it can."""
+        return rejection_reason(document, self.table)
 
     def take(self, version: int, document: bytes) -> str:
-        """Go by this version from now on. What is wrong with it, if that cannot be."""
+        """Apply this version. Returns a fault if that is not possible, else an empty text."""
         try:
-            policy = unseal(document)[0] if document else None
-            self._apply(self.table if policy is None else laid_over(self.table, policy), policy)
+            policy = decode_envelope(document)[0] if document else None
+            self._apply(self.table if policy is None else overlay(self.table, policy), policy)
         except BadDocument as bad:
             return "; ".join(str(fault) for fault in bad.faults)
         except BadConfig as bad:
             return str(bad)
         if policy is not None and policy != self.policy:
-            self._tell(version, policy)
+            self._log_differences(version, policy)
         self.policy = policy
         return ""
 
-    def _tell(self, version: int, policy: Policy) -> None:
-        """What differs from this host's file, which may be an old one."""
+    def _log_differences(self, version: int, policy: Policy) -> None:
+        """Log how the policy differs from this host's file, which may be out of date."""
         try:
             lines = differences(check(self.table["fleet"]["policy"], Path("the file")), policy)
         except BadDocument as bad:
-            # Risk: a file that is good and longer than a policy may be would end this member's part.
-            lines = [f"the file could be no policy: {bad.faults[0]}"]
+            # A valid file may be longer than a policy may be; unhandled, that would stop the member's part.
+            lines = [f"the file is not a valid policy: {bad.faults[0]}"]
         if lines:
-            more = f" and {len(lines) - TOLD_MOST} more" if len(lines) > TOLD_MOST else ""
-            said = "; ".join(lines[:TOLD_MOST])
-            log.info("version %d is not what the file here says: %s%s", version, said, more)
+            more = (
+                f" and {len(lines) - MAX_LOGGED_DIFFERENCES} more"
+                if len(lines) > MAX_LOGGED_DIFFERENCES
+                else ""
+            )
+            shown = "; ".join(lines[:MAX_LOGGED_DIFFERENCES])
+            log.info("version %d is not what the file here says: %s%s", version, shown, more)
 
 
 async def answer(council: Council, message: dict[str, Any]) -> dict[str, Any]:
-    """What an instance says to a word of `sorrelfront policy`. Raises KeyError, TypeError and ValueError for
-    one that is none."""
-    told: dict[str, Any] = {"self": council.name, "voters": [*council.voters], "policy_ok": True}
+    """Handle a command of `sorrelfront policy` at an instance, and return its answer.
+
+    Raises KeyError, TypeError or ValueError for a malformed or unknown command.
+    """
+    reply: dict[str, Any] = {"self": council.name, "voters": [*council.voters], "policy_ok": True}
     match message["what"]:
         case "look":
-            shown = await council.look(bool(message.get("history")))
-            latest = max(shown.values(), key=lambda item: item.slot, default=None)
-            rows = _history(latest) if latest is not None else []
-            return told | {"shown": [_shown(item) for item in shown.values()], "history": rows}
+            states = await council.query_voters(bool(message.get("history")))
+            latest = max(states.values(), key=lambda item: item.slot, default=None)
+            rows = _history_rows(latest) if latest is not None else []
+            return reply | {"shown": [_state_table(item) for item in states.values()], "history": rows}
         case "propose":
             value = Value(str(message["change"]), str(message["document"]).encode(), bool(message["void"]))
-            if not 0 < len(value.change) <= CHANGE_MOST or len(value.document) > POLICY_MOST:
+            if not 0 < len(value.change) <= MAX_CHANGE_ID_LENGTH or len(value.document) > POLICY_MOST:
                 raise ValueError("a change that is too long")
             begun = council.propose(value, None if message["onto"] is None else int(message["onto"]))
-            return told | {"begun": begun, **_outcome(council)}
+            return reply | {"begun": begun, **_outcome_table(council)}
         case "outcome":
-            return told | _outcome(council)
+            return reply | _outcome_table(council)
         case "found":
             forced = message.get("document")
-            mark = None if forced is None else Value(str(message["change"]), str(forced).encode())
-            shown, fault = await council.found(mark)
-            return told | {"shown": [_shown(item) for item in shown.values()], "fault": fault}
+            initial = None if forced is None else Value(str(message["change"]), str(forced).encode())
+            states, fault = await council.found_fleet(initial)
+            return reply | {"shown": [_state_table(item) for item in states.values()], "fault": fault}
     raise ValueError("a word that is not known here")
 
 
-def _shown(item: Shown) -> dict[str, Any]:
+def _state_table(item: Shown) -> dict[str, Any]:
+    """A voter's state without its history, under the fields' own names."""
     return {key: value for key, value in item._asdict().items() if key != "history"}
 
 
-def _history(item: Shown) -> list[dict[str, Any]]:
-    """What the voter that knows most remembers, the oldest first."""
+def _history_rows(item: Shown) -> list[dict[str, Any]]:
+    """The chosen values in a voter's history, the oldest first."""
     first = item.slot - len(item.history) + 1
     return [
         {
@@ -251,35 +270,35 @@
     ]
 
 
-def _outcome(council: Council) -> dict[str, Any]:
-    proposed = council.proposed()
-    if proposed is None:
+def _outcome_table(council: Council) -> dict[str, Any]:
+    proposal = council.latest_proposal()
+    if proposal is None:
         return {"outcome": None}
-    change, outcome = proposed
-    words = {"change": change, "state": outcome.state.value, "stage": outcome.stage.value}
-    return {"outcome": {**outcome._asdict(), **words}}
+    change, outcome = proposal
+    texts = {"change": change, "state": outcome.state.value, "stage": outcome.stage.value}
+    return {"outcome": {**outcome._asdict(), **texts}}
 
 
 def differences(old: Policy, new: Policy) -> list[str]:
-    """What another policy changes, a line each."""
-    found = []
+    """Describe how one policy differs from another, one line per difference."""
+    lines = []
     for name in sorted(old.classes.keys() | new.classes.keys()):
         if name not in new.classes:
-            found.append(f"[classes.{name}] is taken out")
+            lines.append(f"[classes.{name}] is taken out")
         elif name not in old.classes:
-            found.append(f"[classes.{name}] is new: {_words(new.classes[name])}")
+            lines.append(f"[classes.{name}] is new: {_settings_text(new.classes[name])}")
         else:
-            found += _changed(f"[classes.{name}]", old.classes[name], new.classes[name])
-    found += _changed("[limits]", old.limits, new.limits)
-    found += _changed("[rules]", old.rules, new.rules)
-    found += [f"server {name} is out" for name in sorted(set(new.out) - set(old.out))]
-    found += [f"server {name} is back" for name in sorted(set(old.out) - set(new.out))]
-    return found
+            lines += _setting_differences(f"[classes.{name}]", old.classes[name], new.classes[name])
+    lines += _setting_differences("[limits]", old.limits, new.limits)
+    lines += _setting_differences("[rules]", old.rules, new.rules)
+    lines += [f"server {name} is out" for name in sorted(set(new.out) - set(old.out))]
+    lines += [f"server {name} is back" for name in sorted(set(old.out) - set(new.out))]
+    return lines
 
 
-def _changed(where: str, old: dict[str, Any], new: dict[str, Any]) -> list[str]:
+def _setting_differences(where: str, old: dict[str, Any], new: dict[str, Any]) -> list[str]:
     return [f"{where} {key}: {old[key]!r} -> {new[key]!r}" for key in new if old.get(key) != new[key]]
 
 
-def _words(table: dict[str, Any]) -> str:
+def _settings_text(table: dict[str, Any]) -> str:
     return ", ".join(f"{key} = {value!r}" for key, value in table.items())
--- a/sorrelfront/fleet/council.py
+++ b/sorrelfront/fleet/council.py
@@ -1,9 +1,11 @@
-"""One member's part in the fleet's policy: its voter if it is one, its lease, and what it proposes.
-Carries words, records and time; what to say is decided in `decisions.fleet`.
+"""One member's part in agreeing on the fleet's policy: its voter if it is one, its lease, and its proposals.
 
-A voter's record is on disk before what follows from it is said. A member that hears of a newer version takes
-nothing new by the one before, has what is under way finished, goes by the newer, and only then gives its
-lease back."""
+This module does the I/O: messages, records and timers. The protocol is in `decisions.fleet`.
+
+A voter's record is on disk before any message that depends on it is sent. A member that learns of a newer
+version admits nothing more under the previous one, lets requests in flight finish, applies the newer version,
+and only then releases its lease on the previous one.
+"""
 
 from __future__ import annotations
 
@@ -49,398 +51,428 @@
 
 log = logging.getLogger("sorrelfront.fleet")
 
-INBOX_MOST = 1_024  # words that wait for a voter's disk; what comes beyond is dropped and counted
-RENEWALS = 4  # in the time of a lease: three may be lost
-# Between two askings while it has no lease: twice as long each time. Others give theirs back within
-# milliseconds, or it takes as long as a lease.
-SOON_US, LATER_US = 20_000, 160_000
-TICK_US = (5_000, 100_000)  # the shortest and the longest sleep
-LOOK_S = 1.0  # for voters to answer an operator's question
-FORCED_AHEAD = 100  # slots that a forced policy skips, so that none that was voted in is used again
+MAX_INBOX_MESSAGES = 1_024  # messages that wait for a voter's disk; beyond this they are dropped and counted
+RENEWALS_PER_LEASE = 4  # per lease: three may be lost
+# Between two requests while it has no lease; the interval doubles from the first to the second. Other members
+# release theirs within milliseconds, or it takes up to a whole lease.
+MIN_REQUEST_INTERVAL_US, MAX_REQUEST_INTERVAL_US = 20_000, 160_000
+TICK_RANGE_US = (5_000, 100_000)  # the shortest and the longest sleep
+QUERY_TIMEOUT_S = 1.0  # for voters to answer an operator's query
+FORCED_SLOT_GAP = 100  # slots that a forced policy skips, so that no slot that was voted in is used again
 
 
 class Standing(Enum):
-    """How a request that comes now stands with the promise."""
+    """Whether a request that arrives now may be admitted."""
 
-    LEASED = "leased"  # decided by a version that a majority has granted
-    FREE = "free"  # the fleet has no policy yet: by this host's file
-    WAIT = "wait"  # for a lease that may come in a moment
-    CUT_OFF = "cut off"  # no lease, and it did not come in time
+    LEASED = "leased"  # served under a version that a majority has granted
+    FREE = "free"  # the fleet has no policy yet: served by this host's file
+    WAIT = "wait"  # no lease yet, but one may be granted shortly
+    CUT_OFF = "cut off"  # no lease, and none was granted in time
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """What a council needs of what is around it."""
+    """The operations that a policy member needs from its surroundings."""
 
-    say: Callable[[str, Word], None]
-    keep: Callable[[bytes], Awaitable[None]]  # durable once it returns; raises OSError
-    remember: Callable[[bytes], None]  # as soon as the disk allows
-    members: Callable[[], list[str]]  # that live
-    check: Callable[[bytes], str]  # why this member would not go by a policy; empty if it would
-    take: Callable[[int, bytes], str]  # go by it from now on; a fault if that cannot be
-    finished: Callable[[], bool]  # nothing is under way by the version before
-    opened: Callable[[], None]  # what waited for a lease may be decided
+    say: Callable[[str, Word], None]  # send a message to the member of this name
+    keep: Callable[[bytes], Awaitable[None]]  # persist the vote; durable once it returns; raises OSError
+    remember: Callable[[bytes], None]  # store the served version in the background
+    members: Callable[[], list[str]]  # the live members
+    check: Callable[[bytes], str]  # the reason why this member would reject a policy; empty if it accepts
+    take: Callable[[int, bytes], str]  # apply a version; returns a fault if that is not possible
+    finished: Callable[[], bool]  # whether no request is in flight under the previous version
+    opened: Callable[[], None]  # a lease was granted: requests that wait for one may be admitted
 
 
 class Council:
-    """This member's part. `start` it, give it words, `close` it."""
+    """This member's part in the agreement. `start` it, pass messages to `hear`, and `close` it."""
 
     def __init__(
         self, name: str, voters: tuple[str, ...], lease_us: int, ports: Ports,
         vote: bytes | None, held: bytes | None,
     ) -> None:  # fmt: skip
-        """`vote` and `held`: what the disk has of an earlier life, or None."""
+        """Restore the voter from `vote` and the served version from `held`, the stored records or None."""
         now = now_us()
         self.name, self.voters, self.lease_us = name, voters, lease_us
         self._ports = ports
         self.voter: Voter | None = None
         if name in voters:
-            self.voter = started(name, voters, _record(vote), lease_us, now, fresh=False)
-        version, document = _held(held)
+            self.voter = started(name, voters, _decode_record(vote), lease_us, now, fresh=False)
+        version, document = _decode_held(held)
         self.holder = Holder(name, voters, lease_us, version, document)
         self._founded = held is not None
-        self._remembered = version if held is not None else -1
-        self.taken = 0  # the version that requests are decided by now
-        self._moving = False  # a newer one is known, and the one before is not finished
-        self._before_until = 0  # until when the lease on the one before runs
-        self._wait_until = now + self._patience_us  # for a lease that is to come; past it, it is cut off
-        self._without = True  # a lease, as far as it has noticed
-        self._blank: set[str] = set()
+        self._stored_version = version if held is not None else -1
+        self.applied_version = 0  # the version that is applied, and that requests are decided under
+        self._switching = False  # a newer version is known, and requests are in flight under the previous one
+        self._previous_lease_until = 0  # when the lease on the previous version expires
+        self._wait_until = now + self._grant_timeout_us  # for a first lease; past it, the member is cut off
+        self._without_lease = True  # has no lease, as of the last check
+        self._uninitialized: set[str] = set()
         self.fault = ""
         self.change: Change | None = None
-        self._shown: dict[str, Shown] = {}
-        self._number = 0
-        self._random = Random()  # no two members act alike
+        self._states: dict[str, Shown] = {}
+        self._query_id = 0
+        self._random = Random()  # seeded differently in each member, so that their timers spread
         self._inbox: deque[tuple[str, Word]] = deque()
-        self._work = asyncio.Event()
+        self._inbox_filled = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._next_renewal = 0
-        self._soon_us = SOON_US
-        self._next_need = 0
+        self._request_interval_us = MIN_REQUEST_INTERVAL_US
+        self._next_catch_up = 0
         self.counts = dict.fromkeys(("said", "heard", "dropped", "unkept", "moves"), 0)
 
     def start(self) -> None:
+        """Apply the stored version, if there is one, and start the timers."""
         if self.holder.version:
-            self._take()
+            self._apply()
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._tick())]
         if self.voter is not None:
-            self._tasks.append(loop.create_task(self._vote()))
+            self._tasks.append(loop.create_task(self._run_voter()))
         for task in self._tasks:
-            task.add_done_callback(_ended)
+            task.add_done_callback(_log_failure)
 
     def close(self) -> None:
+        """Stop taking part. The lease is not released; it expires."""
         for task in self._tasks:
             task.cancel()
 
     # Requests
 
     def standing(self) -> Standing:
-        """Of a request that comes in this moment. A process that was stopped finds out only by looking."""
+        """Whether a request that arrives now may be admitted.
+
+        Checked for each request: a process that was suspended notices an expired lease only by checking.
+        """
         now = now_us()
-        if not self._moving and not self.fault and self.holder.serves(now) is not None:
+        if not self._switching and not self.fault and self.holder.serves(now) is not None:
             return Standing.LEASED
         if self.free:
             return Standing.FREE
-        if not self._without and not self._moving:
-            self._without = True  # it has run out: renewing it was tried several times by now
-            log.warning("the lease on version %d is over, and nobody renews it", self.taken)
+        if not self._without_lease and not self._switching:
+            self._without_lease = True  # it has expired, after several attempts to renew it
+            log.warning("the lease on version %d has expired and was not renewed", self.applied_version)
         return Standing.WAIT if now < self._wait_until else Standing.CUT_OFF
 
     @property
-    def _patience_us(self) -> int:
-        """For a member that starts or moves to be granted a lease: older ones may run for one."""
+    def _grant_timeout_us(self) -> int:
+        """How long a starting or switching member waits for a grant: older leases may have to expire."""
         return int(self.lease_us * 1.25)
 
     @property
     def free(self) -> bool:
-        """Whether the voters say that there is no fleet yet, and this member has never heard of one."""
-        return not self._founded and len(self._blank) > len(self.voters) // 2
+        """Whether a majority of the voters is uninitialized, and this member has never seen a policy."""
+        return not self._founded and len(self._uninitialized) > len(self.voters) // 2
 
     def may_go_on(self, version: int) -> bool:
-        """Whether a request that was taken under a lease on this version may have another attempt."""
+        """Whether a request that was admitted under a lease on this version may start an attempt now."""
         now = now_us()
-        if self._moving:
-            return version == self.taken and now < self._before_until
-        return version == self.taken and self.holder.serves(now) == version
+        if self._switching:
+            return version == self.applied_version and now < self._previous_lease_until
+        return version == self.applied_version and self.holder.serves(now) == version
 
-    # Words
+    # Messages
 
-    def hear(self, sender: str, word: Word) -> None:
+    def hear(self, sender: str, message: Word) -> None:
+        """Handle a message from another member, or from this one."""
         self.counts["heard"] += 1
         now = now_us()
-        match word:
+        match message:
             case Grant():
-                self._granted(word, now)
+                self._on_grant(message, now)
             case Current():
-                self._current(word)
-                self._to_voter(sender, word)
+                self._on_current(message)
+                self._to_voter(sender, message)
             case Blank():
-                self._blank.add(word.voter)
+                self._uninitialized.add(message.voter)
             case Check():
-                self._say(word.who, Checked(word.number, self.name, self._ports.check(word.document)[:400]))
+                self._send(
+                    message.who, Checked(message.number, self.name, self._ports.check(message.document)[:400])
+                )
             case Shown():
-                if word.number == self._number:
-                    self._shown[word.voter] = word
-                self._to_change(word, now)
+                if message.number == self._query_id:
+                    self._states[message.voter] = message
+                self._to_change(message, now)
             case Promise() | Accepted() | Reject() | Checked():
-                self._to_change(word, now)
+                self._to_change(message, now)
             case Renew() | Release() | Look():
-                self._lend(sender, word)
+                self._step_leases(sender, message)
             case Need() | Chosen():
-                self._to_voter(sender, word)
-                self._to_change(word, now)
+                self._to_voter(sender, message)
+                self._to_change(message, now)
             case _:
-                self._to_voter(sender, word)
+                self._to_voter(sender, message)
 
-    def _to_change(self, word: Word, now: int) -> None:
+    def _to_change(self, message: Word, now: int) -> None:
         if self.change is not None:
-            for send in self.change.on_word(word, now):
-                self._say(send.to, send.word)
+            for send in self.change.on_word(message, now):
+                self._send(send.to, send.word)
 
-    def _to_voter(self, sender: str, word: Word) -> None:
+    def _to_voter(self, sender: str, message: Word) -> None:
         if self.voter is None:
             return
-        if len(self._inbox) >= INBOX_MOST:
+        if len(self._inbox) >= MAX_INBOX_MESSAGES:
             self.counts["dropped"] += 1
             return
-        self._inbox.append((sender, word))
-        self._work.set()
+        self._inbox.append((sender, message))
+        self._inbox_filled.set()
 
-    def _say(self, to: str, word: Word) -> None:
+    def _send(self, to: str, message: Word) -> None:
         self.counts["said"] += 1
         if to == self.name:
-            asyncio.get_running_loop().call_soon(self.hear, self.name, word)
+            asyncio.get_running_loop().call_soon(self.hear, self.name, message)
         else:
-            self._ports.say(to, word)
+            self._ports.say(to, message)
 
     # Voting
 
-    async def _vote(self) -> None:
-        """All words that wait, in their order; then one record, which has what each of them wanted kept; and
-        only then their answers. Risk: a write for each word, and a slow disk falls ever further behind."""
+    async def _run_voter(self) -> None:
+        """Handle all waiting messages in order, persist one record for all of them, then send the answers.
+
+        With one write per message, a slow disk would fall further and further behind.
+        """
         while True:
-            await self._work.wait()
-            self._work.clear()
+            await self._inbox_filled.wait()
+            self._inbox_filled.clear()
             assert self.voter is not None
             before = after = self.voter
             actions: list[Keep | Send] = []
             while self._inbox:
-                sender, word = self._inbox.popleft()
-                after, more = after.step(word, sender, now_us())
+                sender, message = self._inbox.popleft()
+                after, more = after.step(message, sender, now_us())
                 actions += more
-            if not await self._kept(before.record, after.record):
-                continue  # as if the words had never come
-            # Leases were granted meanwhile, by what was on disk.
+            if not await self._persist(before.record, after.record):
+                continue  # as if the messages had been lost
+            # Keep leases that were granted during the write, from the state on disk.
             self.voter = self.voter._replace(
-                record=after.record, told=after.told, blind_until_us=after.blind_until_us
+                record=after.record, told=after.told, no_grants_until_us=after.no_grants_until_us
             )
             for action in actions:
                 if isinstance(action, Send):
-                    self._say(action.to, action.word)
-            self._advanced(before.record, after.record)
+                    self._send(action.to, action.word)
+            self._follow_voter(before.record, after.record)
 
-    async def _kept(self, before: Record | None, after: Record | None) -> bool:
+    async def _persist(self, before: Record | None, after: Record | None) -> bool:
         if after is None or after == before:
             return True
         try:
             await self._ports.keep(pack_record(after))
         except OSError as fault:
             self.counts["unkept"] += 1
-            log.warning("a vote is not given, since it cannot be kept: %s", fault.strerror or fault)
+            log.warning(
+                "a vote is not given, since its record cannot be written: %s", fault.strerror or fault
+            )
             return False
         return True
 
-    def _lend(self, sender: str, word: Word) -> None:
-        """Words that change nothing on disk, at once. Risk: leases that wait for a slow disk run out."""
+    def _step_leases(self, sender: str, message: Word) -> None:
+        """Handle messages that do not change the record, at once: leases must not wait for a slow disk."""
         if self.voter is not None:
-            self.voter, actions = self.voter.step(word, sender, now_us())
+            self.voter, actions = self.voter.step(message, sender, now_us())
             for action in actions:
                 if isinstance(action, Send):
-                    self._say(action.to, action.word)
+                    self._send(action.to, action.word)
 
-    def _advanced(self, before: Record | None, after: Record | None) -> None:
-        """This process's voter knows of a newer version: so does its member."""
+    def _follow_voter(self, before: Record | None, after: Record | None) -> None:
+        """Pass a newer version that this process's voter has learned to its member."""
         assert self.voter is not None
         if after is not None and (before is None or after.slot > before.slot):
             for current in self.voter.current():
-                self._current(current)
+                self._on_current(current)
 
     # Serving
 
-    def _granted(self, word: Grant, now: int) -> None:
-        self._blank.discard(word.voter)
-        self.holder = self.holder.on_grant(word, now)
-        if self._moving or self.fault or self.holder.serves(now) is None:
+    def _on_grant(self, message: Grant, now: int) -> None:
+        self._uninitialized.discard(message.voter)
+        self.holder = self.holder.on_grant(message, now)
+        if self._switching or self.fault or self.holder.serves(now) is None:
             return
         self._founded = True
         self._wait_until = 0
-        if self._without:
-            self._without = False
-            log.info("version %d is in force here", self.holder.version)
+        if self._without_lease:
+            self._without_lease = False
+            log.info("version %d is in force on this member", self.holder.version)
             self._ports.opened()
-        if self._remembered != self.holder.version:
-            self._remembered = self.holder.version
+        if self._stored_version != self.holder.version:
+            self._stored_version = self.holder.version
             self._ports.remember(pack_held(self.holder.version, self.holder.document))
 
-    def _current(self, word: Current) -> None:
+    def _on_current(self, message: Current) -> None:
         now = now_us()
         before = self.holder
-        after, moved = before.on_current(word)
-        if not moved:
+        after, newer = before.on_current(message)
+        if not newer:
             return
         self._founded = True
-        if not self._moving:
-            self._before_until = before.until_us()
-            self._moving = True
+        if not self._switching:
+            self._previous_lease_until = before.lease_until_us()
+            self._switching = True
         if now >= self._wait_until:
-            self._wait_until = now + self._patience_us
-        self._without = True
+            self._wait_until = now + self._grant_timeout_us
+        self._without_lease = True
         self.holder = after
         self.counts["moves"] += 1
-        self._settle()
+        self._finish_switch()
 
-    def _settle(self) -> None:
-        """Go by the newer version, once nothing is under way by the one before, or its lease is over."""
-        if not self._moving or not (self._ports.finished() or now_us() >= self._before_until):
+    def _finish_switch(self) -> None:
+        """Apply the newer version once no request is in flight under the previous one, or its lease ended."""
+        if not self._switching or not (self._ports.finished() or now_us() >= self._previous_lease_until):
             return
-        self._moving = False
-        self._take()
+        self._switching = False
+        self._apply()
         for send in self.holder.released():
-            self._say(send.to, send.word)
-        self._soon_us = SOON_US
+            self._send(send.to, send.word)
+        self._request_interval_us = MIN_REQUEST_INTERVAL_US
         self._renew(now_us())
 
-    def _take(self) -> None:
-        self.taken = self.holder.version
+    def _apply(self) -> None:
+        self.applied_version = self.holder.version
         self.fault = self._ports.take(self.holder.version, self.holder.document)
         if self.fault:
-            log.error("version %d cannot be taken: %s", self.holder.version, self.fault)
+            log.error("version %d cannot be applied: %s", self.holder.version, self.fault)
 
     def _renew(self, now: int) -> None:
-        has = self.holder.serves(now) is not None
-        self._next_renewal = now + (self.lease_us // RENEWALS if has else self._soon_us)
-        self._soon_us = SOON_US if has else min(2 * self._soon_us, LATER_US)
-        if self._moving or self.fault:
-            return  # asking for a newer one says that nothing older is served any more
+        leased = self.holder.serves(now) is not None
+        self._next_renewal = now + (
+            self.lease_us // RENEWALS_PER_LEASE if leased else self._request_interval_us
+        )
+        self._request_interval_us = (
+            MIN_REQUEST_INTERVAL_US if leased else min(2 * self._request_interval_us, MAX_REQUEST_INTERVAL_US)
+        )
+        if self._switching or self.fault:
+            return  # a request for the newer version would imply that no older one is served any more
         for send in self.holder.renew(now):
-            self._say(send.to, send.word)
+            self._send(send.to, send.word)
 
-    # Time
+    # Timers
 
     async def _tick(self) -> None:
         while True:
             now = now_us()
-            self._settle()
+            self._finish_switch()
             if now >= self._next_renewal:
                 self._renew(now)
-            if self.voter is not None and now >= self._next_need:
-                self._next_need = now + self.lease_us // 2
+            if self.voter is not None and now >= self._next_catch_up:
+                self._next_catch_up = now + self.lease_us // 2
                 self._catch_up(self.voter)
             if self.change is not None and not self.change.done:
                 for send in self.change.on_time(now):
-                    self._say(send.to, send.word)
+                    self._send(send.to, send.word)
             await asyncio.sleep(self._pause_us(now) / 1e6)
 
     def _pause_us(self, now: int) -> int:
-        least, most = TICK_US
+        shortest, longest = TICK_RANGE_US
         due = self._next_renewal
         if self.change is not None and not self.change.done:
             due = min(due, self.change.next_us())
-        return least if self._moving else min(most, max(least, due - now))
+        return shortest if self._switching else min(longest, max(shortest, due - now))
 
     def _catch_up(self, voter: Voter) -> None:
-        """Ask the other voters what was chosen meanwhile; one without memory asks what they know."""
+        """Ask the other voters for newer values; a voter without a record asks for their latest slots."""
         for send in voter.begin():
             if isinstance(send, Send):
-                self._say(send.to, send.word)
+                self._send(send.to, send.word)
         if voter.record is not None:
             for other in self.voters:
                 if other != self.name:
-                    self._say(other, Need(voter.record.slot + 1, self.name))
+                    self._send(other, Need(voter.record.slot + 1, self.name))
 
     def again(self) -> None:
-        """This host's file is another one: a policy that could not be taken may be taken now, and one that is
-        in force is laid over the new file."""
-        if not self._moving and self.holder.version:
-            self._take()
+        """Apply the version again after this host's file has changed.
+
+        A policy that could not be applied may be applicable now; one in force has to overlay the new file.
+        """
+        if not self._switching and self.holder.version:
+            self._apply()
 
     # Operators
 
-    def propose(self, value: Value, onto: int | None) -> bool:
-        """Begin a change; False while another one that this member proposed is under way."""
+    def propose(self, value: Value, base_version: int | None) -> bool:
+        """Start a change. Returns False if this member has another one under way."""
         if self.change is not None and not self.change.done:
             return self.change.value.change == value.change
         self.change = Change(
-            self.name, self.voters, value, onto, self.lease_us, self._ports.members(), self._random, now_us()
+            self.name,
+            self.voters,
+            value,
+            base_version,
+            self.lease_us,
+            self._ports.members(),
+            self._random,
+            now_us(),
         )
         for send in self.change.on_time(now_us()):
-            self._say(send.to, send.word)
+            self._send(send.to, send.word)
         return True
 
-    def proposed(self) -> tuple[str, Outcome] | None:
-        """The change that was proposed here last, and how far it has come."""
+    def latest_proposal(self) -> tuple[str, Outcome] | None:
+        """The id and the outcome so far of the change that this member proposed last."""
         return None if self.change is None else (self.change.value.change, self.change.outcome)
 
-    async def look(self, history: bool) -> dict[str, Shown]:
-        """What the voters know, of those that answer in time."""
-        self._number = self._random.getrandbits(52)
-        self._shown = {}
+    async def query_voters(self, history: bool) -> dict[str, Shown]:
+        """Query the voters' states; returns those that arrive within a second."""
+        self._query_id = self._random.getrandbits(52)
+        self._states = {}
         for voter in self.voters:
-            self._say(voter, Look(self._number, self.name, history))
-        until = now_us() + int(LOOK_S * 1e6)
-        while len(self._shown) < len(self.voters) and now_us() < until:
+            self._send(voter, Look(self._query_id, self.name, history))
+        until = now_us() + int(QUERY_TIMEOUT_S * 1e6)
+        while len(self._states) < len(self.voters) and now_us() < until:
             await asyncio.sleep(0.01)
-        return dict(self._shown)
+        return dict(self._states)
+
+    async def found_fleet(self, forced: Value | None) -> tuple[dict[str, Shown], str]:
+        """Initialize all voters for a new fleet or, with `forced`, continue from this value.
 
-    async def found(self, forced: Value | None) -> tuple[dict[str, Shown], str]:
-        """Have all voters begin a new fleet; or, forced, go on by this value. What they know then, and what
-        is wrong."""
-        known = await self.look(False)
+        Returns the voters' states afterwards, and a fault, empty if there is none.
+        """
+        known = await self.query_voters(False)
         latest = max((item.slot for item in known.values()), default=-1)
         if forced is None and (latest > 0 or self.holder.version > 0):
             return known, f"this fleet has a policy: version {max(latest, self.holder.version)}"
         if forced is None and len(known) < len(self.voters):
-            silent = ", ".join(sorted(set(self.voters) - set(known)))
-            return known, f"a new fleet takes all voters; silent: {silent}"
-        slot = 0 if forced is None else max(latest, self.holder.version) + FORCED_AHEAD
+            missing = ", ".join(sorted(set(self.voters) - set(known)))
+            return known, f"a new fleet takes all voters; silent: {missing}"
+        slot = 0 if forced is None else max(latest, self.holder.version) + FORCED_SLOT_GAP
         for voter in self.voters:
-            self._say(voter, Found(slot, forced, self.name))
-        await asyncio.sleep(LATER_US / 1e6)
-        return await self.look(False), ""
+            self._send(voter, Found(slot, forced, self.name))
+        await asyncio.sleep(MAX_REQUEST_INTERVAL_US / 1e6)
+        return await self.query_voters(False), ""
 
-    # Told
+    # Metrics
 
     def figures(self) -> dict[str, Any]:
+        """Version, lease and message counts, for status and metrics."""
         now = now_us()
         return {
-            "version": self.taken, "digest": digest_of(self.holder.document) if not self._moving else "",
+            "version": self.applied_version,
+            "digest": digest_of(self.holder.document) if not self._switching else "",
             "standing": self.standing().value, "fault": self.fault,
-            "lease_left_s": round(max(0, self.holder.until_us() - now) / 1e6, 3), "inbox": len(self._inbox),
+            "lease_left_s": round(max(0, self.holder.lease_until_us() - now) / 1e6, 3),
+            "inbox": len(self._inbox),
             **self.counts,
         }  # fmt: skip
 
 
-def _record(data: bytes | None) -> Record | None:
+def _decode_record(data: bytes | None) -> Record | None:
     if data is None:
         return None
     try:
         return unpack_record(data)
     except Unreadable as fault:
-        log.warning("what this voter remembers cannot be read: %s", fault)
+        log.warning("this voter's record cannot be decoded: %s", fault)
         return None
 
 
-def _held(data: bytes | None) -> tuple[int, bytes]:
+def _decode_held(data: bytes | None) -> tuple[int, bytes]:
     if data is None:
         return 0, b""
     try:
         return unpack_held(data)
     except Unreadable as fault:
-        log.warning("the policy that was in force here cannot be read: %s", fault)
+        log.warning("the stored policy cannot be decoded: %s", fault)
         return 0, b""
 
 
-def _ended(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        log.error("the policy's part has failed", exc_info=task.exception())
+        log.error("a task of the policy member has failed", exc_info=task.exception())
--- a/tests/daemon/test_policies.py
+++ b/tests/daemon/test_policies.py
@@ -1,4 +1,4 @@
-"""A policy as a document: checked, compared, laid over a host's own file."""
+"""A policy as a document: validated, compared, overlaid on a host's own file."""
 
 from __future__ import annotations
 
@@ -42,35 +42,35 @@
 LOOK = '[classes.look]\nrepeat = "unsafe"\naim_ms = 300\ndeadline_ms = 2500\n'
 
 
-def test_a_sealed_policy_is_the_same_and_its_digest_says_nothing_of_who_sealed_it() -> None:
+def test_an_encoded_policy_round_trips_and_its_digest_ignores_who_proposed_it() -> None:
     made = policy('out = ["s2", "s1", "s1"]\n' + LOOK)
-    found, envelope = policies.unseal(policies.seal(made, "ann", 1.0, "p.toml"))
+    found, envelope = policies.decode_envelope(policies.seal(made, "ann", 1.0, "p.toml"))
     assert found == made and found.digest == made.digest and made.out == ("s1", "s2")
     assert policies.check(tomllib.loads(tomli_w.dumps(made.table())), Path("shown")) == made
     assert (envelope.who, envelope.file) == ("ann", "p.toml")
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b'{"policy": 3}', b'{"policy": {}}', b"\xff", b"[" * 40_000])
-def test_what_is_no_policy_is_refused_with_a_reason(data: bytes) -> None:
-    assert policies.refusal(data, instance_table(document(), 0))
+def test_an_invalid_document_is_rejected_with_a_reason(data: bytes) -> None:
+    assert policies.rejection_reason(data, instance_table(document(), 0))
 
 
-def test_a_key_that_this_version_does_not_know_is_refused_by_name() -> None:
+def test_an_unknown_key_is_rejected_by_name() -> None:
     made = policies.seal(policy(LOOK), "ann", 1.0, "p.toml").replace(b'"tries"', b'"attempts"')
-    assert "[limits] attempts: is not a key known here" in policies.refusal(
+    assert "[limits] attempts: is not a key known here" in policies.rejection_reason(
         made, instance_table(document(), 0)
     )
 
 
-def test_differences_are_told_in_words() -> None:
-    old, new = policies.of(document()), policy('out = ["s1"]\n' + LOOK + "[limits]\ntries = 2\n")
+def test_differences_are_listed_as_text() -> None:
+    old, new = policies.from_document(document()), policy('out = ["s1"]\n' + LOOK + "[limits]\ntries = 2\n")
     assert policies.differences(old, new) == [
         "[classes.look] repeat: 'safe' -> 'unsafe'", "[limits] tries: 3 -> 2", "server s1 is out",
     ]  # fmt: skip
     assert policies.differences(new, new) == []
 
 
-def test_one_that_cannot_be_read_changes_nothing_and_a_long_file_ends_nothing() -> None:
+def test_an_unreadable_policy_changes_nothing_and_a_too_long_file_is_tolerated() -> None:
     classes = "".join(
         f'[classes.c{number}]\nrepeat = "safe"\naim_ms = 300\ndeadline_ms = 2500\n' for number in range(300)
     )
--- a/tests/fleet/test_policy.py
+++ b/tests/fleet/test_policy.py
@@ -34,8 +34,8 @@
 
 VOTERS = ("a", "b", "c")
 LEASE_US = 1_000_000
-# Seeds that expose each planted defect. Of 600 duels 30 find the first one; of 2,500 seeds 26 or more find the
-# second and 4 the third; one seed in 30 finds the last.
+# Seeds that expose each planted defect. Of 600 duels 30 find the first one; of 2,500 seeds 26 or more find
+# the second and 4 the third; one seed in 30 finds the last.
 PROMISED, ENDED, FORGOT, EARLY = [4, 8, 28], [172, 243, 269], [94, 816, 961], [4, 18, 31]
 # Failed before: a voter that lost its disk granted an older version; two proposals used one ballot.
 REGRESSIONS = [1375, 4885]
--- a/tests/storm/test_policies.py
+++ b/tests/storm/test_policies.py
@@ -1,4 +1,4 @@
-"""One policy for a fleet of real processes: changes under load, and what becomes of them when some fail."""
+"""Policy changes in a fleet of real processes, under load and with faults."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     isolation: str = "refuse",
     lease: int = 1_500,
 ) -> Play:  # fmt: skip
-    """Played, and every rule kept."""
+    """Run a storm, assert that no rule was broken, and return its verdict and its events."""
     head = HEAD.format(
         name=name, seconds=seconds, hosts=hosts, instances=instances, isolation=isolation, lease=lease
     )
@@ -53,7 +53,7 @@
 
 
 def changes(events: list[dict[str, Any]]) -> dict[str, tuple[str, int]]:
-    """How each change ended, by what its last proposal was told; one that was made and replaced was made."""
+    """How each change ended, by its last proposal's answer; one that was replaced later counts as made."""
     return {
         event["change"]: ("in force" if event["version"] else event["state"], event["version"])
         for event in events
@@ -70,13 +70,13 @@
     return {event["standing"] for event in events if event["kind"] == "policy" and event["host"] == host}
 
 
-def test_changes_under_load_take_hold_in_all_of_nine(tmp_path: Path) -> None:
-    """The last one makes a class unsafe while servers fail: nothing of it is repeated from then on."""
+def test_changes_under_load_come_into_force_at_all_nine_instances(tmp_path: Path) -> None:
+    """The last change makes a class unsafe to repeat while servers fail: it may not be retried after that."""
     faults = fault("propose", 0.5, 0, "h1", size=1) + fault("propose", 1.5, 0, "h2", size=2)
     faults += fault("propose", 4.0, 0, "h3", size=100) + fault("server-fail", 2.0, 4.5, to="s1")
     faults += fault("reset", 5.5, 0, "h1 h2 h3", "s2 s3")
     _, events = storm("changes", faults, 7.0, tmp_path)
-    # On a busy machine the second command may come to its question first.
+    # On a busy machine the second command may reach the voters first.
     versions = changes(events)
     first, second = sorted(("h1-1", "h2-2"), key=lambda change: versions[change][1])
     assert versions == {first: ("in force", 1), second: ("in force", 2), "h3-100": ("in force", 3)}
@@ -90,8 +90,8 @@
     assert not [event for event in events if event["kind"] == "answer" and event.get("inside") is False]
 
 
-def test_a_third_is_down_and_comes_back_with_its_old_file(tmp_path: Path) -> None:
-    """A change does not wait for who is gone, but for its lease; who is back goes by the newer one."""
+def test_a_host_that_is_down_during_a_change_returns_with_its_old_file(tmp_path: Path) -> None:
+    """A change waits only for the lease of a dead host, which serves the new version when it returns."""
     faults = fault("kill", 0.5, 5.0, "h3") + fault("propose", 1.0, 0, "h1", size=1)
     _, events = storm("third-down", faults, 6.0, tmp_path)
     assert changes(events) == {"h1-1": ("in force", 1)}
@@ -101,8 +101,8 @@
     assert [line for line in said if "is not what the file here says: [limits] tries: 3 -> 2" in line]
 
 
-def test_a_voter_that_is_back_without_its_disk_votes_only_where_it_cannot_have_voted(tmp_path: Path) -> None:
-    """The other two decide meanwhile; it takes part again, and nothing that was decided is undone."""
+def test_a_voter_that_lost_its_disk_votes_only_where_it_cannot_have_voted(tmp_path: Path) -> None:
+    """The other two decide meanwhile. The voter has to rejoin without undoing any decision."""
     faults = fault("kill", 0.5, 2.0, "h3") + fault("disk-gone", 1.0, 0, "h3")
     faults += "".join(fault("propose", 1.0 + number, 0, "h1", size=number) for number in range(1, 5))
     faults += fault("kill", 8.0, 1.0, "h2") + fault("propose", 8.5, 0, "h1", size=5)
@@ -112,7 +112,7 @@
 
 
 def test_two_operators_on_both_sides_of_a_partition(tmp_path: Path) -> None:
-    """One side has no quorum: its change is not made, and its members refuse once their leases are over."""
+    """The side without a quorum must not make its change, and refuses requests once its leases expire."""
     faults = fault("cut", 0.5, 7.0, "h1", "h2 h3")
     faults += fault("propose", 0.8, 0, "h1", size=1) + fault("propose", 0.8, 0, "h2", size=2)
     _, events = storm("partition", faults, 8.0, tmp_path, lease=2_500)
@@ -129,11 +129,12 @@
 def test_a_member_that_was_frozen_for_longer_than_a_lease_decides_nothing_by_the_old_version(
     tmp_path: Path,
 ) -> None:
+    """A process that resumes with an expired lease could serve the old version next to the new one."""
     faults = fault("freeze", 0.5, 6.0, "h2") + fault("propose", 0.5, 0, "h1", size=1)
     faults += fault("clock-step", 0.3, 0, "h1", size=3600) + fault("clock-fast", 0.2, 5.0, "h3", size=200)
     _, events = storm("frozen", faults, 8.0, tmp_path, lease=500)
     assert changes(events) == {"h1-1": ("in force", 1)}
-    # It came in force while that host was stopped: its lease had ended without it.
+    # The change came into force while that host was frozen, since its lease had expired.
     at = next(event["t"] for event in events if event["kind"] == "change")
     over = next(
         event["t"] for event in events
@@ -142,10 +143,11 @@
     assert at < over
 
 
-def test_whoever_proposes_is_killed_and_it_is_proposed_again(tmp_path: Path) -> None:
+def test_a_change_whose_proposer_is_killed_is_proposed_again_and_made_once(tmp_path: Path) -> None:
+    """A repeated proposal after the proposer's death could otherwise be decided twice or not at all."""
     faults = ""
     for number, at in enumerate((0.5, 2.5, 4.5, 6.5), 1):
-        # The command takes some 0.3 s to start; what it asks is done by the first instance.
+        # The command takes about 0.3 s to start; the first instance handles it.
         faults += fault("propose", at, 0, "h1", size=number)
         faults += fault("kill-instance", at + 0.3 + 0.1 * number, 0, "h1")
     _, events = storm("killed", faults, 8.0, tmp_path)
@@ -153,18 +155,19 @@
     assert len(decided(events)) == 4  # each once, however often it was proposed
 
 
-def test_the_power_is_cut_while_a_change_is_made(tmp_path: Path) -> None:
-    """What was decided is the same everywhere afterwards."""
+def test_power_loss_during_a_change(tmp_path: Path) -> None:
+    """Decisions have to be the same at all voters after all hosts have lost power at once."""
     faults = fault("propose", 0.5, 0, "h1", size=1) + fault("propose", 2.5, 0, "h2", size=2)
     faults += fault("power", 3.1, 0.5, "h1 h2 h3")
     _, events = storm("policy-power", faults, 4.5, tmp_path)
-    # Said again by their operators until they were; on a busy machine either may be the first.
+    # The operators repeat their proposals until they are made; on a busy machine either may be first.
     made = changes(events)
     assert sorted(made) == ["h1-1", "h2-2"] and {state for state, _ in made.values()} == {"in force"}
     assert min(made.values())[1] == 1 and made["h1-1"] != made["h2-2"]
 
 
-def test_a_voter_with_a_full_disk_gives_no_vote_and_stops_nobody(tmp_path: Path) -> None:
+def test_a_voter_with_a_full_disk_gives_no_vote_and_blocks_no_change(tmp_path: Path) -> None:
+    """A vote that is not on disk could be forgotten; with two other voters the change is still made."""
     faults = fault("disk-full", 0.5, 4.0, "h2") + fault("propose", 0.8, 0, "h1", size=1)
     faults += fault("disk-slow", 0.5, 4.0, "h3", size=200)
     _, events = storm("disk-full", faults, 6.0, tmp_path)
@@ -173,9 +176,10 @@
     assert [line for line in said if "a vote is not given" in line]
 
 
-def test_without_a_quorum_nothing_changes_and_go_on_classes_are_served_outside_the_promise(
+def test_without_a_quorum_nothing_changes_and_go_on_classes_are_served_without_a_lease(
     tmp_path: Path,
 ) -> None:
+    """With two of three voters down, no change may be made and cut-off members serve as configured."""
     faults = fault("kill", 0.5, 7.0, "h2 h3") + fault("propose", 2.0, 0, "h1", size=1)
     _, events = storm("no-quorum", faults, 8.0, tmp_path, isolation="go-on")
     told = [event for event in events if event["kind"] == "change"]
@@ -186,8 +190,8 @@
     assert served
 
 
-def test_a_change_that_is_under_way_is_given_up_or_turns_out_to_be_made(tmp_path: Path) -> None:
-    """The proposer's host is cut off right after it began; another operator gives the change up."""
+def test_a_change_that_is_under_way_is_either_given_up_or_found_to_be_made(tmp_path: Path) -> None:
+    """The proposer's host is cut off right after its proposal, and another operator abandons the change."""
     faults = fault("propose", 0.5, 0, "h1", size=1).replace("size", "part = 1\nsize")
     faults += fault("cut", 1.0, 3.0, "h1", "h2 h3") + fault("abandon", 2.0, 0, "h2")
     _, events = storm("abandoned", faults, 5.0, tmp_path)
@@ -198,7 +202,8 @@
     assert decided(events) in ([], ["h1-1"])
 
 
-def test_a_policy_as_long_as_can_be_over_links_that_lose_datagrams(tmp_path: Path) -> None:
+def test_a_policy_of_nearly_maximum_length_over_links_that_lose_datagrams(tmp_path: Path) -> None:
+    """A long policy takes many datagrams, any of which may be lost."""
     faults = fault("datagrams", 0.3, 5.0, "h1 h2 h3", "h1 h2 h3", 0.2)
     faults += fault("propose", 0.5, 0, "h2", size=1_000) + fault("propose", 3.5, 0, "h3", size=1_001)
     _, events = storm("long", faults, 6.0, tmp_path)
@@ -206,8 +211,8 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_everything_at_once(seed: int, tmp_path: Path) -> None:
-    """Faults drawn from a seed, while one change after the other is proposed at each host."""
+def test_random_faults_during_changes(seed: int, tmp_path: Path) -> None:
+    """Faults are drawn from a seed while changes are proposed at each host in turn."""
     faults = "".join(
         fault("propose", 0.5 + 1.5 * number, 0, f"h{number % 3 + 1}", size=number + 1) for number in range(4)
     )
@@ -228,7 +233,7 @@
 
 
 def test_a_member_that_serves_past_its_lease_is_caught(tmp_path: Path) -> None:
-    """The storm of two operators, in which the program keeps the rule, with that defect planted."""
+    """The partition storm, which the program passes, has to fail with this defect planted."""
     faults = fault("cut", 0.5, 7.0, "h1", "h2 h3") + fault("propose", 0.8, 0, "h2", size=2)
     head = HEAD.format(name="plant", seconds=8.0, hosts=3, instances=3, isolation="refuse", lease=1_500)
     planted = head.replace("[load]", 'plant = "ignores-leases"\n[load]')
