--- a/sorrelfront/daemon/gate.py
+++ b/sorrelfront/daemon/gate.py
@@ -34,20 +34,20 @@
 
     inside: int = 0  # under a lease, or before the fleet has a policy
     outside: int = 0  # while cut off, under the last known policy
-    waited: int = 0  # queued until a lease was granted
+    waited: int = 0  # queued for a lease
     refused: int = 0  # for lack of a lease
     ended: int = 0  # ended before an attempt, since their version may not be served any more
 
 
 class GatedAgent(Agent):
-    """An agent that admits requests by the lease of `council`; without one, it admits all."""
+    """An agent that admits requests by the lease of its policy member; without one, it admits all."""
 
     council: Council | None = None
     isolation: dict[str, str]
     header = False
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self.isolation = {}
         self.gate = Counts()
         self._admissions: dict[int, Admission] = {}
--- a/sorrelfront/decisions/fleet/change.py
+++ b/sorrelfront/decisions/fleet/change.py
@@ -34,7 +34,7 @@
 
 RESEND_US = 300_000  # before an unanswered message is sent again: several round trips on a busy host
 RESEND_JITTER_US = 200_000  # random, on top: two simultaneous proposers do not keep preempting each other
-LEASE_POLL_US = 40_000  # between two queries whether older leases are back: a little over a round trip
+LEASE_POLL_US = 40_000  # between two queries whether older leases have ended: a little over a round trip
 CHECK_TIMEOUT_US = 1_000_000  # for a member without a lease to answer before it is skipped
 LEASE_TIMEOUT_FACTOR = 2.5  # lease lengths, for lease holders to answer and for older leases to end
 LOOK_TIMEOUT_US = 3_000_000  # for a majority of the voters to answer at all
@@ -81,7 +81,7 @@
         self, name: str, voters: tuple[str, ...], value: Value, base_version: int | None, lease_us: int,
         members: list[str], random: Random, now: int,
     ) -> None:  # fmt: skip
-        """Start in the first step; nothing is sent before `on_time` is called.
+        """Start in the first step; nothing is sent before `on_timer` is called.
 
         `base_version` is the version that the proposal is based on, None for whichever is the latest.
         `members` are the live members in the view.
@@ -124,13 +124,13 @@
         )
 
     def next_us(self) -> int:
-        """When `on_time` is due next."""
+        """When `on_timer` is due next."""
         return self._next_send_us
 
     # Events
 
     def on_time(self, now: int) -> list[Send]:
-        """Check the timeouts and resend what was not answered. Call at `next_us`, and at the start."""
+        """Check the timeouts and resend what was not answered. Call at `next_due_us`, and at the start."""
         if self.done or now < self._next_send_us:
             return []
         polls = self._stage is Stage.WAIT
--- a/sorrelfront/decisions/fleet/policy.py
+++ b/sorrelfront/decisions/fleet/policy.py
@@ -9,7 +9,7 @@
 an older one, so two versions are never served at the same time.
 
 State is immutable: each step returns the next state and the actions to take, in order. A record to persist
-(`Keep`) has to be on disk before any later action is sent.
+(`Persist`) has to be on disk before any later action is sent.
 """
 
 from __future__ import annotations
@@ -138,7 +138,7 @@
 
 
 class Known(NamedTuple):
-    """The latest slot whose chosen value the voter knows; the answer to `Ask` and `Found`."""
+    """The latest slot whose chosen value the voter knows; the answer to `RecoveryQuery` and `Initialize`."""
 
     voter: str
     latest_slot: int
@@ -361,8 +361,8 @@
         if message.value is not None and (record is None or message.slot > record.slot):
             document = message.value.document
             updated = Record((message.value,), message.slot, NO_BALLOT, NO_BALLOT, None, 0, document)
-            told = Known(self.name, message.slot)
-            return self._replace(record=updated, told=()), [Keep(updated), Send(sender, told)]
+            reply = Known(self.name, message.slot)
+            return self._replace(record=updated, told=()), [Keep(updated), Send(sender, reply)]
         return self, [] if record is None else [Send(sender, Known(self.name, record.slot))]
 
     # Recovery of a voter without a record
@@ -370,9 +370,9 @@
     def on_known(self, message: Known) -> Step:
         """Vote again, after losing the disk, only in slots in which this voter cannot have voted before.
 
-        The highest such slot is two past the latest slot known to a majority of the voters: to vote in a slot
-        a voter must know the value of the previous one, and that was chosen by a majority that knew the value
-        of the one before it.
+        It cannot have voted beyond the second slot past the latest one that a majority of the voters reports:
+        to vote in a slot a voter must know the value of the previous one, and that was chosen by a majority
+        that knew the value of the one before it.
         """
         if self.record is not None or message.voter == self.name or message.voter not in self.voters:
             return self, []
@@ -389,7 +389,7 @@
     def on_renew(self, message: Renew, now: int) -> Step:
         """Grant a lease on the latest version, once no other member holds one on an older version.
 
-        A refusal member gets no answer and asks again.
+        A member that gets no grant gets no answer either, and asks again.
         """
         record = self.record
         if record is None:
@@ -489,7 +489,7 @@
 
 
 class Proposer(NamedTuple):
-    """One round of proposing a value in a slot; `again` starts the next round."""
+    """One round of proposing a value in a slot; `next_round` starts another one."""
 
     name: str
     voters: tuple[str, ...]
@@ -611,8 +611,8 @@
     def on_current(self, message: Current) -> tuple[Holder, bool]:
         """Switch to this version if it is newer, and serve none until it is granted.
 
-        Also returns whether it was newer: then call `released` as soon as no request is in flight under the
-        previous version. Versions in between may be skipped, since each has the whole policy.
+        Also returns whether it was newer: then call `release_messages` as soon as no request is in flight
+        under the previous version. Versions in between may be skipped, since each has the whole policy.
         """
         if message.slot <= self.version:
             return self, False
--- a/sorrelfront/fleet/council.py
+++ b/sorrelfront/fleet/council.py
@@ -52,7 +52,7 @@
 log = logging.getLogger("sorrelfront.fleet")
 
 MAX_INBOX_MESSAGES = 1_024  # messages that wait for a voter's disk; beyond this they are dropped and counted
-RENEWALS_PER_LEASE = 4  # per lease: three may be lost
+RENEWALS_PER_LEASE = 4  # three may be lost without losing the lease
 # Between two requests while it has no lease; the interval doubles from the first to the second. Other members
 # release theirs within milliseconds, or it takes up to a whole lease.
 MIN_REQUEST_INTERVAL_US, MAX_REQUEST_INTERVAL_US = 20_000, 160_000
@@ -85,7 +85,7 @@
 
 
 class Council:
-    """This member's part in the agreement. `start` it, pass messages to `hear`, and `close` it."""
+    """This member's part in the agreement. `start` it, pass messages to `receive`, and `close` it."""
 
     def __init__(
         self, name: str, voters: tuple[str, ...], lease_us: int, ports: Ports,
@@ -105,7 +105,7 @@
         self.applied_version = 0  # the version that is applied, and that requests are decided under
         self._switching = False  # a newer version is known, and requests are in flight under the previous one
         self._previous_lease_until = 0  # when the lease on the previous version expires
-        self._wait_until = now + self._grant_timeout_us  # for a first lease; past it, the member is cut off
+        self._wait_until = now + self._grant_timeout_us  # for a lease; past it, the member is cut off
         self._without_lease = True  # has no lease, as of the last check
         self._uninitialized: set[str] = set()
         self.fault = ""
--- a/tests/daemon/test_gate.py
+++ b/tests/daemon/test_gate.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.attempts: list[asyncio.Future[Ended]] = []
 
-    def begin(self, *told: Any) -> None:
+    def begin(self, *arguments: Any) -> None:
         return None
 
     async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
@@ -66,7 +66,7 @@
         self.policy_member, self.upstream = FakePolicyMember(), FakeUpstream()
         servers = [member("s1", "127.0.0.1:1"), member("s2", "127.0.0.1:2")]
         config = parse(table("127.0.0.1:9", servers))
-        self.agent = GatedAgent(config, self.upstream, lambda *told: FakeSource())
+        self.agent = GatedAgent(config, self.upstream, lambda *arguments: FakeSource())
         self.agent.council = cast(Council, self.policy_member)
         self.agent.header = True
         self.agent.start()
