--- a/sorrelfront/platform/__init__.py
+++ b/sorrelfront/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's program and the simulator's adapter."""
+"""The agent's program on a platform, and the adapter to the simulator's line protocol."""
--- a/sorrelfront/platform/__main__.py
+++ b/sorrelfront/platform/__main__.py
@@ -1,4 +1,4 @@
-"""One agent: `python -m sorrelfront.platform`, told by the environment what it is."""
+"""The program of one agent, `python -m sorrelfront.platform`, configured by its environment."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from sorrelfront.platform.config import BadConfig, load
 from sorrelfront.platform.control import ControlPort
 from sorrelfront.platform.service import Service
-from sorrelfront.platform.upgrade import find
+from sorrelfront.platform.upgrade import find_predecessor
 from sorrelfront.signals import ignore_from_here, on_signal
 from sorrelfront.sources.registry import watch
 from sorrelfront.terms import Config
@@ -31,15 +31,16 @@
 
 
 class MonotonicFormatter(logging.Formatter):
-    """Lines that tell the monotonic time too, in seconds: where the two clocks part, the wall clock was set.
+    """Adds the monotonic time in seconds to each line, so that steps of the wall clock can be seen.
 
-    A record whose like were left out before it (`RateLimit`) says how many.
+    A record that follows suppressed records of its kind (`RateLimit`) tells how many were suppressed.
     """
 
     def __init__(self) -> None:
         super().__init__("%(asctime)s [%(monotonic).3f] %(levelname)s %(name)s: %(message)s")
 
     def format(self, record: logging.LogRecord) -> str:
+        """Format a record, with the number of records of its kind suppressed before it."""
         record.monotonic = time.monotonic()
         text = super().format(record)
         left_out = getattr(record, "left_out", 0)
@@ -47,12 +48,12 @@
 
 
 def reload(environ: Mapping[str, str], service: Service) -> None:
-    """Put a new configuration in force, or keep the old one. Requests under way go on either way."""
+    """Apply a new configuration, or keep the old one if it is invalid. Requests in flight continue."""
     try:
-        config = load(environ, again=True)
+        config = load(environ, reloading=True)
     except BadConfig as fault:
         log.error("the new configuration is not used: %s", " ".join(str(fault).split()))
-        service.reload_faults += 1
+        service.reload_failures += 1
         return
     service.reload(config)
     service.reloads += 1
@@ -60,9 +61,9 @@
 
 
 def shared_folder(environ: Mapping[str, str]) -> Path | None:
-    """Where another version of this agent finds what this one leaves."""
-    told = environ.get("TMPDIR")
-    return Path(told) if told and Path(told).is_dir() else None
+    """Return the directory shared with other versions of this agent, if TMPDIR names one."""
+    folder = environ.get("TMPDIR")
+    return Path(folder) if folder and Path(folder).is_dir() else None
 
 
 def _cannot_listen(key: str, address: Address, fault: OSError) -> BadConfig:
@@ -70,14 +71,18 @@
 
 
 async def serve(config: Config) -> None:
-    """Run until SIGTERM, then finish what is owed."""
+    """Run until SIGTERM, then finish the requests in flight.
+
+    Raises:
+        BadConfig: An address cannot be listened at.
+    """
     folder = shared_folder(os.environ)
-    predecessor = find(folder, config.listen)
+    predecessor = find_predecessor(folder, config.listen)
     descriptors = Descriptors(config.sockets)
     upstream = Upstream(descriptors.backends, config.idle_us, config.settings.connect_timeout_us)
     agent = Agent(config, upstream, watch)
-    going_away = asyncio.Event()
-    on_signal(signal.SIGTERM, going_away.set)
+    stop_requested = asyncio.Event()
+    on_signal(signal.SIGTERM, stop_requested.set)
     service = Service(config, agent, upstream, folder, predecessor)
     control = None
     if config.control is not None:
@@ -101,7 +106,7 @@
         "%s: %d MB, %d descriptors, settings %s",
         config.name, config.memory_bytes >> 20, config.sockets, config.settings,
     )  # fmt: skip
-    await going_away.wait()
+    await stop_requested.wait()
     await service.close()
     if control is not None:
         control.close()
@@ -110,14 +115,17 @@
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload; left alone, it kills
+    """Run the agent and return the exit code: 2 for an invalid configuration."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the default would end the process before it can reload
     handler = logging.StreamHandler()
     handler.addFilter(RateLimit())
     handler.setFormatter(MonotonicFormatter())
     logging.basicConfig(level=logging.INFO, handlers=[handler])
-    # What is loaded by now stays. Risk: exceptions and tasks make cycles, and one that is looked for too
-    # seldom keeps buffers and bodies with it; a full collection of the rest takes a few milliseconds. Ten by
-    # ten rounds would come once in four minutes of rough clients: what outlives two stays as long.
+    # Modules loaded by now are never freed, so collections skip them. Exceptions and tasks form reference
+    # cycles that keep buffers and bodies alive until they are collected, so collections have to be frequent.
+    # A full one of the remaining objects takes a few milliseconds. With 10 and 10 for the last two thresholds
+    # it would come once in four minutes under misbehaving clients, and garbage that had survived two
+    # collections would stay as long.
     gc.freeze()
     gc.set_threshold(5_000, 4, 2)
     try:
--- a/sorrelfront/platform/adapter.py
+++ b/sorrelfront/platform/adapter.py
@@ -1,6 +1,9 @@
-"""Hosts Balancers on the operators' wire: `python -m sorrelfront.platform.adapter` reads batches of events on
-standard input and answers each with one batch of actions on standard output. Parses, routes, encodes,
-flushes; decides nothing. Instances share nothing but immutable list entries."""
+"""Adapter between balancers and the simulator's line protocol.
+
+`python -m sorrelfront.platform.adapter` reads batches of events on standard input and answers each with one
+batch of actions on standard output. It parses, routes, encodes and flushes, and makes no decisions itself.
+Instances share nothing but immutable list entries.
+"""
 
 from __future__ import annotations
 
@@ -32,18 +35,18 @@
     "3": api.ListKind.FULL,
 }
 EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
-Parts = dict[str, str]
+Fields = dict[str, str]
 
 
-class Malformed(Exception):
-    """A known line that does not say what it must."""
+class MalformedLine(Exception):
+    """A line of a known type lacks a required field, or a field has an invalid value."""
 
 
-def _whole(parts: Parts, name: str) -> int:
-    return int(parts[name])
+def _integer(fields: Fields, name: str) -> int:
+    return int(fields[name])
 
 
-def _table(value: Any, name: str) -> dict[str, Any]:
+def _object(value: Any, name: str) -> dict[str, Any]:
     if not isinstance(value, dict):
         raise ValueError(f"{name} is missing or not an object")
     return value
@@ -56,7 +59,7 @@
     return value
 
 
-def _class(grade: dict[str, Any]) -> api.RequestClass:
+def _request_class(grade: dict[str, Any]) -> api.RequestClass:
     name = str(grade.get("name", ""))
     where = f"grades[{name}]"
     effect = EFFECTS.get(str(grade.get("repeat")))
@@ -79,15 +82,19 @@
 
 
 def parse_settings(options: dict[str, Any]) -> api.Settings:
-    """The wire's start settings in the library's terms; keys it does not know are passed over."""
-    rules = _table(options.get("rules"), "rules")
-    limits = _table(options.get("limits", {}), "limits")
+    """Convert the protocol's start options to settings; unknown keys are ignored.
+
+    Raises:
+        ValueError: An option is missing or invalid; the text names it.
+    """
+    rules = _object(options.get("rules"), "rules")
+    limits = _object(options.get("limits", {}), "limits")
     grades = options.get("grades")
     if not isinstance(grades, list):
         raise ValueError("grades is missing or not a list")
     number = int(options.get("ordinal", 0))
     return api.Settings(
-        classes=tuple(_class(_table(grade, "grades[]")) for grade in grades),
+        classes=tuple(_request_class(_object(grade, "grades[]")) for grade in grades),
         drain_grace_us=int(_number(rules, "stopSendingWithinUs", "rules")),
         cold_from=_number(rules, "coldFrom", "rules"),
         cold_us=int(_number(rules, "coldUs", "rules")),
@@ -106,181 +113,201 @@
     )
 
 
-def parse_backend(parts: Parts) -> api.Backend:
-    state = STATES.get(parts.get("mode", "2"))
+def parse_backend(fields: Fields) -> api.Backend:
+    """Decode one member line of a list.
+
+    Raises:
+        MalformedLine: The mode is unknown.
+        KeyError: The id is missing.
+        ValueError: A number cannot be parsed.
+    """
+    state = STATES.get(fields.get("mode", "2"))
     if state is None:
-        raise Malformed(f"mode is unknown: {parts['mode']}")
+        raise MalformedLine(f"mode is unknown: {fields['mode']}")
     return api.Backend(
-        id=parts["backend"],
-        zone=parts.get("zone", ""),
-        kind=parts.get("classOfHost", ""),
-        cell=int(parts.get("pack", "0")),
+        id=fields["backend"],
+        zone=fields.get("zone", ""),
+        kind=fields.get("classOfHost", ""),
+        cell=int(fields.get("pack", "0")),
         state=state,
-        weight=float(parts.get("powerHint", "1")),
-        started_us=int(parts.get("readyAtUs", "0")),
+        weight=float(fields.get("powerHint", "1")),
+        started_us=int(fields.get("readyAtUs", "0")),
     )
 
 
-def encode(who: str, action: api.Action) -> str:
+def encode(instance: str, action: api.Action) -> str:
+    """Encode one action of an instance as a line, newline included."""
     match action:
         case api.Send(request_id, backend, timeout_us, _):
-            return f"DISPATCH\twho={who}\ttxn={request_id}\tbackend={backend}\ttimeoutUs={timeout_us}\n"
+            return f"DISPATCH\twho={instance}\ttxn={request_id}\tbackend={backend}\ttimeoutUs={timeout_us}\n"
         case api.SetTimer(delay_us, tag):
-            return f"SET_TIMER\twho={who}\tfromNowUs={delay_us}\ttag={tag}\n"
+            return f"SET_TIMER\twho={instance}\tfromNowUs={delay_us}\ttag={tag}\n"
         case api.Refuse(request_id, retry_after_us):
-            return f"BUSY\twho={who}\ttxn={request_id}\tcomeBackUs={retry_after_us}\n"
+            return f"BUSY\twho={instance}\ttxn={request_id}\tcomeBackUs={retry_after_us}\n"
         case api.Fail(request_id):
-            return f"LOSE\twho={who}\ttxn={request_id}\n"
+            return f"LOSE\twho={instance}\ttxn={request_id}\n"
         case api.CancelAttempt(request_id, attempt):
-            return f"DROP_ATTEMPT\twho={who}\ttxn={request_id}\thop={attempt}\n"
+            return f"DROP_ATTEMPT\twho={instance}\ttxn={request_id}\thop={attempt}\n"
         case api.Subscribe():
-            return f"TRACK\twho={who}\tenable=1\n"
+            return f"TRACK\twho={instance}\tenable=1\n"
 
 
-class Host:
-    """The instances of one process and the numbered lists they refer to."""
+class Adapter:
+    """The balancer instances of one process and the numbered lists that their events refer to."""
 
     def __init__(self) -> None:
         self.balancers: dict[str, Balancer] = {}
         self.lists: dict[str, tuple[api.Backend, ...]] = {}
         self.now = 0
         self.out: list[str] = []
-        self.handlers: dict[str, Callable[[str, Balancer, Parts], list[api.Action]]] = {
+        self.handlers: dict[str, Callable[[str, Balancer, Fields], list[api.Action]]] = {
             "REQ": self.request,
-            "ENDED": self.ended,
-            "WAKEUP": lambda who, b, p: b.on_timer(api.Timer(p["tag"]), self.now),
-            "FLEET": self.fleet,
-            "CANCELLED_BY_CLIENT": lambda who, b, p: b.on_client_gone(
-                api.ClientGone(_whole(p, "txn")), self.now
+            "ENDED": self.attempt_ended,
+            "WAKEUP": lambda instance, b, p: b.on_timer(api.Timer(p["tag"]), self.now),
+            "FLEET": self.backend_list,
+            "CANCELLED_BY_CLIENT": lambda instance, b, p: b.on_client_gone(
+                api.ClientGone(_integer(p, "txn")), self.now
             ),
-            "ACCEPTED": lambda who, b, p: b.on_stream_started(
-                api.StreamStarted(_whole(p, "txn"), _whole(p, "hop")), self.now
+            "ACCEPTED": lambda instance, b, p: b.on_stream_started(
+                api.StreamStarted(_integer(p, "txn"), _integer(p, "hop")), self.now
             ),
         }
 
-    def request(self, who: str, balancer: Balancer, parts: Parts) -> list[api.Action]:
+    def request(self, instance: str, balancer: Balancer, fields: Fields) -> list[api.Action]:
+        """Handle REQ: a client's request. Raises MalformedLine if its class is unknown."""
         event = api.Request(
-            int(parts["txn"]),
-            parts["lane"],
-            int(parts["validUntilUs"]),
-            int(parts.get("weightHintUs", "0")),
-            parts.get("billing", ""),
-            parts.get("object", ""),
-            parts.get("retry") == "1",
+            int(fields["txn"]),
+            fields["lane"],
+            int(fields["validUntilUs"]),
+            int(fields.get("weightHintUs", "0")),
+            fields.get("billing", ""),
+            fields.get("object", ""),
+            fields.get("retry") == "1",
         )
         if event.class_name not in balancer.classes:
-            raise Malformed(f"lane is not among the grades: {event.class_name}")
+            raise MalformedLine(f"lane is not among the grades: {event.class_name}")
         return balancer.on_request(event, self.now)
 
-    def ended(self, who: str, balancer: Balancer, parts: Parts) -> list[api.Action]:
+    def attempt_ended(self, instance: str, balancer: Balancer, fields: Fields) -> list[api.Action]:
+        """Handle ENDED: the outcome of one attempt, elapsed time in microseconds."""
         event = api.AttemptEnded(
-            int(parts["txn"]),
-            int(parts["hop"]),
-            OUTCOMES.get(parts["outcome"], api.Outcome.UNKNOWN),
-            int(parts["elapsedUs"]),
-            parts.get("over") == "1",
+            int(fields["txn"]),
+            int(fields["hop"]),
+            OUTCOMES.get(fields["outcome"], api.Outcome.UNKNOWN),
+            int(fields["elapsedUs"]),
+            fields.get("over") == "1",
         )
         return balancer.on_attempt_ended(event, self.now)
 
-    def fleet(self, who: str, balancer: Balancer, parts: Parts) -> list[api.Action]:
-        kind = LISTS.get(parts["scope"])
+    def backend_list(self, instance: str, balancer: Balancer, fields: Fields) -> list[api.Action]:
+        """Handle FLEET: a list from discovery, or its failure. Raises MalformedLine for an unknown list."""
+        kind = LISTS.get(fields["scope"])
         if kind is None:
-            raise Malformed(f"scope is unknown: {parts['scope']}")
+            raise MalformedLine(f"scope is unknown: {fields['scope']}")
         backends: tuple[api.Backend, ...] = ()
         if kind is not api.ListKind.FAILED:
-            if parts["rosterId"] not in self.lists:
-                raise Malformed(f"rosterId names no list: {parts['rosterId']}")
-            backends = self.lists[parts["rosterId"]]
+            if fields["rosterId"] not in self.lists:
+                raise MalformedLine(f"rosterId names no list: {fields['rosterId']}")
+            backends = self.lists[fields["rosterId"]]
         return balancer.on_list(api.BackendList(kind, backends), self.now)
 
-    def boot(self, parts: Parts) -> list[api.Action]:
-        options = json.loads(parts["options"])
-        settings = parse_settings(_table(options, "options"))
-        balancer = self.balancers[parts["who"]] = Balancer(settings, _whole(parts, "rngSeed"), self.now)
+    def start_instance(self, fields: Fields) -> list[api.Action]:
+        """Handle BOOT: create an instance, or replace the one of the same name, and start it."""
+        options = json.loads(fields["options"])
+        settings = parse_settings(_object(options, "options"))
+        balancer = self.balancers[fields["who"]] = Balancer(settings, _integer(fields, "rngSeed"), self.now)
         return balancer.start()
 
-    def event(self, word: str, parts: Parts) -> None:
-        """One event line: route it and encode what the decisions answer."""
-        if word == "BOOT":
-            who = parts["who"]
-            actions = self.boot(parts)
-        elif word == "RETIRE":
-            self.balancers.pop(parts["who"], None)
+    def handle_event(self, line_type: str, fields: Fields) -> None:
+        """Route one event line to its instance and encode the resulting actions.
+
+        Events of an unknown type or for an unknown instance are ignored.
+        """
+        if line_type == "BOOT":
+            instance = fields["who"]
+            actions = self.start_instance(fields)
+        elif line_type == "RETIRE":
+            self.balancers.pop(fields["who"], None)
             return
         else:
-            handler = self.handlers.get(word)
+            handler = self.handlers.get(line_type)
             if handler is None:
                 return
-            who = parts["who"]
-            balancer = self.balancers.get(who)
+            instance = fields["who"]
+            balancer = self.balancers.get(instance)
             if balancer is None:
                 return
-            actions = handler(who, balancer, parts)
+            actions = handler(instance, balancer, fields)
         for action in actions:
-            self.out.append(encode(who, action))
+            self.out.append(encode(instance, action))
+
 
+def parse_line(line: str) -> tuple[str, Fields]:
+    """Split a line into its type and its name=value fields.
 
-def split(line: str) -> tuple[str, Parts]:
-    """A line's first part and its name=value pairs; the text fields extend to the end of the line."""
-    head, mark, text = line.partition("\toptions=")
-    word, *pairs = head.split("\t")
-    parts = dict([pair.split("=", 1) for pair in pairs if pair])
-    if mark:
-        parts["options"] = text
-    return word, parts
+    The field `options` is text that extends to the end of the line, tabs included.
+    """
+    head, separator, text = line.partition("\toptions=")
+    line_type, *pairs = head.split("\t")
+    fields = dict([pair.split("=", 1) for pair in pairs if pair])
+    if separator:
+        fields["options"] = text
+    return line_type, fields
 
 
 def serve(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Answer batches until the input ends. Returns the exit code."""
-    host = Host()
-    reading = iter(lines)
-    for number, raw in enumerate(reading, 1):
+    """Answer batches until the input ends, and return the exit code: 2 after a malformed line."""
+    adapter = Adapter()
+    remaining = iter(lines)
+    for number, raw in enumerate(remaining, 1):
         line = raw.rstrip("\n")
         try:
-            word, parts = split(line)
-            if word == "TICK":
-                host.now = _whole(parts, "wallUs")
-            elif word == "FLUSH":
-                host.out.append("OK\n")
-                out.write("".join(host.out))
+            line_type, fields = parse_line(line)
+            if line_type == "TICK":
+                adapter.now = _integer(fields, "wallUs")
+            elif line_type == "FLUSH":
+                adapter.out.append("OK\n")
+                out.write("".join(adapter.out))
                 out.flush()
-                host.out.clear()
-            elif word == "INVENTORY":
+                adapter.out.clear()
+            elif line_type == "INVENTORY":
                 entries = []
-                for _ in range(_whole(parts, "hosts")):
-                    entry, fields = split(next(reading, "").rstrip("\n"))
-                    if entry != "M":
-                        raise Malformed(f"an M line was due, not {entry!r}")
-                    entries.append(parse_backend(fields))
-                host.lists[parts["rosterId"]] = tuple(entries)
-            elif word:
-                host.event(word, parts)
-        except (Malformed, ValueError, KeyError) as fault:
-            what = f"{fault.args[0]} is missing" if isinstance(fault, KeyError) else str(fault)
+                for _ in range(_integer(fields, "hosts")):
+                    entry_type, member_fields = parse_line(next(remaining, "").rstrip("\n"))
+                    if entry_type != "M":
+                        raise MalformedLine(f"an M line was due, not {entry_type!r}")
+                    entries.append(parse_backend(member_fields))
+                adapter.lists[fields["rosterId"]] = tuple(entries)
+            elif line_type:
+                adapter.handle_event(line_type, fields)
+        except (MalformedLine, ValueError, KeyError) as fault:
+            message = f"{fault.args[0]} is missing" if isinstance(fault, KeyError) else str(fault)
             if _from_decisions(fault):
-                _report_bug(host, parts, fault, err)
+                _report_bug(adapter, fields, fault, err)
                 continue
-            print(f"sorrelfront.platform.adapter: line {number}: {what}: {line[:200]}", file=err)
+            print(f"sorrelfront.platform.adapter: line {number}: {message}: {line[:200]}", file=err)
             return 2
         except Exception as fault:
-            _report_bug(host, parts, fault, err)
+            _report_bug(adapter, fields, fault, err)
     return 0
 
 
 def _from_decisions(fault: BaseException) -> bool:
-    """Whether the decisions raised it, and not the reading of the line."""
+    """Tell whether the decision code raised the exception, and not the parsing of the line."""
     frames = [frame.f_code.co_filename for frame, _ in traceback.walk_tb(fault.__traceback__)]
     return any(name.endswith("balancer.py") for name in frames)
 
 
-def _report_bug(host: Host, parts: Parts, fault: BaseException, err: TextIO) -> None:
+def _report_bug(adapter: Adapter, fields: Fields, fault: BaseException, err: TextIO) -> None:
     traceback.print_exception(fault, file=err)
-    what = f"{type(fault).__name__}: {fault}".replace("\n", " ").replace("\r", " ")
-    host.out.append(f"BUG\twho={parts.get('who', '')}\tmsg={what}\n")
+    message = f"{type(fault).__name__}: {fault}".replace("\n", " ").replace("\r", " ")
+    adapter.out.append(f"BUG\twho={fields.get('who', '')}\tmsg={message}\n")
 
 
 def main() -> int:
-    gc.freeze()  # nothing here makes cycles worth collecting often; a full collection would be booked as CPU
+    """Serve standard input and output until the input ends, and return the exit code."""
+    # Little garbage here is cyclic, and the CPU time of full collections is counted against the program.
+    gc.freeze()
     gc.set_threshold(50_000, 20, 50)
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
--- a/sorrelfront/platform/config.py
+++ b/sorrelfront/platform/config.py
@@ -1,4 +1,4 @@
-"""What the agent is told at its start and at each reload: the environment and a JSON file, checked whole."""
+"""The agent's configuration: environment variables and a JSON file, validated at start and reload."""
 
 from __future__ import annotations
 
@@ -15,22 +15,29 @@
 from sorrelfront.terms import Config
 
 CONFIG = "BALANCER_CONFIG"
-LEAST_MEMORY_MB = 1
-LEAST_SOCKETS = 64  # fewer leave no room for a client and a backend beside what is always open
+MIN_MEMORY_MB = 1
+MIN_SOCKETS = 64  # fewer leave none for a client and a backend beside the descriptors that are always open
 
 
 class BadConfig(SorrelfrontError):
-    """A start that cannot be made, in one line."""
+    """The configuration is invalid or cannot be applied; the text is one line."""
 
     remedy = (
-        "Mend the value that is named, in the file that BALANCER_CONFIG names, and start "
-        "or reload again."
+        "Mend the value that is named, in the file that BALANCER_CONFIG names, and start or reload again."
     )
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration that the environment names. `again`: at a reload the file alone tells where discovery
-    is, since the environment still says what held at the start."""
+def load(environ: Mapping[str, str], reloading: bool = False) -> Config:
+    """Read the configuration that the environment names.
+
+    Args:
+        environ: The environment; its variables override values of the file.
+        reloading: Take discovery's address from the file alone. A process's environment does not change, so
+            at a reload it still holds the value of the start.
+
+    Raises:
+        BadConfig: A value is missing or invalid, or the file cannot be read.
+    """
     path = environ.get(CONFIG)
     if not path:
         raise BadConfig(f"{CONFIG} is not set")
@@ -42,13 +49,14 @@
         raise BadConfig(f"{CONFIG}: {path}: not JSON: {fault}") from None
     if not isinstance(table, dict):
         raise BadConfig(f"{CONFIG}: {path}: not an object")
-    for key in ("name", "listen", "control") if again else ("name", "listen", "control", "discovery"):
+    for key in ("name", "listen", "control") if reloading else ("name", "listen", "control", "discovery"):
         if environ.get(f"BALANCER_{key.upper()}"):
             table[key] = environ[f"BALANCER_{key.upper()}"]
     return parse(table)
 
 
 def parse(table: dict[str, Any]) -> Config:
+    """Validate a configuration object. Raises BadConfig, which names the first invalid value."""
     limits = _object(table, "limits")
     settings = _object(table, "settings")
     rules_limits = _object(settings, "limits", "settings.limits")
@@ -58,15 +66,15 @@
             listen=_address(table, "listen"),
             discovery=_address(table, "discovery"),
             seed=_seed(table),
-            memory_bytes=_whole(limits, "memory_mb", "limits.memory_mb", LEAST_MEMORY_MB) * 1024 * 1024,
+            memory_bytes=_integer(limits, "memory_mb", "limits.memory_mb", MIN_MEMORY_MB) * 1024 * 1024,
             sockets=_sockets(limits),
             settings=parse_settings(settings),
             known=_known(table),
-            most_held=_whole(rules_limits, "mostHeld", "settings.limits.mostHeld", 1),
-            idle_us=_whole(rules_limits, "connIdleUs", "settings.limits.connIdleUs", 1),
+            most_held=_integer(rules_limits, "mostHeld", "settings.limits.mostHeld", 1),
+            idle_us=_integer(rules_limits, "connIdleUs", "settings.limits.connIdleUs", 1),
             control=_address(table, "control") if table.get("control") else None,
         )
-    except (ValueError, TypeError, OverflowError) as fault:  # JSON here knows Infinity and NaN
+    except (ValueError, TypeError, OverflowError) as fault:  # json accepts Infinity and NaN
         raise BadConfig(f"settings: {fault}") from None
 
 
@@ -83,10 +91,10 @@
     return value
 
 
-def _whole(table: dict[str, Any], key: str, where: str, least: int) -> int:
+def _integer(table: dict[str, Any], key: str, where: str, minimum: int) -> int:
     value = _value(table, key, where)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < least:
-        raise BadConfig(f"{where} is not a number of at least {least}: {value!r}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < minimum:
+        raise BadConfig(f"{where} is not a number of at least {minimum}: {value!r}")
     return int(value)
 
 
@@ -113,7 +121,7 @@
 
 
 def _sockets(limits: dict[str, Any]) -> int:
-    """The lower of what is told and what the process may hold in fact."""
-    told = _whole(limits, "sockets", "limits.sockets", LEAST_SOCKETS)
+    """Return the lower of the configured number of descriptors and the process's soft limit."""
+    configured = _integer(limits, "sockets", "limits.sockets", MIN_SOCKETS)
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if soft == resource.RLIM_INFINITY else min(told, soft)
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
--- a/sorrelfront/platform/control.py
+++ b/sorrelfront/platform/control.py
@@ -1,16 +1,17 @@
-"""The operators' address: HTTP/1.1, one call to a connection.
+"""The operators' HTTP/1.1 port, with one request per connection.
 
     GET  /ready                         whether this process is ready to serve
-    GET  /metrics                       the figures, a line each
-    POST /backends/disable?target=ID    take a server out by hand
-    POST /backends/enable?target=ID     put it back
-    POST /drain, POST /undrain          take no more clients; take them again
+    GET  /metrics                       the metrics, one per line
+    POST /backends/disable?target=ID    disable a server by an administrative override
+    POST /backends/enable?target=ID     remove the override
+    POST /drain, POST /undrain          accept no more clients; accept them again
 
-2xx means yes; 4xx and 5xx mean no, with the reason as text. What a call does is done before it is answered.
+A 2xx answer means that the request was carried out, which is done before it is answered. 4xx and 5xx answers
+give the reason as text.
 
-A caller that says nothing costs a descriptor and a task, and PEERS_MOST are held: for one more, the one that
-came first of those that have not said all goes. Risk: callers that stay silent keep out those that call.
-Harm: a slow caller among so many has to call again.
+An idle connection costs a descriptor and a task, so at most MAX_CONNECTIONS are open. For one more, the
+oldest of those whose request is incomplete is closed, so that idle callers cannot lock out others. A slow
+caller among that many connections has to repeat its request.
 """
 
 from __future__ import annotations
@@ -28,111 +29,124 @@
 from sorrelfront.messages import Address
 from sorrelfront.net.heads import HEAD_MOST
 from sorrelfront.net.http import Wire, frame
-from sorrelfront.platform.orders_file import Full
+from sorrelfront.platform.orders_file import TooManyDisabled
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 64  # callers that wait to be accepted
-PEERS_MOST = 12  # callers at once, of the descriptors that are kept for such things
-SPEAK_S = 5.0  # from a caller's connection to the end of its call
-BODY_MOST = 4_096  # bytes of a call's body, which says nothing here
-TAKE_S = 1.0  # for a caller to take its answer, and then to close
-ACCEPT_AGAIN_S = 0.1  # after a failed accept
+BACKLOG = 64  # connections that wait to be accepted
+MAX_CONNECTIONS = 12  # open at once; they count against the descriptors reserved for other uses
+REQUEST_TIMEOUT_S = 5.0  # from accepting a connection to the end of its request
+MAX_BODY_BYTES = 4_096  # of a request; bodies are ignored
+SEND_TIMEOUT_S = 1.0  # for a caller to receive its answer, and again to close
+ACCEPT_RETRY_S = 0.1  # pause after a failed accept
 
 
 class Reply(NamedTuple):
+    """The status and the text of an answer."""
+
     status: int
     text: str
 
 
-class Operated(Protocol):
-    """What the calls are about. Orders raise OSError or Full if they cannot be carried out."""
+class AgentOperations(Protocol):
+    """The operations that the port offers. Overrides raise OSError or TooManyDisabled if they fail."""
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Tell whether the process is ready to serve."""
+        ...
 
-    def figures(self) -> dict[str, float]: ...
+    def metrics(self) -> dict[str, float]:
+        """Return the current value of each metric by its name."""
+        ...
 
-    def knows(self, server: str) -> bool: ...
+    def knows(self, server: str) -> bool:
+        """Tell whether the server is listed or disabled."""
+        ...
 
-    def put_out(self, server: str, out: bool) -> None: ...
+    def set_disabled(self, server: str, disabled: bool) -> None:
+        """Disable a server, or enable it again."""
+        ...
 
-    def drain(self, on: bool) -> None: ...
+    def drain(self, on: bool) -> None:
+        """Start or end draining the clients."""
+        ...
 
 
-def answer(operated: Operated, method: str, target: str) -> Reply:
-    """What a call comes to, done by the time this returns."""
+def handle_request(operations: AgentOperations, method: str, target: str) -> Reply:
+    """Carry out a request and return its answer."""
     path, _, query = target.partition("?")
-    known: dict[str, tuple[str, Callable[[], Reply]]] = {
-        "/ready": ("GET", lambda: _ready(operated)),
-        "/metrics": ("GET", lambda: Reply(200, lines(operated.figures()))),
-        "/backends/disable": ("POST", lambda: _put_out(operated, query, True)),
-        "/backends/enable": ("POST", lambda: _put_out(operated, query, False)),
-        "/drain": ("POST", lambda: _drain(operated, True)),
-        "/undrain": ("POST", lambda: _drain(operated, False)),
+    routes: dict[str, tuple[str, Callable[[], Reply]]] = {
+        "/ready": ("GET", lambda: _ready(operations)),
+        "/metrics": ("GET", lambda: Reply(200, format_metrics(operations.metrics()))),
+        "/backends/disable": ("POST", lambda: _set_disabled(operations, query, True)),
+        "/backends/enable": ("POST", lambda: _set_disabled(operations, query, False)),
+        "/drain": ("POST", lambda: _drain(operations, True)),
+        "/undrain": ("POST", lambda: _drain(operations, False)),
     }
-    if path not in known:
+    if path not in routes:
         return Reply(404, "no such call is known here\n")
-    wanted, act = known[path]
-    if method != wanted:
-        return Reply(405, f"this call is a {wanted}\n")
-    return act()
+    allowed, action = routes[path]
+    if method != allowed:
+        return Reply(405, f"this call is a {allowed}\n")
+    return action()
 
 
-def lines(figures: dict[str, float]) -> str:
-    """One `app.NAME=VALUE` a line."""
+def format_metrics(metrics: dict[str, float]) -> str:
+    """Write the metrics as text, with one `app.NAME=VALUE` per line."""
     return "".join(f"app.{name}={value:g}\n" if value % 1 else f"app.{name}={int(value)}\n"
-                   for name, value in figures.items())  # fmt: skip
+                   for name, value in metrics.items())  # fmt: skip
 
 
-def _ready(operated: Operated) -> Reply:
-    return Reply(200, "ready\n") if operated.ready() else Reply(503, "not ready\n")
+def _ready(operations: AgentOperations) -> Reply:
+    return Reply(200, "ready\n") if operations.ready() else Reply(503, "not ready\n")
 
 
-def _put_out(operated: Operated, query: str, out: bool) -> Reply:
+def _set_disabled(operations: AgentOperations, query: str, disabled: bool) -> Reply:
     try:
         targets = parse_qs(query, strict_parsing=True, max_num_fields=8, errors="strict").get("target", [])
     except ValueError:
         targets = []
     if len(targets) != 1:
         return Reply(400, "one target=ID is wanted\n")
-    if not operated.knows(targets[0]):
+    if not operations.knows(targets[0]):
         return Reply(404, "no server of that id is known here\n")
     try:
-        operated.put_out(targets[0], out)
-    except (OSError, Full) as fault:
+        operations.set_disabled(targets[0], disabled)
+    except (OSError, TooManyDisabled) as fault:
         return Reply(503, f"not done: {fault}\n")
-    return Reply(200, "it is out\n" if out else "it is back\n")
+    return Reply(200, "it is out\n" if disabled else "it is back\n")
 
 
-def _drain(operated: Operated, on: bool) -> Reply:
-    operated.drain(on)
+def _drain(operations: AgentOperations, on: bool) -> Reply:
+    operations.drain(on)
     return Reply(200, "draining\n" if on else "clients are taken\n")
 
 
 class ControlPort:
-    """Listens at the operators' address."""
+    """Accepts operators' connections and answers their requests."""
 
-    def __init__(self, address: Address, operated: Operated) -> None:
-        """Raises OSError."""
-        self._operated = operated
+    def __init__(self, address: Address, operations: AgentOperations) -> None:
+        """Listen at the address. Raises OSError if that fails."""
+        self._operations = operations
         self._sock = socket.create_server(address, backlog=BACKLOG)
         self._sock.setblocking(False)
-        self._peers: dict[asyncio.Task[None], None] = {}  # oldest first
-        self._speaking: dict[asyncio.Task[None], None] = {}  # those that have not said all, oldest first
+        self._tasks: dict[asyncio.Task[None], None] = {}  # one per connection, oldest first
+        self._reading: dict[asyncio.Task[None], None] = {}  # those with an incomplete request, oldest first
         self._loop = asyncio.get_running_loop()
         self._loop.add_reader(self._sock.fileno(), self._accept)
 
     @property
     def address(self) -> Address:
+        """The address that the port listens at."""
         host, port = self._sock.getsockname()
         return host, port
 
     def close(self) -> None:
-        """No more calls; those under way are cut."""
+        """Stop listening and abort the requests in progress."""
         if self._sock.fileno() >= 0:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
-        for task in [*self._peers]:
+        for task in [*self._tasks]:
             task.cancel()
 
     def _accept(self) -> None:
@@ -144,34 +158,34 @@
             except OSError as fault:
                 log.warning("accepting a call failed: %s", fault)
                 self._loop.remove_reader(self._sock.fileno())
-                self._loop.call_later(ACCEPT_AGAIN_S, self._resume)
+                self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
                 return
-            if len(self._peers) >= PEERS_MOST:
-                oldest = next(iter(self._speaking or self._peers))
-                self._forget(oldest)
+            if len(self._tasks) >= MAX_CONNECTIONS:
+                oldest = next(iter(self._reading or self._tasks))
+                self._remove_task(oldest)
                 oldest.cancel()
             sock.setblocking(False)
             task = asyncio.create_task(self._serve(Wire(sock)))
-            self._peers[task] = self._speaking[task] = None
-            task.add_done_callback(self._forget)
+            self._tasks[task] = self._reading[task] = None
+            task.add_done_callback(self._remove_task)
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._sock.fileno() >= 0:
             self._loop.add_reader(self._sock.fileno(), self._accept)
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
-        self._peers.pop(task, None)
-        self._speaking.pop(task, None)
+    def _remove_task(self, task: asyncio.Task[None]) -> None:
+        self._tasks.pop(task, None)
+        self._reading.pop(task, None)
 
     async def _serve(self, wire: Wire) -> None:
         parser = h11.Connection(h11.SERVER, HEAD_MOST)
         try:
-            async with asyncio.timeout(SPEAK_S):
-                reply = await self._heard(parser, wire)
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                reply = await self._receive_request(parser, wire)
             task = asyncio.current_task()
             if task is not None:
-                self._speaking.pop(task, None)
-            await self._say(parser, wire, reply)
+                self._reading.pop(task, None)
+            await self._send_reply(parser, wire, reply)
         except (OSError, asyncio.CancelledError):  # TimeoutError is an OSError
             pass
         except Exception:
@@ -179,8 +193,8 @@
         finally:
             wire.close()
 
-    async def _heard(self, parser: h11.Connection, wire: Wire) -> Reply:
-        """Read a call and carry it out. Raises OSError if the caller went away or said nothing."""
+    async def _receive_request(self, parser: h11.Connection, wire: Wire) -> Reply:
+        """Read a request and carry it out. Raises OSError if the caller closes the connection."""
         request: h11.Request | None = None
         body = 0
         try:
@@ -188,8 +202,8 @@
                 event = parser.next_event()
                 if event is h11.NEED_DATA:
                     if parser.they_are_waiting_for_100_continue:
-                        go_on = parser.send(h11.InformationalResponse(status_code=100, headers=[]))
-                        await wire.send(go_on or b"", TAKE_S)
+                        interim = parser.send(h11.InformationalResponse(status_code=100, headers=[]))
+                        await wire.send(interim or b"", SEND_TIMEOUT_S)
                     data = await wire.receive()
                     if not data:
                         raise ConnectionResetError("the caller went away")
@@ -198,20 +212,22 @@
                     request = event
                 elif isinstance(event, h11.Data):
                     body += len(event.data)
-                    if body > BODY_MOST:
+                    if body > MAX_BODY_BYTES:
                         return Reply(413, "the body of a call is too long\n")
                 elif isinstance(event, h11.EndOfMessage):
                     assert request is not None
                     method, target = request.method.decode("ascii"), request.target.decode("ascii")
-                    return answer(self._operated, method, target)
+                    return handle_request(self._operations, method, target)
                 else:
                     raise ConnectionResetError("the caller went away")
         except h11.RemoteProtocolError as fault:
             return Reply(fault.error_status_hint, f"{fault}\n")
 
-    async def _say(self, parser: h11.Connection, wire: Wire, reply: Reply) -> None:
-        """Answer, and give the caller time to read it. Risk: closed with bytes unread, a reset would overtake
-        the answer."""
+    async def _send_reply(self, parser: h11.Connection, wire: Wire, reply: Reply) -> None:
+        """Send the answer, then wait for the caller to close.
+
+        Closing a socket with unread bytes sends a reset, which can reach the caller before the answer.
+        """
         data = reply.text.encode("utf-8", "replace")
         head = h11.Response(
             status_code=reply.status,
@@ -220,9 +236,9 @@
                 ("Connection", "close"),
             ],
         )  # fmt: skip
-        await wire.send(frame(parser, head, h11.Data(data=data), h11.EndOfMessage()), TAKE_S)
+        await wire.send(frame(parser, head, h11.Data(data=data), h11.EndOfMessage()), SEND_TIMEOUT_S)
         wire.shutdown(socket.SHUT_WR)
         with contextlib.suppress(OSError):
-            async with asyncio.timeout(TAKE_S):
+            async with asyncio.timeout(SEND_TIMEOUT_S):
                 while await wire.receive():
                     pass
--- a/sorrelfront/platform/orders_file.py
+++ b/sorrelfront/platform/orders_file.py
@@ -1,10 +1,10 @@
-"""The servers out by hand, in a file that the next version of this program finds.
+"""Administrative overrides: the servers disabled by operators, in a file shared by versions of the program.
 
-Two versions of one agent serve together for some seconds (`upgrade.py`), and an order may be given to either.
-So the file is what holds: who is given an order changes the file, under a lock, and each looks at it every
-LOOK_S. It is replaced whole (rename(2)), so that a process that is killed leaves the old or the new one.
-
-Risk: an order that is only in one process's memory is broken by the other one, or forgotten with it.
+Two versions of one agent serve together for some seconds (`upgrade.py`), and an override may be given to
+either. An override that only one process kept in memory would be ignored by the other, and lost when the
+process ends. So the file is authoritative: the process that is given an override changes the file under a
+lock, and each process polls it every POLL_INTERVAL_S. The file is replaced as a whole (rename(2)), so that a
+process that is killed leaves either the old or the new content.
 """
 
 from __future__ import annotations
@@ -23,72 +23,79 @@
 
 log = logging.getLogger(__name__)
 
-LOCK_TRIES = 200
-LOCK_PAUSE_S = 0.001
-LOOK_S = 0.1  # between looks: a drain has to hold within 500 ms of the order
-BYTES_MOST = 4 * 1024 * 1024  # above OUT_MOST ids of ID_MOST characters at four bytes less than a third
+LOCK_ATTEMPTS = 200
+LOCK_RETRY_S = 0.001
+POLL_INTERVAL_S = 0.1  # a drain must take effect within 500 ms of the override
+MAX_FILE_BYTES = 4 * 1024 * 1024  # enough for OUT_MOST ids of ID_MOST ASCII characters
 
 
-class Full(SorrelfrontError):
-    """More servers are out by hand than may be."""
+class TooManyDisabled(SorrelfrontError):
+    """The limit on the number of disabled servers is reached, or a server's id is too long."""
 
     remedy = "Put servers back that need not be out, or take them out of the list itself."
 
 
 class OrdersFile:
-    """The ids that are out by hand. Without a folder they are kept in memory alone."""
+    """The ids of the servers that operators have disabled. Without a folder they are kept only in memory."""
 
     def __init__(self, folder: Path | None) -> None:
         self._path = folder / "out-by-hand.json" if folder is not None else None
-        self._stamp: tuple[int, int, int] | None = None  # what was read last: inode, time of change, size
-        self.out: frozenset[str] = frozenset()
+        self._file_state: tuple[int, int, int] | None = None  # inode, mtime, size of what was read last
+        self.disabled: frozenset[str] = frozenset()
         self._failed = False
-        self.look()
+        self.refresh()
+
+    def refresh(self) -> bool:
+        """Read the file if it has changed, and return whether the set of disabled servers is another one.
 
-    def look(self) -> bool:
-        """Read the file if it is another one than before. Whether other servers are out now."""
-        before = self.out
+        If the file is missing or cannot be read, the known set stays in force.
+        """
+        before = self.disabled
         if self._path is None:
             return False
         try:
             found = os.stat(self._path)
-            stamp = (found.st_ino, found.st_mtime_ns, found.st_size)
-            if stamp != self._stamp:
-                self.out = self._read()
-                self._stamp = stamp
+            file_state = (found.st_ino, found.st_mtime_ns, found.st_size)
+            if file_state != self._file_state:
+                self.disabled = self._read()
+                self._file_state = file_state
         except FileNotFoundError:
-            return False  # nobody has given an order, or the folder went: what is known holds on
+            return False  # no override was ever given, or the folder was removed
         except (OSError, ValueError) as fault:
-            # What was known holds on. Risk: an unreadable file would put every server back at once.
+            # The known set stays: an unreadable file must not enable every server at once.
             if not self._failed:
                 log.error("the orders of %s are not read: %s", self._path, fault)
             self._failed = True
             return False
         self._failed = False
-        return self.out != before
+        return self.disabled != before
+
+    def set_disabled(self, server: str, disable: bool) -> None:
+        """Disable a server, or enable it again. If this raises, nothing has changed.
 
-    def change(self, server: str, out: bool) -> None:
-        """Put a server out, or back. Raises Full, or OSError if the file cannot be written; then nothing has
-        changed."""
+        Raises:
+            TooManyDisabled: The limit on the number of servers is reached, or the id is too long.
+            OSError: The file cannot be locked or written.
+        """
         with self._locked():
-            self.look()
-            wanted = self.out | {server} if out else self.out - {server}
-            if wanted == self.out:
+            self.refresh()
+            wanted = self.disabled | {server} if disable else self.disabled - {server}
+            if wanted == self.disabled:
                 return
-            if out and (len(wanted) > OUT_MOST or len(server) > ID_MOST):
-                raise Full(f"{OUT_MOST} servers are out by hand already, or the id is too long")
+            if disable and (len(wanted) > OUT_MOST or len(server) > ID_MOST):
+                raise TooManyDisabled(f"{OUT_MOST} servers are out by hand already, or the id is too long")
             if self._path is not None:
-                fresh = self._path.with_suffix(".new")
-                fresh.write_text(json.dumps(sorted(wanted)))
-                fresh.replace(self._path)
-            self.out = wanted
+                temporary = self._path.with_suffix(".new")
+                temporary.write_text(json.dumps(sorted(wanted)))
+                temporary.replace(self._path)
+            self.disabled = wanted
 
     def _read(self) -> frozenset[str]:
-        """Raises OSError and ValueError."""
+        """Read and validate the file. Raises OSError, or ValueError for invalid content."""
         assert self._path is not None
         with self._path.open("rb") as file:
-            data = file.read(BYTES_MOST + 1)
-        if len(data) > BYTES_MOST:
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
             raise ValueError("it is too long")
         try:
             value = json.loads(data)
@@ -102,7 +109,7 @@
 
     @contextlib.contextmanager
     def _locked(self) -> Iterator[None]:
-        """Nobody else changes the file meanwhile. Raises OSError if somebody holds on to it."""
+        """Hold the lock that excludes other writers. Raises OSError if another process keeps it."""
         if self._path is None:
             yield
             return
@@ -114,16 +121,19 @@
             os.close(descriptor)
 
 
-
-
 def _lock(descriptor: int) -> None:
-    """Take the lock, which is held for a read and a write of memory: microseconds. Raises OSError.
+    """Take the lock, which is normally held for microseconds.
+
+    The number of attempts is limited, because a process that was stopped while it held the lock would
+    otherwise block this one for ever.
 
-    Risk: waited for without end, a process that was stopped while it held the lock would stop this one."""
-    for _ in range(LOCK_TRIES):
+    Raises:
+        OSError: The lock is still held after LOCK_ATTEMPTS attempts, or cannot be taken.
+    """
+    for _ in range(LOCK_ATTEMPTS):
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             return
         except BlockingIOError:
-            time.sleep(LOCK_PAUSE_S)
+            time.sleep(LOCK_RETRY_S)
     raise TimeoutError("another process holds the lock of the orders")
--- a/sorrelfront/platform/service.py
+++ b/sorrelfront/platform/service.py
@@ -1,4 +1,4 @@
-"""One agent as its operators see it: orders, figures, drain, and the version that comes next."""
+"""The operations of one agent: administrative overrides, metrics, drain, reload and hot upgrade."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.net.budget import OTHER_DESCRIPTORS, BodyBudget, Descriptors
 from sorrelfront.net.transient import until_possible
-from sorrelfront.platform.orders_file import LOOK_S, OrdersFile
-from sorrelfront.platform.upgrade import Predecessor, Succession
+from sorrelfront.platform.orders_file import POLL_INTERVAL_S, OrdersFile
+from sorrelfront.platform.upgrade import Predecessor, Successor
 from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 log = logging.getLogger(__name__)
 
-# For discovery's first word before a next version serves, or one whose list is pushed. Risk: by the list it
-# was started with, it would send to servers that have begun to drain since. Discovery may be down, and a
-# version has 6 s in all.
-LIST_WITHIN_S = 2.0
-LOOK_LIST_S = 0.01  # between looks for it
+# How long a next version, or one whose list is pushed, waits for discovery's first list before it serves. The
+# list that it was started with may still name servers that have begun to drain since. The wait is limited,
+# since discovery may be down and a version has 6 s in all to start.
+LIST_TIMEOUT_S = 2.0
+LIST_POLL_S = 0.01  # between checks for the list
 
 
 class Service:
-    """Puts the parts of one agent together, and carries operators' calls out (`control.Operated`)."""
+    """Connects the parts of one agent and implements the operators' requests (`control.AgentOperations`)."""
 
     def __init__(
         self,
@@ -41,26 +41,26 @@
         self._upstream = upstream
         self._folder = folder
         self._predecessor = predecessor
-        self._needed_there = config.sockets // 2 if predecessor is not None else 0
+        self._predecessor_needs = config.sockets // 2 if predecessor is not None else 0
         self._orders = OrdersFile(folder)
-        self._succession: Succession | None = None
+        self._successor: Successor | None = None
         self.listener: Listener | None = None
-        self.reloads = self.reload_faults = 0
-        self._looking: asyncio.TimerHandle | None = None
-        agent.put_out(self._orders.out)
+        self.reloads = self.reload_failures = 0
+        self._poll_timer: asyncio.TimerHandle | None = None
+        agent.put_out(self._orders.disabled)
         self.resize()
-        self._look()
+        self._poll_overrides()
 
     async def listen(self) -> Listener:
-        """Take clients, and tell the version before. Raises OSError."""
+        """Accept clients, and tell the previous version that this one serves. Raises OSError."""
         address = self._config.listen
         if self._predecessor is not None:
-            self._predecessor.watch(self._told_there)
+            self._predecessor.watch(self._predecessor_changed)
             self._agent.ask()
         if self._predecessor is not None or self._agent.pushed:
-            until = time.monotonic() + LIST_WITHIN_S
-            while not self._agent.listed and time.monotonic() < until:
-                await asyncio.sleep(LOOK_LIST_S)
+            give_up_at = time.monotonic() + LIST_TIMEOUT_S
+            while not self._agent.listed and time.monotonic() < give_up_at:
+                await asyncio.sleep(LIST_POLL_S)
         memory = self._config.memory_bytes if self._predecessor is None else self._config.memory_bytes // 2
         descriptors = self._descriptors()
         where = address if self._predecessor is None else self._predecessor.listening
@@ -69,8 +69,12 @@
         )
         if self._folder is not None:
             try:
-                self._succession = Succession(
-                    self._folder, address, self.listener.fileno, self._needed, self._successor_changed
+                self._successor = Successor(
+                    self._folder,
+                    address,
+                    self.listener.fileno,
+                    self._descriptors_needed,
+                    self._successor_changed,
                 )
             except OSError as fault:
                 log.warning("the next version will have to listen beside this one: %s", fault)
@@ -79,66 +83,71 @@
         return self.listener
 
     async def close(self) -> None:
-        """Finish what is owed. A next version that serves has the queue."""
+        """Finish the requests in flight and stop. A next version keeps the listening socket's queue."""
         assert self.listener is not None
-        # Here but not yet ready, it holds the queue too, and will serve who waits there.
-        others = self._succession is not None and self._succession.here
+        # A next version that is connected but not yet ready shares the queue too, and will serve it.
+        others = self._successor is not None and self._successor.connected
         await self.listener.close(others)
-        if self._looking is not None:
-            self._looking.cancel()
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
         if self._predecessor is not None:
             self._predecessor.close()
-        if self._succession is not None:
-            self._succession.close()
+        if self._successor is not None:
+            self._successor.close()
 
     def reload(self, config: Config) -> None:
+        """Apply a new configuration; another control address takes a restart."""
         if config.control != self._config.control:
-            log.warning("control is another address; that takes a restart")
+            log.warning("the control address has changed; that takes a restart")
         self._config = config
         self._agent.reload(config)
         self.resize()
 
-    # What operators ask
+    # Operators' requests
 
     def ready(self) -> bool:
+        """Tell whether the agent accepts clients."""
         return self.listener is not None and not self.listener.refusing
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
+        """Return the current value of each metric by its name."""
         agent = self._agent
-        told: dict[str, float] = {}
+        values: dict[str, float] = {}
         for name, tally in agent.tallies.items():
-            told[f"success.{name}"] = tally.served
-            told[f"overload.{name}"] = tally.refused
-            told[f"error.{name}"] = tally.failed
-        told["dispatches"] = self._upstream.written
-        told["concurrent"] = 0 if self.listener is None else self.listener.taken
-        told["targets"] = agent.targets
-        told["targets_disabled"] = agent.avoided
-        told["reload_success"] = self.reloads
-        told["reload_failure"] = self.reload_faults
-        return told
+            values[f"success.{name}"] = tally.served
+            values[f"overload.{name}"] = tally.refused
+            values[f"error.{name}"] = tally.failed
+        values["dispatches"] = self._upstream.written
+        values["concurrent"] = 0 if self.listener is None else self.listener.taken
+        values["targets"] = agent.targets
+        values["targets_disabled"] = agent.avoided
+        values["reload_success"] = self.reloads
+        values["reload_failure"] = self.reload_failures
+        return values
 
     def knows(self, server: str) -> bool:
-        self._take_orders()
+        """Tell whether the server is listed, or disabled by an override of any version."""
+        self._apply_overrides()
         return self._agent.knows(server)
 
-    def put_out(self, server: str, out: bool) -> None:
-        """Raises OSError or Full, and then nothing has changed."""
-        self._orders.change(server, out)
-        self._agent.put_out(self._orders.out)
-        log.warning("by hand: %s is %s", server[:64], "out" if out else "back")
+    def set_disabled(self, server: str, disabled: bool) -> None:
+        """Disable a server, or enable it again. After OSError or TooManyDisabled nothing has changed."""
+        self._orders.set_disabled(server, disabled)
+        self._agent.put_out(self._orders.disabled)
+        log.warning("administrative override: %s is %s", server[:64], "disabled" if disabled else "enabled")
 
     def drain(self, on: bool) -> None:
+        """Start or end draining the clients."""
         if self.listener is not None:
             self.listener.drain(on)
-        log.warning("by hand: %s", "draining" if on else "clients are taken")
+        log.warning("administrative override: %s", "draining" if on else "accepting clients")
 
-    # Beside another version
+    # Hot upgrade
 
     def resize(self) -> None:
-        """Limits as they are by now, alone or beside another version."""
+        """Adapt the limits on descriptors and memory to whether another version runs beside this one."""
         config, descriptors = self._config, self._descriptors()
-        alone = self._predecessor is None and not (self._succession is not None and self._succession.here)
+        alone = self._predecessor is None and not (self._successor is not None and self._successor.connected)
         self._upstream.resize(descriptors.backends, config.idle_us, config.settings.connect_timeout_us)
         if self.listener is not None:
             self.listener.resize(descriptors, config.memory_bytes if alone else config.memory_bytes // 2)
@@ -146,37 +155,37 @@
     def _descriptors(self) -> Descriptors:
         sockets = self._config.sockets
         if self._predecessor is not None:
-            sockets = max(sockets // 2, sockets - self._needed_there)
-        elif self._succession is not None and self._succession.here:
+            sockets = max(sockets // 2, sockets - self._predecessor_needs)
+        elif self._successor is not None and self._successor.connected:
             sockets //= 2
         return Descriptors(sockets)
 
-    def _needed(self) -> int:
+    def _descriptors_needed(self) -> int:
         assert self.listener is not None
         return self.listener.connections + self._upstream.open + OTHER_DESCRIPTORS
 
-    def _told_there(self, needed: int | None) -> None:
-        """The version before still needs so many descriptors, or has ended."""
+    def _predecessor_changed(self, needed: int | None) -> None:
+        """Handle a report from the previous version: the descriptors it still needs, or None at its end."""
         if needed is None:
             log.info("the version before has ended")
             self._predecessor = None
-        elif needed == self._needed_there:
+        elif needed == self._predecessor_needs:
             return
         else:
-            self._needed_there = needed
+            self._predecessor_needs = needed
         self.resize()
 
     def _successor_changed(self) -> None:
-        assert self.listener is not None and self._succession is not None
+        assert self.listener is not None and self._successor is not None
         if not self.listener.closing:
-            self.listener.retire(self._succession.ready)
+            self.listener.retire(self._successor.ready)
         self.resize()
 
-    def _look(self) -> None:
-        """Follow orders given to another version."""
-        self._take_orders()
-        self._looking = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+    def _poll_overrides(self) -> None:
+        """Apply overrides given to another version, every POLL_INTERVAL_S."""
+        self._apply_overrides()
+        self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll_overrides)
 
-    def _take_orders(self) -> None:
-        if self._orders.look():
-            self._agent.put_out(self._orders.out)
+    def _apply_overrides(self) -> None:
+        if self._orders.refresh():
+            self._agent.put_out(self._orders.disabled)
--- a/sorrelfront/platform/upgrade.py
+++ b/sorrelfront/platform/upgrade.py
@@ -1,20 +1,21 @@
-"""Two versions of one agent side by side: the next one is started while this one serves.
+"""Hot upgrade: the next version of an agent starts while the current one serves, and takes over its clients.
 
-Each version listens at a socket in the folder that both share. The next one connects there and is sent the
-listening socket of the clients (unix(7), SCM_RIGHTS), so that there is one queue of connections and none is
-refused, reset or left behind as one version ends. Once it is ready it says so: this one then accepts nothing
-more, and each of its connections ends with its next answer. If the next one ends first, this one goes on as
-before.
+Each version listens at a Unix socket in a folder that both share. The next version connects there and is sent
+the clients' listening socket (unix(7), SCM_RIGHTS). Both then share one queue of connections, so none is
+refused, reset or left behind when a version ends. When the next version is ready it says so. The current one
+then accepts no more connections and closes each of its own after its next answer. If the next version ends
+first, the current one continues as before.
 
-    this one -> next   hello, once, with the socket: {"version": 1, "listen": [host, port]}
-    this one -> next   every TELL_S: {"open": descriptors that it still needs}
-    next -> this one   {"ready": true}
+    current -> next   hello, once, with the socket: {"version": 1, "listen": [host, port]}
+    current -> next   every REPORT_INTERVAL_S: {"open": descriptors that it still needs}
+    next -> current   {"ready": true}
     the end of the connection: that process has ended
 
-Both together may hold no more descriptors and memory than one: until the connection ends, each goes by half,
-and the next one by what this one no longer needs.
+Both versions together may use no more descriptors and memory than one. Until the connection ends each takes
+half, and the next version also takes the descriptors that the current one no longer needs.
 
-Where no folder is shared, or nobody answers there, the next version listens beside this one by SO_REUSEPORT.
+Where no folder is shared, or no version answers there, the next version listens separately at the same
+address with SO_REUSEPORT.
 """
 
 from __future__ import annotations
@@ -34,32 +35,34 @@
 
 log = logging.getLogger(__name__)
 
-VERSION = 1
-NAME = "next-version"  # of the socket in the shared folder
-MESSAGE_MOST = 4_096  # bytes
-TELL_S = 0.1  # between words on what this one still needs
-ANSWER_WITHIN_S = 1.0  # for the version that serves to answer the next one; it may wait for its core
+PROTOCOL_VERSION = 1
+SOCKET_NAME = "next-version"  # in the shared folder
+MAX_MESSAGE_BYTES = 4_096
+REPORT_INTERVAL_S = 0.1  # between reports of the descriptors that are still needed
+HELLO_TIMEOUT_S = 1.0  # for the current version to answer; it may have to wait for its core
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid: struct ucred
 
 
 @contextlib.contextmanager
-def _short(folder: Path) -> Iterator[str]:
-    """The socket's path by way of a descriptor. Risk: a Unix socket's address has 107 bytes at most, and a
-    folder for temporary files may have a longer path."""
+def _socket_path(folder: Path) -> Iterator[str]:
+    """Provide a short path to the socket, by way of a descriptor of its folder.
+
+    A Unix socket's address has at most 107 bytes, and the path of a temporary folder may be longer.
+    """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        yield f"/proc/self/fd/{descriptor}/{NAME}"
+        yield f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
     finally:
         os.close(descriptor)
 
 
-def _own_user(sock: socket.socket) -> bool:
+def _is_same_user(sock: socket.socket) -> bool:
     _, uid, _ = CREDENTIALS.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
     return bool(uid == os.geteuid())
 
 
-def _message(data: bytes) -> dict[str, Any] | None:
-    """None if it is no object."""
+def _decode(data: bytes) -> dict[str, Any] | None:
+    """Decode a message, or return None if it is not a JSON object."""
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
@@ -68,61 +71,62 @@
 
 
 class Predecessor:
-    """The version that serves, seen from the next one."""
+    """The connection of the next version to the current one."""
 
     def __init__(self, channel: socket.socket, listening: socket.socket) -> None:
         self._channel = channel
         self.listening = listening
-        self._told: Callable[[int | None], None] | None = None
+        self._on_report: Callable[[int | None], None] | None = None
 
-    def watch(self, told: Callable[[int | None], None]) -> None:
-        """`told` is called with how many descriptors it still needs, and with None once it has ended."""
-        self._told = told
+    def watch(self, on_report: Callable[[int | None], None]) -> None:
+        """Call `on_report` with the descriptors that the current version needs, and with None at its end."""
+        self._on_report = on_report
         self._channel.setblocking(False)
-        asyncio.get_running_loop().add_reader(self._channel.fileno(), self._heard)
+        asyncio.get_running_loop().add_reader(self._channel.fileno(), self._receive)
 
     def ready(self) -> None:
-        """This version serves now."""
+        """Report that this version serves now."""
         with contextlib.suppress(OSError):
             self._channel.send(json.dumps({"ready": True}).encode())
 
     def close(self) -> None:
-        if self._told is not None and self._channel.fileno() >= 0:
+        """Close the connection to the current version."""
+        if self._on_report is not None and self._channel.fileno() >= 0:
             asyncio.get_running_loop().remove_reader(self._channel.fileno())
         self._channel.close()
 
-    def _heard(self) -> None:
+    def _receive(self) -> None:
         try:
-            data = self._channel.recv(MESSAGE_MOST)
+            data = self._channel.recv(MAX_MESSAGE_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
-        assert self._told is not None
+        assert self._on_report is not None
         if not data:
             self.close()
-            self._told(None)
+            self._on_report(None)
             return
-        needed = (_message(data) or {}).get("open")
+        needed = (_decode(data) or {}).get("open")
         if isinstance(needed, int) and not isinstance(needed, bool) and needed >= 0:
-            self._told(needed)
+            self._on_report(needed)
 
 
-def find(folder: Path | None, listen: Address) -> Predecessor | None:
-    """The version that serves at this address, if one answers."""
+def find_predecessor(folder: Path | None, listen: Address) -> Predecessor | None:
+    """Connect to the version that serves at this address, if one answers within HELLO_TIMEOUT_S."""
     if folder is None:
         return None
     channel = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     descriptors: list[int] = []
     try:
-        channel.settimeout(ANSWER_WITHIN_S)
-        with _short(folder) as path:
+        channel.settimeout(HELLO_TIMEOUT_S)
+        with _socket_path(folder) as path:
             channel.connect(path)
-        if _own_user(channel):
-            data, descriptors, flags, _ = socket.recv_fds(channel, MESSAGE_MOST, 1)
-            hello = _message(data) or {}
-            wanted = {"version": VERSION, "listen": [*listen]}
-            if hello == wanted and len(descriptors) == 1 and not flags & socket.MSG_CTRUNC:
+        if _is_same_user(channel):
+            data, descriptors, flags, _ = socket.recv_fds(channel, MAX_MESSAGE_BYTES, 1)
+            hello = _decode(data) or {}
+            expected = {"version": PROTOCOL_VERSION, "listen": [*listen]}
+            if hello == expected and len(descriptors) == 1 and not flags & socket.MSG_CTRUNC:
                 listening = socket.socket(fileno=descriptors.pop())
                 if listening.getsockname() == listen:
                     return Predecessor(channel, listening)
@@ -137,8 +141,8 @@
     return None
 
 
-class Succession:
-    """The next version, seen from the one that serves."""
+class Successor:
+    """The connection of the current version to the next one, and the socket where it is awaited."""
 
     def __init__(
         self,
@@ -148,103 +152,116 @@
         needed: Callable[[], int],
         changed: Callable[[], None],
     ) -> None:
-        """`listening`: the descriptor of the clients' listening socket. `needed`: how many descriptors this
-        version still needs. `changed` is called as the next one comes, is ready, and goes. Raises OSError."""
+        """Listen for the next version.
+
+        Args:
+            folder: The folder that both versions share.
+            listen: The clients' address.
+            listening: Returns the descriptor of the clients' listening socket.
+            needed: Returns the number of descriptors that this version still needs.
+            changed: Called when the next version connects, becomes ready and ends.
+
+        Raises:
+            OSError: The socket cannot be created.
+        """
         self._folder = folder
         self._listen = listen
         self._listening = listening
         self._needed = needed
         self._changed = changed
         self._loop = asyncio.get_running_loop()
-        self._door: socket.socket | None = None
+        self._acceptor: socket.socket | None = None
         self._next: socket.socket | None = None
-        self._tell: asyncio.TimerHandle | None = None
-        self.ready = False  # the next one serves
-        self._open()
+        self._report_timer: asyncio.TimerHandle | None = None
+        self.ready = False  # whether the next version serves
+        self._start_accepting()
 
     @property
-    def here(self) -> bool:
-        """Whether a next version has come."""
+    def connected(self) -> bool:
+        """Whether a next version is connected."""
         return self._next is not None
 
     def close(self) -> None:
-        """The end of this version. The socket's name stays: it is the next one's by now, or leads nowhere."""
-        self._shut()
-        if self._tell is not None:
-            self._tell.cancel()
+        """Close the connection and stop listening.
+
+        The socket's name is not removed: it belongs to the next version by now, or nobody listens there.
+        """
+        self._stop_accepting()
+        if self._report_timer is not None:
+            self._report_timer.cancel()
         if self._next is not None:
             self._loop.remove_reader(self._next.fileno())
             self._next.close()
             self._next = None
 
-    def _open(self) -> None:
-        """Listen under the name, whoever had it."""
-        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    def _start_accepting(self) -> None:
+        """Listen at the socket's name, taking it from any other version."""
+        acceptor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            with _short(self._folder) as path:
-                fresh = f"{path}-{os.getpid()}"
-                before = os.umask(0o177)
+            with _socket_path(self._folder) as path:
+                temporary = f"{path}-{os.getpid()}"
+                previous_umask = os.umask(0o177)
                 try:
-                    door.bind(fresh)
+                    acceptor.bind(temporary)
                 finally:
-                    os.umask(before)
-                door.listen(1)
-                os.replace(fresh, path)
+                    os.umask(previous_umask)
+                acceptor.listen(1)
+                os.replace(temporary, path)
         except OSError:
-            door.close()
+            acceptor.close()
             raise
-        door.setblocking(False)
-        self._door = door
-        self._loop.add_reader(door.fileno(), self._come)
-
-    def _shut(self) -> None:
-        if self._door is not None:
-            self._loop.remove_reader(self._door.fileno())
-            self._door.close()
-            self._door = None
-
-    def _come(self) -> None:
-        """Somebody has connected. One at a time: the next ones find nobody until it has gone."""
-        assert self._door is not None
+        acceptor.setblocking(False)
+        self._acceptor = acceptor
+        self._loop.add_reader(acceptor.fileno(), self._accept)
+
+    def _stop_accepting(self) -> None:
+        if self._acceptor is not None:
+            self._loop.remove_reader(self._acceptor.fileno())
+            self._acceptor.close()
+            self._acceptor = None
+
+    def _accept(self) -> None:
+        """Accept a next version and send the listening socket. Others are closed while one is connected."""
+        assert self._acceptor is not None
         try:
-            channel, _ = self._door.accept()
+            channel, _ = self._acceptor.accept()
         except OSError:
             return
         try:
             channel.setblocking(False)
-            if self._next is not None or not _own_user(channel):
+            if self._next is not None or not _is_same_user(channel):
                 channel.close()
                 return
-            hello = json.dumps({"version": VERSION, "listen": [*self._listen]}).encode()
+            hello = json.dumps({"version": PROTOCOL_VERSION, "listen": [*self._listen]}).encode()
             socket.send_fds(channel, [hello], [self._listening()])
         except OSError as fault:
             log.warning("handing over failed: %s", fault)
             channel.close()
             return
         self._next = channel
-        self._loop.add_reader(channel.fileno(), self._heard)
-        self._tell_on()
+        self._loop.add_reader(channel.fileno(), self._receive)
+        self._send_report()
         log.info("the next version has come")
         self._changed()
 
-    def _tell_on(self) -> None:
+    def _send_report(self) -> None:
         if self._next is not None:
-            with contextlib.suppress(OSError):  # its end shows by itself, and the next word comes soon
+            with contextlib.suppress(OSError):  # its end is seen by the reader, and another report follows
                 self._next.send(json.dumps({"open": self._needed()}).encode())
-            self._tell = self._loop.call_later(TELL_S, self._tell_on)
+            self._report_timer = self._loop.call_later(REPORT_INTERVAL_S, self._send_report)
 
-    def _heard(self) -> None:
+    def _receive(self) -> None:
         assert self._next is not None
         try:
-            data = self._next.recv(MESSAGE_MOST)
+            data = self._next.recv(MAX_MESSAGE_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
         if data:
-            if (_message(data) or {}).get("ready") is True and not self.ready:
+            if (_decode(data) or {}).get("ready") is True and not self.ready:
                 self.ready = True
-                self._shut()  # the name is the next one's
+                self._stop_accepting()  # the name belongs to the next version now
                 log.info("the next version serves")
                 self._changed()
             return
@@ -255,7 +272,7 @@
         if self.ready:
             self.ready = False
             try:
-                self._open()
+                self._start_accepting()
             except OSError as fault:
-                log.error("no further version can be handed over to: %s", fault)
+                log.error("no further version can take over: %s", fault)
         self._changed()
--- a/sorrelfront/sources/__init__.py
+++ b/sorrelfront/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Where lists of servers come from: each turns what it hears into updates."""
+"""Sources of server lists; each converts what it receives into updates."""
--- a/sorrelfront/sources/registry.py
+++ b/sorrelfront/sources/registry.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch on the list of backends."""
+"""Discovery by HTTP: long-polling watches on the list of backends."""
 
 from __future__ import annotations
 
@@ -22,46 +22,52 @@
 log = logging.getLogger(__name__)
 
 PATH = "/registry/instances"
-TEXT_MOST = 2 * 1024 * 1024  # bytes of one update, some ten thousand entries; one without end is a break
-SEED = 0x11C7  # apart from the decisions' draws
-# JSON's strings (RFC 8259, 7), and what opens and closes.
+MAX_UPDATE_BYTES = 2 * 1024 * 1024  # some ten thousand entries; a longer update breaks the watch
+SEED_MASK = 0x11C7  # keeps the draws apart from those of the decisions
+# JSON strings (RFC 8259, section 7) and brackets.
 BRACKETS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')
 
 
 def now_us() -> int:
+    """Return the monotonic time in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
-class _Spoilt(Exception):
-    """An update that cannot be read, for the first time."""
+class _UnreadableUpdate(Exception):
+    """An update after the current revision cannot be read, for the first time."""
 
 
-class Texts:
-    """Cuts a watch into updates: one JSON object a line, or one that is indented over several. No I/O."""
+class UpdateSplitter:
+    """Splits a watch into updates: JSON objects on one line, or indented over several. No I/O."""
 
     def __init__(self) -> None:
-        self._lines = bytearray()  # of an object that goes on
+        self._pending = bytearray()  # of an incomplete object
         self._depth = 0
 
     def add(self, line: bytes) -> bytes | None:
-        """The next line. An object that ends with it; None while one goes on, and for an empty line. Raises
-        Malformed for what cannot be part of one, and then begins anew."""
+        """Take the next line, and return the object that it completes.
+
+        Returns None for an empty line and while an object is incomplete.
+
+        Raises:
+            Malformed: The line cannot be part of an object; what came before it is discarded.
+        """
         if not line.strip():
             if self._depth:
-                # An empty line is the service's sign of life between objects, and none stands within one.
-                self._drop()
+                # The service sends empty lines as heartbeats between objects, never within one.
+                self._reset()
                 raise Malformed("an object that does not go on")
             return None
         if self._depth and line[:1] == b"{" and b'"members"' in line:
-            # Risk: behind half an object every later one would be taken for its rest, and hide each drain.
-            self._drop()
+            # After a truncated object each later one would be taken for its rest, and drains would be missed.
+            self._reset()
             raise Malformed("an object within another")
         if not self._depth and line.rstrip()[-1:] == b"}":
-            return line  # nearly every one
-        self._lines += line
-        self._lines += b"\n"
-        if len(self._lines) > TEXT_MOST:
-            self._drop()
+            return line  # the usual case
+        self._pending += line
+        self._pending += b"\n"
+        if len(self._pending) > MAX_UPDATE_BYTES:
+            self._reset()
             raise Malformed("an object without end")
         for found in BRACKETS.finditer(line):
             if found[0] in (b"{", b"["):
@@ -70,18 +76,21 @@
                 self._depth -= 1
         if self._depth > 0:
             return None
-        text = bytes(self._lines)
-        self._drop()
+        text = bytes(self._pending)
+        self._reset()
         return text
 
-    def _drop(self) -> None:
-        self._lines.clear()
+    def _reset(self) -> None:
+        self._pending.clear()
         self._depth = 0
 
 
 class Discovery:
-    """One watch, and beside it, only after a move, the earlier one. Each update goes to `on_update`; the end
-    of the watch, however it comes, to `on_failure`, unless the clock says that this is no time to wait."""
+    """A watch on the list service; after a move the previous watch stays open beside the new one.
+
+    Each update is passed to `on_update`. When the watch ends, for whatever reason, either the clock gives a
+    time after which it is opened again, or `on_failure` is called and the caller's back-off decides.
+    """
 
     def __init__(
         self,
@@ -92,66 +101,74 @@
         clock: WatchTimer,
     ) -> None:
         self._address = address
-        self._after = revision
-        self._missed = False  # an update could not be read: ask again for what came after the last good one
-        self._spoilt_after = -1  # the revision after which an update could not be read: asked for once more
+        self._revision = revision
+        self._update_missed = False  # an update could not be read: request changes after the last good one
+        self._unreadable_after = -1  # the revision after which an unreadable update was requested again
         self._on_update = on_update
         self._on_failure = on_failure
         self.clock = clock
         self._watch: asyncio.Task[None] | None = None
-        self._earlier: asyncio.Task[None] | None = None  # at the address before the last move
-        self._again: asyncio.TimerHandle | None = None
+        self._previous: asyncio.Task[None] | None = None  # at the address before the last move
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     def subscribe(self) -> None:
-        """Ask for changes from here on, unless a call is open: one that was opened by a move, after the
-        decisions had set their timer, would lose its turn."""
-        self._drop_again()
+        """Open a watch for changes after the known revision, unless one is open.
+
+        A move may have opened one after the decisions set their timer. Opening it again would lose its turn
+        at the service.
+        """
+        self._cancel_retry()
         if self._watch is None:
             self._watch = asyncio.create_task(self._run())
 
     def move(self, address: Address) -> None:
-        """Watch at another address from here on. The earlier watch is heard until the new one speaks. Risk:
-        what discovery tells while the new one waits its turn would be missed, a drain among it."""
+        """Open a watch at another address.
+
+        The previous watch is read until the new one delivers a line. Otherwise updates sent while the new one
+        waits for its turn at the service would be missed, drains among them.
+        """
         if address == self._address:
             return
         self._address = address
         self.clock.moved(now_us())
-        self._drop_earlier()
-        self._drop_again()
-        self._earlier, self._watch = self._watch, asyncio.create_task(self._run())
+        self._cancel_previous()
+        self._cancel_retry()
+        self._previous, self._watch = self._watch, asyncio.create_task(self._run())
 
     def reload(self, config: Config) -> None:
+        """Apply a new configuration, and move to its address if that has changed."""
         self.clock.pushed = not config.settings.subscribe
         self.clock.within_us = config.settings.ask_within_us
         self.clock.grace_us = config.settings.drain_grace_us
         self.move(config.discovery)
 
     def close(self) -> None:
-        self._drop_earlier()
-        self._drop_again()
+        """Cancel the watches and the timer."""
+        self._cancel_previous()
+        self._cancel_retry()
         if self._watch is not None:
             self._watch.cancel()
             self._watch = None
 
-    def _drop_earlier(self) -> None:
-        if self._earlier is not None:
-            self._earlier.cancel()
-            self._earlier = None
+    def _cancel_previous(self) -> None:
+        if self._previous is not None:
+            self._previous.cancel()
+            self._previous = None
 
-    def _drop_again(self) -> None:
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
+    def _cancel_retry(self) -> None:
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
 
     async def _run(self) -> None:
         call = self.clock.opened(now_us())
-        silent = spoilt = unreachable = False
+        silent = unreadable = unreachable = False
         end = "its end"
-        log.info("watch %d: opened at %s:%d after revision %d", call.number, *self._address, self._after)
+        log.info("watch %d: opened at %s:%d after revision %d", call.number, *self._address, self._revision)
         try:
             await self._follow(self._address, call)
-        except _Spoilt as fault:
-            spoilt = True
+        except _UnreadableUpdate as fault:
+            unreadable = True
             end = str(fault)
         except (OSError, h11.ProtocolError, Malformed) as fault:
             silent = isinstance(fault, TimeoutError)
@@ -162,43 +179,46 @@
             log.exception("the watch failed")
         log.warning("watch %d: broke after %.3f s, %.3f s after its last line: %s", call.number,
                     (now_us() - call.opened) / 1e6, (now_us() - call.since) / 1e6, end)  # fmt: skip
-        if asyncio.current_task() is self._earlier:
-            self._earlier = None  # it was to end; the watch that took its place goes on
+        if asyncio.current_task() is self._previous:
+            self._previous = None  # the watch that replaces it continues
             return
         self._watch = None
-        wait_us = 0 if spoilt else self.clock.ended(call, now_us(), silent, unreachable)
+        wait_us = 0 if unreadable else self.clock.ended(call, now_us(), silent, unreachable)
         log.info("watch %d: %s", call.number,
-                 "the back-off says when the next one is opened" if wait_us is None
+                 "the back-off decides when the next one is opened" if wait_us is None
                  else f"the next one is opened in {wait_us / 1e6:.3f} s")  # fmt: skip
         if wait_us is None:
             self._on_failure()
         else:
-            self._again = asyncio.get_running_loop().call_later(wait_us / 1e6, self.subscribe)
+            self._retry_timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self.subscribe)
 
     async def _follow(self, address: Address, call: DiscoveryCall) -> None:
         loop = asyncio.get_running_loop()
         wire = Wire(socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK))
         try:
-            async with asyncio.timeout(_left_s(call)):
+            async with asyncio.timeout(_remaining_s(call)):
                 await loop.sock_connect(wire.sock, address)
             parser = h11.Connection(h11.CLIENT)
             request = h11.Request(
                 method="GET",
-                target=f"{PATH}?watch=1&after={self._after}",
+                target=f"{PATH}?watch=1&after={self._revision}",
                 headers=[("Host", "{}:{}".format(*address))],
             )
-            await wire.send(frame(parser, request, h11.EndOfMessage()), _left_s(call))
+            await wire.send(frame(parser, request, h11.EndOfMessage()), _remaining_s(call))
             await self._read(parser, wire, call)
         finally:
             wire.close()
 
     async def _read(self, parser: h11.Connection, wire: Wire, call: DiscoveryCall) -> None:
-        """Only whole lines count. Risk: a watch that falls silent and stays open would hide every drain."""
-        partial, texts = bytearray(), Texts()
+        """Read lines until the answer ends.
+
+        Only complete lines count as activity: a watch that is open but silent would hide every drain.
+        """
+        partial, splitter = bytearray(), UpdateSplitter()
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                parser.receive_data(await wire.receive(_left_s(call)))
+                parser.receive_data(await wire.receive(_remaining_s(call)))
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
                     raise Malformed(f"status {event.status_code}")
@@ -207,52 +227,52 @@
             elif isinstance(event, h11.Data):
                 *lines, rest = event.data.split(b"\n")
                 for line in lines:
-                    self._line(bytes(partial + line), texts, call)
+                    self._handle_line(bytes(partial + line), splitter, call)
                     partial.clear()
                 partial += rest
-                if len(partial) > TEXT_MOST:
+                if len(partial) > MAX_UPDATE_BYTES:
                     raise Malformed("a line without end")
             elif not isinstance(event, h11.InformationalResponse):
                 return
 
-    def _line(self, line: bytes, texts: Texts, call: DiscoveryCall) -> None:
-        """Take one line. Raises _Spoilt, so that the call is made anew after the last good update."""
+    def _handle_line(self, line: bytes, splitter: UpdateSplitter, call: DiscoveryCall) -> None:
+        """Process one line. Raises _UnreadableUpdate, to reopen the watch after the last good update."""
         self.clock.line(call, now_us())
-        if self._earlier is not None and asyncio.current_task() is not self._earlier:
-            self._drop_earlier()
+        if self._previous is not None and asyncio.current_task() is not self._previous:
+            self._cancel_previous()
         try:
-            text = texts.add(line)
+            text = splitter.add(line)
             if text is None:
                 return
             update = parse_update(json.loads(text))
         except (Malformed, ValueError) as fault:
-            self._spoilt(fault)
+            self._handle_unreadable(fault)
             return
         if update.complete:
-            self._missed = False
-        if not self._missed:
-            self._after = update.revision
+            self._update_missed = False
+        if not self._update_missed:
+            self._revision = update.revision
         log.info("watch %d: list %d (%s), %d entries, after %.3f s", call.number, update.revision,
                  "whole" if update.complete else "changes", len(update.backends),
                  (now_us() - call.opened) / 1e6)  # fmt: skip
         self._on_update(update)
 
-    def _spoilt(self, fault: Exception) -> None:
-        """An update that cannot be read may hide a drain: asked for once more, then passed over."""
-        self._missed = True
-        if self._spoilt_after != self._after:
-            self._spoilt_after = self._after
-            raise _Spoilt(f"an update cannot be read: {fault}")
-        log.warning("an update of the watch is passed over: %s", fault)
+    def _handle_unreadable(self, fault: Exception) -> None:
+        """Request an unreadable update once more, since it may hide a drain, and skip it the second time."""
+        self._update_missed = True
+        if self._unreadable_after != self._revision:
+            self._unreadable_after = self._revision
+            raise _UnreadableUpdate(f"an update cannot be read: {fault}")
+        log.warning("an unreadable update of the watch is skipped: %s", fault)
 
 
-def _left_s(call: DiscoveryCall) -> float:
+def _remaining_s(call: DiscoveryCall) -> float:
     return max(0.001, (call.due - now_us()) / 1e6)
 
 
 def watch(config: Config, on_update: Callable[[Update], None], on_failure: Callable[[], None]) -> Discovery:
-    """The registry's watch as the configuration tells of it."""
+    """Create the discovery source that the configuration describes."""
     settings = config.settings
-    random = Random(config.seed ^ SEED).random
+    random = Random(config.seed ^ SEED_MASK).random
     clock = WatchTimer(not settings.subscribe, random, settings.ask_within_us, settings.drain_grace_us)
     return Discovery(config.discovery, config.known.revision, on_update, on_failure, clock)
--- a/tests/platform/test_orders_file.py
+++ b/tests/platform/test_orders_file.py
@@ -1,4 +1,4 @@
-"""The file of orders: shared, replaced whole, and checked before it is believed."""
+"""The file of administrative overrides: shared between processes, replaced atomically, and validated."""
 
 from __future__ import annotations
 
@@ -13,46 +13,46 @@
 
 from sorrelfront.decisions.orders import ID_MOST, OUT_MOST
 from sorrelfront.platform import orders_file
-from sorrelfront.platform.orders_file import Full, OrdersFile
+from sorrelfront.platform.orders_file import OrdersFile, TooManyDisabled
 from tests.test_process import ROOT
 
 NAME = "out-by-hand.json"
 
 
-def test_orders_are_seen_by_another_and_by_one_that_comes_later(tmp_path: Path) -> None:
-    one, two = OrdersFile(tmp_path), OrdersFile(tmp_path)
-    one.change("a", True)
-    assert two.look() and two.out == {"a"}
-    assert not two.look()
-    two.change("b", True)
-    one.change("a", False)  # without having looked: it changes what there is, not what it knew
-    assert two.look() and two.out == {"b"}
-    assert OrdersFile(tmp_path).out == {"b"}
+def test_overrides_are_seen_by_another_process_and_by_a_later_one(tmp_path: Path) -> None:
+    first, second = OrdersFile(tmp_path), OrdersFile(tmp_path)
+    first.set_disabled("a", True)
+    assert second.refresh() and second.disabled == {"a"}
+    assert not second.refresh()
+    second.set_disabled("b", True)
+    first.set_disabled("a", False)  # changes the content of the file, not the set known before
+    assert second.refresh() and second.disabled == {"b"}
+    assert OrdersFile(tmp_path).disabled == {"b"}
 
 
-def test_of_many_at_once_none_is_lost(tmp_path: Path) -> None:
-    """Several processes, each with orders of its own."""
+def test_concurrent_overrides_of_several_processes_are_all_kept(tmp_path: Path) -> None:
+    """Without the lock, one process would overwrite what another has added between its read and its write."""
     code = (
         "import sys; from pathlib import Path\n"
         "from sorrelfront.platform.orders_file import OrdersFile\n"
         "made, number = OrdersFile(Path(sys.argv[1])), 0\n"
         "while number < 50:\n"
         "    try:\n"
-        "        made.change(f'{sys.argv[2]}-{number}', True)\n"
+        "        made.set_disabled(f'{sys.argv[2]}-{number}', True)\n"
         "        number += 1\n"
-        "    except TimeoutError:\n"  # said, and tried again: the machine may be busy
+        "    except TimeoutError:\n"  # the machine may be busy: retry
         "        pass\n"
     )
     started = [sys.executable, "-c", code, str(tmp_path)]
     running = [subprocess.Popen([*started, str(name)], cwd=ROOT) for name in range(4)]
     assert [process.wait(60) for process in running] == [0] * 4
-    assert len(OrdersFile(tmp_path).out) == 200
+    assert len(OrdersFile(tmp_path).disabled) == 200
 
 
-def test_without_a_folder_orders_are_kept_in_memory() -> None:
+def test_without_a_folder_overrides_are_kept_in_memory() -> None:
     made = OrdersFile(None)
-    made.change("a", True)
-    assert made.out == {"a"} and not made.look()
+    made.set_disabled("a", True)
+    assert made.disabled == {"a"} and not made.refresh()
 
 
 @pytest.mark.parametrize("data", [
@@ -60,56 +60,58 @@
     json.dumps(["x" * (ID_MOST + 1)]).encode(),
     json.dumps([str(number) for number in range(OUT_MOST + 1)]).encode(), b" " * (4 * 1024 * 1024 + 1),
 ])  # fmt: skip
-def test_a_file_that_cannot_be_read_puts_nobody_back(data: bytes, tmp_path: Path) -> None:
+def test_an_unreadable_file_enables_no_server(data: bytes, tmp_path: Path) -> None:
     made = OrdersFile(tmp_path)
-    made.change("a", True)
+    made.set_disabled("a", True)
     (tmp_path / NAME).write_bytes(data)
-    assert not made.look() and made.out == {"a"}
-    assert OrdersFile(tmp_path).out == frozenset()  # one that never knew starts with nobody out
-    made.change("b", True)  # and the next order writes it whole again
-    assert OrdersFile(tmp_path).out == {"a", "b"}
+    assert not made.refresh() and made.disabled == {"a"}
+    assert OrdersFile(tmp_path).disabled == frozenset()  # a new process starts with no server disabled
+    made.set_disabled("b", True)  # the next override writes a valid file again
+    assert OrdersFile(tmp_path).disabled == {"a", "b"}
 
 
-def test_a_file_that_goes_puts_nobody_back(tmp_path: Path) -> None:
+def test_a_removed_file_enables_no_server(tmp_path: Path) -> None:
     made = OrdersFile(tmp_path)
-    made.change("a", True)
+    made.set_disabled("a", True)
     (tmp_path / NAME).unlink()
-    assert not made.look() and made.out == {"a"}
+    assert not made.refresh() and made.disabled == {"a"}
 
 
-def test_who_cannot_write_it_is_told_so_and_nothing_has_changed(tmp_path: Path) -> None:
+def test_a_failed_write_raises_and_changes_nothing(tmp_path: Path) -> None:
     folder = tmp_path / "gone"
     folder.mkdir()
     made = OrdersFile(folder)
     folder.rmdir()
     with pytest.raises(OSError):
-        made.change("a", True)
-    assert made.out == frozenset()
+        made.set_disabled("a", True)
+    assert made.disabled == frozenset()
 
 
-def test_a_lock_that_is_never_let_go_stops_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(orders_file, "LOCK_TRIES", 3)
+def test_a_lock_that_is_never_released_does_not_block(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(orders_file, "LOCK_ATTEMPTS", 3)
     made = OrdersFile(tmp_path)
-    made.change("a", True)
+    made.set_disabled("a", True)
     holder = os.open(tmp_path / "out-by-hand.lock", os.O_RDWR)
     fcntl.flock(holder, fcntl.LOCK_EX)
     with pytest.raises(TimeoutError):
-        made.change("b", True)
-    assert made.out == {"a"}
+        made.set_disabled("b", True)
+    assert made.disabled == {"a"}
     os.close(holder)
-    made.change("b", True)
-    assert made.out == {"a", "b"}
+    made.set_disabled("b", True)
+    assert made.disabled == {"a", "b"}
 
 
-def test_there_is_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_disabled_servers_and_their_ids_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(orders_file, "OUT_MOST", 2)
     made = OrdersFile(None)
-    made.change("a", True)
-    made.change("b", True)
-    with pytest.raises(Full):
-        made.change("c", True)
-    with pytest.raises(Full):
-        made.change("x" * (ID_MOST + 1), True)
-    made.change("a", False)
-    made.change("c", True)
-    assert made.out == {"b", "c"}
+    made.set_disabled("a", True)
+    made.set_disabled("b", True)
+    with pytest.raises(TooManyDisabled):
+        made.set_disabled("c", True)
+    with pytest.raises(TooManyDisabled):
+        made.set_disabled("x" * (ID_MOST + 1), True)
+    made.set_disabled("a", False)
+    made.set_disabled("c", True)
+    assert made.disabled == {"b", "c"}
--- a/tests/platform/test_upgrade.py
+++ b/tests/platform/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The next version started beside the one that serves, as processes, with clients and books of servers."""
+"""Hot upgrades of real processes under load, judged by what clients and servers have recorded."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from sorrelfront.lab.crowd import LOST, RESET, Crowd, Peer, ran_twice
 from sorrelfront.lab.http1 import PATIENCE_S, Backend, Registry, answer, member, request, table
 from sorrelfront.platform import upgrade
-from sorrelfront.platform.upgrade import Succession, find
+from sorrelfront.platform.upgrade import Successor, find_predecessor
 from tests.loopback import until
-from tests.platform.test_control import asked
+from tests.platform.test_control import send_request
 from tests.test_process import ROOT, free_address
 
 OK = answer(b"served")
@@ -30,17 +30,17 @@
 class Version:
     """One process of the agent."""
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, deployment: Deployment) -> None:
         self.control = free_address()
         environ = {
-            **os.environ, "BALANCER_CONFIG": str(site.path), "TMPDIR": str(site.shared),
-            "BALANCER_LISTEN": "{}:{}".format(*site.address),
+            **os.environ, "BALANCER_CONFIG": str(deployment.path), "TMPDIR": str(deployment.shared),
+            "BALANCER_LISTEN": "{}:{}".format(*deployment.address),
             "BALANCER_CONTROL": "{}:{}".format(*self.control),
         }  # fmt: skip
-        if site.shared is None:
+        if deployment.shared is None:
             environ.pop("TMPDIR")
         self.environ = environ
-        self.log = site.folder / f"log-{self.control[1]}"
+        self.log = deployment.folder / f"log-{self.control[1]}"
 
     async def start(self) -> Version:
         with self.log.open("wb") as log:
@@ -53,12 +53,12 @@
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await asked(self.control, "/ready"))[0] == 200:
+                    if (await send_request(self.control, "/ready"))[0] == 200:
                         return self
                 await asyncio.sleep(0.02)
 
-    async def figures(self) -> dict[str, float]:
-        _, body = await asked(self.control, "/metrics")
+    async def metrics(self) -> dict[str, float]:
+        _, body = await send_request(self.control, "/metrics")
         pairs = (line.split("=") for line in body.decode().splitlines())
         return {name.removeprefix("app."): float(value) for name, value in pairs}
 
@@ -75,12 +75,12 @@
             await self.process.wait()
 
 
-class Site:
-    """Servers, a registry, one address for clients, and the versions started so far."""
+class Deployment:
+    """Servers, a registry, one address for clients, and the versions of the agent started so far."""
 
     def __init__(self, folder: Path, shared: bool = True) -> None:
         self.folder = folder
-        # Deeper than a Unix socket's address is long.
+        # Longer than a Unix socket's address may be.
         self.shared = folder / "/".join(["a-folder-of-some-length"] * 6) if shared else None
         self.address = free_address()
         self.path = folder / "config.json"
@@ -117,8 +117,8 @@
 
 
 @contextlib.asynccontextmanager
-async def site(folder: Path, shared: bool = True, **limits: Any) -> AsyncIterator[Site]:
-    made = Site(folder, shared)
+async def deployment(folder: Path, shared: bool = True, **limits: Any) -> AsyncIterator[Deployment]:
+    made = Deployment(folder, shared)
     await made.begin(**limits)
     try:
         yield made
@@ -126,19 +126,19 @@
         await made.end()
 
 
-def kept(crowd: Crowd, made: Site) -> None:
-    """Nothing lost, nothing twice, nobody turned away at the door."""
+def check_nothing_lost(crowd: Crowd, made: Deployment) -> None:
+    """Check that no request was lost or ran twice, and that no connection was refused."""
     assert crowd.lost == [] and not crowd.book[LOST]
     assert crowd.refused_connects == 0
     assert set(crowd.book) <= {b"HTTP/1.1 200 ", RESET}, crowd.book
-    # A connection that ends as a request crosses it is reset unread, and its client asks again.
+    # A connection that closes while a request is on its way is reset unread, and its client sends it again.
     assert crowd.book[RESET] <= 2
     assert ran_twice(made.seen) == []
 
 
 def test_three_upgrades_under_load_lose_nothing(tmp_path: Path) -> None:
     async def play() -> None:
-        async with site(tmp_path) as made:
+        async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
             crowd = Crowd(made.address, 12, pause_s=0.002)
             await crowd.more(100)
@@ -147,20 +147,20 @@
                 await crowd.more(100)
                 assert await old.stop() == 0
                 await crowd.more(100)
-                assert (await new.figures())["success.look"] > 0
+                assert (await new.metrics())["success.look"] > 0
                 old = new
             await crowd.finish()
-            kept(crowd, made)
+            check_nothing_lost(crowd, made)
             assert len(crowd.served) > 600
 
     asyncio.run(play())
 
 
-def test_once_the_next_version_serves_the_old_one_takes_nobody(tmp_path: Path) -> None:
-    """And whoever it has is told with the next answer to come again."""
+def test_once_the_next_version_serves_the_old_one_accepts_no_connections(tmp_path: Path) -> None:
+    """The old version also closes each connection that it has with the next answer."""
 
     async def play() -> None:
-        async with site(tmp_path) as made:
+        async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
             peer = Peer(made.address)
             peer.send(request("first"))
@@ -168,38 +168,38 @@
             new = await (await made.version()).ready()
             await until(lambda: "the next version serves" in old.log.read_text())
             for number in range(40):
-                one = Peer(made.address)
-                one.send(request(f"new{number}"))
-                assert await one.answer() == b"HTTP/1.1 200 "
-                one.close()
-            assert (await new.figures())["success.look"] == 40
+                other = Peer(made.address)
+                other.send(request(f"new{number}"))
+                assert await other.answer() == b"HTTP/1.1 200 "
+                other.close()
+            assert (await new.metrics())["success.look"] == 40
             peer.send(request("last"))
             assert await peer.answer() == b"HTTP/1.1 200 " and peer.told_to_close
-            assert (await old.figures())["success.look"] == 2
+            assert (await old.metrics())["success.look"] == 2
 
     asyncio.run(play())
 
 
-def test_the_next_version_asks_for_the_list_at_once(tmp_path: Path) -> None:
-    """And once, however many calls its start has reasons for; it is ready when it has heard."""
+def test_the_next_version_requests_the_list_at_once(tmp_path: Path) -> None:
+    """It calls discovery once, although its start has several reasons to, and then it is ready."""
 
     async def play() -> None:
-        async with site(tmp_path, ask_within_us=600_000_000) as made:
+        async with deployment(tmp_path, ask_within_us=600_000_000) as made:
             await (await made.version()).ready()
             await until(lambda: made.registry.watches == 1)
             made.registry.change(member("b9", made.servers[0].address))
             new = await (await made.version()).ready()
             assert made.registry.watches == 2
-            assert (await new.figures())["targets"] == SERVERS + 1
+            assert (await new.metrics())["targets"] == SERVERS + 1
 
     asyncio.run(play())
 
 
-def test_the_old_version_leaves_the_queue_as_long_as_it_was(tmp_path: Path) -> None:
-    """Shortened by the one that ends, it would leave those that come to their kernels' second tries."""
+def test_the_old_version_does_not_shorten_the_accept_queue(tmp_path: Path) -> None:
+    """The socket is shared: with a shorter backlog, clients would wait for a SYN retransmission."""
 
     async def play() -> None:
-        async with site(tmp_path) as made:
+        async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
             new = await (await made.version()).ready()
             assert await old.stop() == 0
@@ -207,7 +207,7 @@
             try:
                 waiting = []
                 for number in range(60):
-                    sock = socket.create_connection(made.address, 0.9)  # a second try comes after 1 s
+                    sock = socket.create_connection(made.address, 0.9)  # the SYN is retransmitted after 1 s
                     waiting.append(Peer(made.address, sock))
                     waiting[-1].send(request(f"w{number}"))
             finally:
@@ -219,9 +219,9 @@
     asyncio.run(play())
 
 
-def test_without_a_shared_folder_the_next_version_listens_beside_it(tmp_path: Path) -> None:
+def test_without_a_shared_folder_the_next_version_listens_separately(tmp_path: Path) -> None:
     async def play() -> None:
-        async with site(tmp_path, shared=False) as made:
+        async with deployment(tmp_path, shared=False) as made:
             old = await (await made.version()).ready()
             crowd = Crowd(made.address, 6, pause_s=0.002)
             await crowd.more(50)
@@ -235,11 +235,11 @@
     asyncio.run(play())
 
 
-def test_a_next_version_that_dies_leaves_the_one_before_as_it_was(tmp_path: Path) -> None:
-    """Before it is ready, and after; and the one that comes then takes over."""
+def test_if_the_next_version_dies_the_old_one_goes_on(tmp_path: Path) -> None:
+    """The next version is killed before it is ready, then after. A later one can still take over."""
 
     async def play() -> None:
-        async with site(tmp_path) as made:
+        async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
             crowd = Crowd(made.address, 6, pause_s=0.002)
             for wait in (False, True):
@@ -250,31 +250,31 @@
                 else:
                     await until(lambda: "has come" in old.log.read_text())
                 await new.kill()
-                await crowd.more(100)  # by the old one alone
+                await crowd.more(100)  # served by the old version alone
                 assert old.process.returncode is None
             last = await (await made.version()).ready()
             assert await old.stop() == 0
             await crowd.more(50)
             await crowd.finish()
-            assert (await last.figures())["success.look"] > 0
+            assert (await last.metrics())["success.look"] > 0
             assert ran_twice(made.seen) == []
-            # What the killed one had taken is lost with it; there is no other loss.
+            # Requests that the killed version had read are lost with it; no others are.
             assert len(crowd.lost) <= 6
 
     asyncio.run(play())
 
 
-def test_bans_hold_over_an_upgrade_and_are_lifted_by_the_next_version(tmp_path: Path) -> None:
+def test_overrides_hold_over_an_upgrade_and_can_be_removed_at_the_next_version(tmp_path: Path) -> None:
     async def play() -> None:
-        async with site(tmp_path) as made:
+        async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
-            assert (await asked(old.control, "/backends/disable?target=b1", "POST"))[0] == 200
+            assert (await send_request(old.control, "/backends/disable?target=b1", "POST"))[0] == 200
             new = await (await made.version()).ready()
-            assert (await new.figures())["targets_disabled"] == 1
-            # While both serve an order to either holds for both.
-            assert (await asked(new.control, "/backends/disable?target=b2", "POST"))[0] == 200
+            assert (await new.metrics())["targets_disabled"] == 1
+            # While both serve, an override given to either applies to both.
+            assert (await send_request(new.control, "/backends/disable?target=b2", "POST"))[0] == 200
             async with asyncio.timeout(PATIENCE_S):
-                while (await old.figures())["targets_disabled"] != 2:
+                while (await old.metrics())["targets_disabled"] != 2:
                     await asyncio.sleep(0.02)
             before = [len(server.seen) for server in made.servers]
             crowd = Crowd(made.address, 4, pause_s=0.002)
@@ -282,18 +282,18 @@
             assert await old.stop() == 0
             await crowd.more(60)
             assert [len(server.seen) for server in made.servers[1:]] == before[1:]
-            assert (await asked(new.control, "/backends/enable?target=b1", "POST"))[0] == 200
+            assert (await send_request(new.control, "/backends/enable?target=b1", "POST"))[0] == 200
             await until(lambda: len(made.servers[1].seen) > before[1])
             assert len(made.servers[2].seen) == before[2]
             await crowd.finish()
-            kept(crowd, made)
+            check_nothing_lost(crowd, made)
 
     asyncio.run(play())
 
 
-def test_a_drain_told_during_an_upgrade_holds_in_both(tmp_path: Path) -> None:
+def test_a_drain_announced_during_an_upgrade_holds_in_both(tmp_path: Path) -> None:
     async def play() -> None:
-        async with site(tmp_path) as made:
+        async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
             crowd = Crowd(made.address, 6, pause_s=0.002)
             await crowd.more(30)
@@ -306,24 +306,24 @@
             await crowd.more(100)
             assert len(made.servers[0].seen) == count
             await crowd.finish()
-            kept(crowd, made)
-            assert (await new.figures())["targets"] == SERVERS
+            check_nothing_lost(crowd, made)
+            assert (await new.metrics())["targets"] == SERVERS
 
     asyncio.run(play())
 
 
-def test_both_together_hold_no_more_descriptors_than_one_may(tmp_path: Path) -> None:
-    """A crowd that rests on the old version, and one that comes to the new."""
+def test_both_together_use_no_more_descriptors_than_one_may(tmp_path: Path) -> None:
+    """Idle connections stay at the old version while other clients connect to the new one."""
 
     async def play() -> None:
-        async with site(tmp_path, sockets=128) as made:
+        async with deployment(tmp_path, sockets=128) as made:
             old = await (await made.version()).ready()
-            resting: list[Peer] = []
+            idle: list[Peer] = []
             for _ in range(40):
                 peer = Peer(made.address)
-                peer.send(request(f"r{len(resting)}"))
+                peer.send(request(f"r{len(idle)}"))
                 assert await peer.answer() == b"HTTP/1.1 200 "
-                resting.append(peer)
+                idle.append(peer)
             new = await (await made.version()).ready()
             crowd = Crowd(made.address, 80, pause_s=0.01)
             most = 0
@@ -335,87 +335,88 @@
             await crowd.more(100)
             await crowd.finish()
             assert crowd.lost == [] and ran_twice(made.seen) == []
-            for peer in resting:
+            for peer in idle:
                 peer.close()
 
     asyncio.run(play())
 
 
-# The door by itself
+# The hand-over protocol alone
 
 
-def test_who_answers_in_other_words_is_left_alone(tmp_path: Path) -> None:
-    """Another address, another version, noise, no socket, more than one, silence, nobody."""
+def test_an_invalid_hello_is_rejected(tmp_path: Path) -> None:
+    """Covers another address or version, noise, no descriptor or several, an early end, and no listener."""
     ours = ("127.0.0.1", 4_000)
     with socket.create_server(("127.0.0.1", 0)) as other, contextlib.ExitStack() as stack:
         listen = other.getsockname()
-        good = json.dumps({"version": upgrade.VERSION, "listen": [*listen]}).encode()
+        good = json.dumps({"version": upgrade.PROTOCOL_VERSION, "listen": [*listen]}).encode()
         wrong = json.dumps({"version": 99, "listen": [*listen]}).encode()
-        door = stack.enter_context(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
-        assert find(tmp_path, ours) is None  # nobody
-        assert find(tmp_path / "none", ours) is None
-        assert find(None, ours) is None
-        door.bind(str(tmp_path / upgrade.NAME))
-        assert find(tmp_path, ours) is None  # nobody listens
-        door.listen(8)
-
-        def says(data: bytes, count: int, wanted: tuple[str, int]) -> bool:
-            """What comes of a peer that has said this before anybody asked."""
+        server = stack.enter_context(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+        assert find_predecessor(tmp_path, ours) is None  # no socket
+        assert find_predecessor(tmp_path / "none", ours) is None
+        assert find_predecessor(None, ours) is None
+        server.bind(str(tmp_path / upgrade.SOCKET_NAME))
+        assert find_predecessor(tmp_path, ours) is None  # not listening
+        server.listen(8)
+
+        def accepts(data: bytes, count: int, wanted: tuple[str, int]) -> bool:
+            """Tell whether a predecessor that sends this hello, with so many descriptors, is accepted."""
             import threading
 
             def serve() -> None:
-                channel, _ = door.accept()
+                channel, _ = server.accept()
                 with channel:
                     if data:
                         socket.send_fds(channel, [data], [other.fileno()] * count)
 
             thread = threading.Thread(target=serve)
             thread.start()
-            found = find(tmp_path, wanted)
+            found = find_predecessor(tmp_path, wanted)
             thread.join()
             if found is not None:
                 found.listening.close()
                 found.close()
             return found is not None
 
-        assert says(good, 1, listen)
-        assert not says(good, 1, ours)
-        assert not says(wrong, 1, listen)
-        assert not says(b"[", 1, listen)
-        assert not says(b"[1]", 1, listen)
-        assert not says(good, 0, listen)
-        assert not says(good, 3, listen)
-        assert not says(b"", 0, listen)
+        assert accepts(good, 1, listen)
+        assert not accepts(good, 1, ours)
+        assert not accepts(wrong, 1, listen)
+        assert not accepts(b"[", 1, listen)
+        assert not accepts(b"[1]", 1, listen)
+        assert not accepts(good, 0, listen)
+        assert not accepts(good, 3, listen)
+        assert not accepts(b"", 0, listen)
 
 
 @pytest.mark.parametrize("noise", [b"[", b"{}", b'{"ready": 1}', b"\xff" * 4_000])
-def test_noise_from_a_next_version_changes_nothing(noise: bytes, tmp_path: Path) -> None:
+def test_malformed_messages_from_a_next_version_are_ignored(noise: bytes, tmp_path: Path) -> None:
     async def play() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listening:
             changes: list[int] = []
-            made = Succession(
+            made = Successor(
                 tmp_path, listening.getsockname(), listening.fileno, lambda: 7, lambda: changes.append(1)
             )
-            found = await asyncio.to_thread(find, tmp_path, listening.getsockname())
+            found = await asyncio.to_thread(find_predecessor, tmp_path, listening.getsockname())
             assert found is not None and found.listening.getsockname() == listening.getsockname()
-            told: list[int | None] = []
-            found.watch(told.append)
-            await until(lambda: told[:1] == [7])
+            reports: list[int | None] = []
+            found.watch(reports.append)
+            await until(lambda: reports[:1] == [7])
             found._channel.send(noise)
-            # A second one finds nobody while the first is there.
-            assert await asyncio.to_thread(find, tmp_path, listening.getsockname()) is None
-            assert made.here and not made.ready and len(changes) == 1
+            # A second version is rejected while the first is connected.
+            assert await asyncio.to_thread(find_predecessor, tmp_path, listening.getsockname()) is None
+            assert made.connected and not made.ready and len(changes) == 1
             found.ready()
             await until(lambda: made.ready)
             found.listening.close()
             found.close()
-            await until(lambda: not made.here)
+            await until(lambda: not made.connected)
             assert not made.ready and len(changes) == 3
-            again = await asyncio.to_thread(find, tmp_path, listening.getsockname())  # the door is open again
+            # It listens again.
+            again = await asyncio.to_thread(find_predecessor, tmp_path, listening.getsockname())
             assert again is not None
             again.listening.close()
-            again.watch(told.append)
+            again.watch(reports.append)
             made.close()
-            await until(lambda: told[-1] is None)
+            await until(lambda: reports[-1] is None)
 
     asyncio.run(play())
--- a/tests/programs/conftest.py
+++ b/tests/programs/conftest.py
@@ -1,4 +1,4 @@
-"""Shims that are loaded into whole programs."""
+"""Fixtures for shims that are loaded into the programs under test."""
 
 from __future__ import annotations
 
--- a/tests/programs/test_clock_steps.py
+++ b/tests/programs/test_clock_steps.py
@@ -1,8 +1,8 @@
-"""Slow start where the clocks of servers and of this program differ by up to an hour.
+"""Slow start while the wall clocks of servers and of the program differ by up to an hour.
 
-Lists tell when a server started in Unix time. A program whose wall clock was an hour behind took every server
-of a list for one that had just started, for an hour, and refused most of what it got; one whose clock was an
-hour ahead took a server that had just started for a warm one.
+Lists give the start of a server in Unix time. A program whose wall clock was an hour behind took every listed
+server for a newly started one, for an hour, and refused most requests. One whose clock was an hour ahead took
+a newly started server for a warm one.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     return {**member(name, server.address), "up_since_ms": int(time.time() * 1_000)}
 
 
-class Stage:
-    """One process between a client and servers, by a list that is told to it."""
+class Harness:
+    """One program between a client and servers, with a list service."""
 
     def __init__(self, folder: Path, clock: WallClock, rules: dict[str, Any]) -> None:
         self._folder, self._clock, self._rules = folder, clock, rules
@@ -47,8 +47,8 @@
         self._client: Client = await self._program.ready()
         await asyncio.wait_for(self.registry.asked.wait(), 30)
 
-    async def ask(self, count: int) -> list[int]:
-        """The statuses of so many requests, one after the other."""
+    async def send_requests(self, count: int) -> list[int]:
+        """Send so many requests, one after the other, and return their statuses."""
         statuses = []
         for _ in range(count):
             self._client.send(request(f"r{time.monotonic_ns()}"))
@@ -66,31 +66,31 @@
 
 
 @looped
-async def test_servers_that_started_ahead_of_our_clock_are_warm_in_their_time(
+async def test_servers_whose_start_lies_in_the_future_become_warm_in_time(
     tmp_path: Path, wall_clock: WallClock
 ) -> None:
     wall_clock.set(-HOUR_S)
-    made = Stage(tmp_path, wall_clock, {"coldUs": 300_000, "coldFrom": 0.1})
+    made = Harness(tmp_path, wall_clock, {"coldUs": 300_000, "coldFrom": 0.1})
     await made.start(cold=True)
     try:
-        await made.ask(60)  # twice the time that they need, at least
-        assert set(await made.ask(60)) == {200}
+        await made.send_requests(60)  # at least twice the duration of the slow start
+        assert set(await made.send_requests(60)) == {200}
     finally:
         await made.stop()
 
 
 @looped
-async def test_a_start_that_is_heard_of_is_a_slow_start_whatever_our_clock_says(
+async def test_a_newly_listed_server_starts_slowly_whatever_the_wall_clock_says(
     tmp_path: Path, wall_clock: WallClock
 ) -> None:
     wall_clock.set(HOUR_S)
-    made = Stage(tmp_path, wall_clock, {"coldUs": 600_000_000, "coldFrom": 0.01})
+    made = Harness(tmp_path, wall_clock, {"coldUs": 600_000_000, "coldFrom": 0.01})
     await made.start(cold=False)
     try:
-        await made.ask(20)
+        await made.send_requests(20)
         newcomer = made.servers[SERVERS]
         made.registry.change(started_now("a-newcomer", newcomer))
-        await made.ask(300)
+        await made.send_requests(300)
         assert len(newcomer.seen) <= 15  # a fair share is 60
     finally:
         await made.stop()
--- a/tests/programs/test_failing_calls.py
+++ b/tests/programs/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""The program where system calls fail for a moment, by a library that is loaded into it."""
+"""The program while system calls fail for a short time, by a shim that is loaded into it."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from tests.programs.test_lists import stop
 from tests.test_process import Program, free_address
 
-SLACK_US = 150_000  # of the time that a server is told
+SLACK_US = 150_000  # tolerance of the budget that is passed to a server
 
 
 @pytest.mark.parametrize("also_control", [False, True])
 @looped
-async def test_a_start_waits_for_sockets_that_cannot_be_had_for_a_moment(
+async def test_a_start_retries_while_sockets_cannot_be_created(
     tmp_path: Path, calls: SystemCalls, also_control: bool
 ) -> None:
-    """The machine has no descriptors or no memory for a socket as the program begins to listen. It ended."""
+    """Without descriptors or memory for a socket at the start, the program ended instead of retrying."""
     server, registry = await Backend(answer(b"served")).start(), await Registry().start()
     config = table(registry.address, [member("b0", server.address)])
     if also_control:
@@ -45,10 +45,10 @@
 
 
 @looped
-async def test_the_time_for_which_a_request_waits_to_be_accepted_is_not_told_to_its_server(
+async def test_the_budget_passed_to_a_server_excludes_the_wait_to_be_accepted(
     tmp_path: Path, calls: SystemCalls
 ) -> None:
-    """Accepting fails for half a second, in which the client's time runs."""
+    """Accepting fails for half a second, while the time of the client's deadline runs."""
     server, registry = await Backend(answer(b"served")).start(), await Registry().start()
     made = Program(tmp_path, table(registry.address, [member("b0", server.address)]), calls.environ)
     await made.start()
@@ -63,8 +63,8 @@
         calls.set(Call.ACCEPT, 0.0)
         accepted = time.monotonic()
         assert (await client.answer())[0] == 200
-        (told,) = (line for line in server.seen[0].split(b"\r\n") if line.startswith(b"X-Budget: "))
-        assert 0 < int(told[10:-1]) <= 4_000_000 - (accepted - sent) * 1e6 + SLACK_US
+        (budget,) = (line for line in server.seen[0].split(b"\r\n") if line.startswith(b"X-Budget: "))
+        assert 0 < int(budget[10:-1]) <= 4_000_000 - (accepted - sent) * 1e6 + SLACK_US
         assert await made.end() == 0
     finally:
         stop(made, server, registry)
--- a/tests/programs/test_lists.py
+++ b/tests/programs/test_lists.py
@@ -1,5 +1,7 @@
-"""The platform's program by its real command, with a list service that pushes, indents or is out. Each test
-waits for the program to say that it is ready, and goes by the servers' books."""
+"""The platform's program as a process, with a list service that pushes, indents or is unavailable.
+
+Each test waits until the program reports that it is ready, and is judged by what the servers received.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 
 from sorrelfront.lab.http1 import gate
 from sorrelfront.net.budget import Descriptors
-from sorrelfront.platform.config import LEAST_SOCKETS
+from sorrelfront.platform.config import MIN_SOCKETS
 from tests.loopback import (
     PATIENCE_S,
     Backend,
@@ -29,10 +31,10 @@
 OK = answer(b"served")
 
 
-async def started(folder: Path, registry: Registry, known: list[dict[str, Any]], mode: str) -> Program:
+async def start_program(folder: Path, registry: Registry, known: list[dict[str, Any]], mode: str) -> Program:
     config = table(registry.address, known)
     config["settings"]["registryMode"] = mode
-    # Longer than the test: what is asked at this time only would come too late.
+    # Longer than the test, so that polling alone would come too late.
     config["settings"]["rules"]["askWithinUs"] = 3_600_000_000
     made = Program(folder, config)
     await made.start()
@@ -40,18 +42,18 @@
 
 
 @looped
-async def test_a_pushed_list_holds_from_the_first_moment_of_a_new_process(tmp_path: Path) -> None:
-    """The list that it was started with is old: what this machine has been sent counts as told."""
+async def test_a_new_process_waits_for_a_pushed_list(tmp_path: Path) -> None:
+    """The list in its configuration is old: by it, requests would go to a server that drains."""
     old, new = await Backend(OK).start(), await Backend(OK).start()
 
     class Late(Registry):
         async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await asyncio.sleep(0.3)  # a program that does not wait for it is ready long before
+            await asyncio.sleep(0.3)  # a program that does not wait is ready long before
             await super()._serve(reader, writer)
 
     registry = await Late().start()
     registry.change(member("b0", old.address, "draining"), member("b1", new.address))
-    made = await started(tmp_path, registry, [member("b0", old.address)], "automatic")
+    made = await start_program(tmp_path, registry, [member("b0", old.address)], "automatic")
     try:
         client = await made.ready()
         for number in range(20):
@@ -59,14 +61,14 @@
             assert (await client.answer())[0] == 200
         assert not old.seen and len(new.seen) == 20
         registry.change(member("b1", new.address, "draining"), member("b0", old.address))
-        await old_takes(client, old)
+        await wait_until_used(client, old)
         assert await made.end() == 0
     finally:
         stop(made, old, new, registry)
 
 
-async def old_takes(client: Any, server: Backend) -> None:
-    """A change that is pushed later is heard on the watch that stays open."""
+async def wait_until_used(client: Any, server: Backend) -> None:
+    """Send requests until the server gets one, once a change was pushed on the open watch."""
     number = 0
     while not server.seen:
         number += 1
@@ -75,20 +77,20 @@
 
 
 @looped
-async def test_a_pushed_list_that_is_out_keeps_a_new_process_from_nothing_but_news(tmp_path: Path) -> None:
-    """It serves by the list that it was started with, and hears what was pushed meanwhile at the return."""
+async def test_a_new_process_serves_while_a_pushed_list_is_unavailable(tmp_path: Path) -> None:
+    """It serves by the list in its configuration, and applies missed changes once the service is back."""
     server = await Backend(OK).start()
     registry = await Registry().start()
     address = registry.address
     registry.stop()
     await registry.server.wait_closed()
-    made = await started(tmp_path, registry, [member("b0", server.address)], "automatic")
+    made = await start_program(tmp_path, registry, [member("b0", server.address)], "automatic")
     try:
         client = await made.ready()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
         registry.known = [member("b0", server.address, "draining")]
-        registry.server = await asyncio.start_server(registry._serve, *_place(address))
+        registry.server = await asyncio.start_server(registry._serve, *_parse_address(address))
         await asyncio.wait_for(registry.asked.wait(), 30)
         while True:
             before = len(server.seen)
@@ -101,47 +103,50 @@
 
 
 @looped
-async def test_idle_clients_that_fill_the_descriptors_keep_it_neither_from_discovery_nor_from_servers(
+async def test_idle_clients_that_use_up_the_descriptors_block_neither_discovery_nor_servers(
     tmp_path: Path,
 ) -> None:
-    """Discovery is out while a crowd connects and says nothing. At its return a drain is heard, and who asks
-    is served at the server that is left."""
-    draining, left = await Backend(OK).start(), await Backend(OK).start()
+    """Discovery is unavailable while many clients connect and stay idle.
+
+    Without reserved descriptors the program could reach neither discovery nor servers. Once discovery is
+    back, a drain has to be applied, and requests are served by the remaining server.
+    """
+    draining, remaining = await Backend(OK).start(), await Backend(OK).start()
     registry = await Registry().start()
     address = registry.address
     registry.stop()
     await registry.server.wait_closed()
     config = table(address, [member("b0", draining.address)])
-    config["limits"]["sockets"] = LEAST_SOCKETS
+    config["limits"]["sockets"] = MIN_SOCKETS
     made = Program(tmp_path, config)
     await made.start()
-    crowd: list[Client] = []
+    idle_clients: list[Client] = []
     try:
         asker = await made.ready()
         descriptors = Path(f"/proc/{made.process.pid}/fd")
         at_rest = len([*descriptors.iterdir()])
-        while len([*descriptors.iterdir()]) < at_rest + Descriptors(LEAST_SOCKETS).clients - 1:
-            crowd.append(await connect(made.address))
-        registry.known = [member("b0", draining.address, "draining"), member("b1", left.address)]
-        registry.server = await asyncio.start_server(registry._serve, *_place(address))
+        while len([*descriptors.iterdir()]) < at_rest + Descriptors(MIN_SOCKETS).clients - 1:
+            idle_clients.append(await connect(made.address))
+        registry.known = [member("b0", draining.address, "draining"), member("b1", remaining.address)]
+        registry.server = await asyncio.start_server(registry._serve, *_parse_address(address))
         await asyncio.wait_for(registry.asked.wait(), PATIENCE_S)
         number = 0
-        while not left.seen:  # until the list has been read
+        while not remaining.seen:  # until the list has been read
             number += 1
-            asker = await _asks(asker, made, f"r{number}")
+            asker = await _ask(asker, made, f"r{number}")
         draining.seen.clear()
         for number in range(10):
-            asker = await _asks(asker, made, f"s{number}")
-        assert not draining.seen and len(left.seen) >= 10
+            asker = await _ask(asker, made, f"s{number}")
+        assert not draining.seen and len(remaining.seen) >= 10
         assert await made.end() == 0
     finally:
-        for client in crowd:
+        for client in idle_clients:
             client.close()
-        stop(made, draining, left, registry)
+        stop(made, draining, remaining, registry)
 
 
-async def _asks(client: Client, made: Program, name: str) -> Client:
-    """A request gets its answer, on another connection if this one was closed for having rested."""
+async def _ask(client: Client, made: Program, name: str) -> Client:
+    """Send a request and check its answer, on a new connection if this one was closed as idle."""
     while True:
         client.send(request(name))
         try:
@@ -153,19 +158,19 @@
 
 
 @looped
-async def test_a_second_sigterm_changes_nothing_of_what_the_first_owes(tmp_path: Path) -> None:
+async def test_a_second_sigterm_does_not_abort_requests_in_flight(tmp_path: Path) -> None:
     go, script = gate(OK)
     server, registry = await Backend(script).start(), await Registry().start()
-    made = await started(tmp_path, registry, [member("b0", server.address)], "subscribe")
+    made = await start_program(tmp_path, registry, [member("b0", server.address)], "subscribe")
     try:
-        resting, client = await made.ready(), await made.ready()
+        idle, client = await made.ready(), await made.ready()
         client.send(request("held", "pay", b"x"))
         await asyncio.wait_for(server.arrived.wait(), PATIENCE_S)
         made.process.send_signal(signal.SIGTERM)
-        assert await resting.ended()  # it has heard the first
+        assert await idle.ended()  # the first signal was handled
         made.process.send_signal(signal.SIGTERM)
         made.process.send_signal(signal.SIGHUP)
-        await made.logged(b"a new configuration is in force")  # and what came behind the second
+        await made.logged(b"a new configuration is in force")  # and so was the one after the second
         go.set()
         assert (await client.answer())[0] == 200
         assert await made.end() == 0 and len(server.seen) == 1
@@ -174,11 +179,11 @@
 
 
 @looped
-async def test_a_process_that_is_killed_owes_nothing_and_the_next_one_takes_its_place(tmp_path: Path) -> None:
-    """What it held is the client's to repeat, and who asks again at the same address is served."""
+async def test_after_a_kill_a_new_process_serves_at_the_same_address(tmp_path: Path) -> None:
+    """The client's connection ends, and its repeated request is served by the next process."""
     go, script = gate(OK)
     server, registry = await Backend(script).start(), await Registry().start()
-    made = await started(tmp_path, registry, [member("b0", server.address)], "subscribe")
+    made = await start_program(tmp_path, registry, [member("b0", server.address)], "subscribe")
     try:
         client = await made.ready()
         client.send(request("held"))
@@ -196,24 +201,27 @@
         stop(made, server, registry)
 
 
-def _place(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @looped
-async def test_forty_connections_that_send_to_the_end_get_one_answer_each(tmp_path: Path) -> None:
-    """After SIGTERM clients go on sending every 20 ms on each connection that stays open. What was read is
-    answered, and what crossed the close was never read: the server's book has each id once."""
+async def test_connections_that_send_during_a_shutdown_get_one_answer_per_request(tmp_path: Path) -> None:
+    """After SIGTERM 40 clients go on sending every 20 ms on each connection that stays open.
+
+    A request that was read has to be answered. One that crossed the close must never have been read, so that
+    each id reaches the server once.
+    """
     server = await Backend(OK).start()
     registry = await Registry().start()
-    made = await started(tmp_path, registry, [member("b0", server.address)], "subscribe")
+    made = await start_program(tmp_path, registry, [member("b0", server.address)], "subscribe")
     sent: list[str] = []
     answered: dict[str, int] = {}
     unread: list[str] = []
     stopping = asyncio.Event()
 
-    async def one(number: int) -> None:
+    async def run_client(number: int) -> None:
         client = await connect(made.address)
         for count in range(1_000):
             name = f"c{number}-{count}"
@@ -234,7 +242,7 @@
 
     try:
         await made.ready()
-        clients = [asyncio.create_task(one(number)) for number in range(40)]
+        clients = [asyncio.create_task(run_client(number)) for number in range(40)]
         await stopping.wait()
         assert await made.end() == 0
         await asyncio.gather(*clients)
@@ -260,8 +268,8 @@
 
 
 @looped
-async def test_an_indented_list_is_heard_by_the_program(tmp_path: Path) -> None:
-    server, gone = await Backend(OK).start(), await Backend(OK).start()
+async def test_the_program_reads_an_indented_list(tmp_path: Path) -> None:
+    server, configured = await Backend(OK).start(), await Backend(OK).start()
 
     class Indented(Registry):
         def _line(self, writer: Any, revision: int, complete: bool, members: list[dict[str, Any]]) -> None:
@@ -270,12 +278,12 @@
 
     registry = await Indented().start()
     registry.known = [member("b0", server.address)]
-    made = await started(tmp_path, registry, [member("b1", gone.address)], "automatic")
+    made = await start_program(tmp_path, registry, [member("b1", configured.address)], "automatic")
     try:
         client = await made.ready()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
-        assert len(server.seen) == 1 and not gone.seen
+        assert len(server.seen) == 1 and not configured.seen
         assert await made.end() == 0
     finally:
-        stop(made, server, gone, registry)
+        stop(made, server, configured, registry)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started, with its signals."""
+"""The program as a process: configuration, reload and termination by signals."""
 
 from __future__ import annotations
 
@@ -32,8 +32,10 @@
 
 
 def free_address() -> tuple[str, int]:
-    """One that nobody listens at, below the ports that the machine gives to connections. Risk: one of those
-    is given to a neighbouring test's connection before it is listened at here."""
+    """Return an address that nobody listens at, below the machine's range of ephemeral ports.
+
+    A port of that range could be given to a concurrent test's connection before it is listened at here.
+    """
     while True:
         address = ("127.0.0.1", random.SystemRandom().randrange(10_000, 32_000))
         with contextlib.suppress(OSError), socket.create_server(address):
@@ -91,7 +93,7 @@
 
     async def end(self) -> int:
         if self.process.returncode is None:
-            # Not by the process object: it would look whether the process has ended, and reap it unseen.
+            # Not by the process object: it would poll the process, and might reap it before asyncio does.
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, signal.SIGTERM)
         return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
@@ -116,7 +118,7 @@
         registry.stop()
 
 
-def test_a_reload_moves_the_watch_and_keeps_every_request(tmp_path: Path) -> None:
+def test_a_reload_moves_the_watch_and_loses_no_request(tmp_path: Path) -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -137,13 +139,13 @@
             await until(lambda: old.open == 0)
             go.set()
             assert (await client.answer())[2] == b"served"
-            # What the new one tells holds: the old backend is gone, another has come.
+            # The new service's list applies: the old backend is gone, another one is listed.
             new.tell(9, member("b1", other.address), complete=True)
-            seen = 0
+            count = 0
             async with asyncio.timeout(PATIENCE_S):
                 while not other.seen:
-                    seen += 1
-                    client.send(request(f"after{seen}"))
+                    count += 1
+                    client.send(request(f"after{count}"))
                     assert (await client.answer())[0] == 200
         other.stop()
         new.stop()
@@ -151,7 +153,7 @@
     asyncio.run(play())
 
 
-def test_a_bad_new_configuration_is_one_line_and_the_old_one_stays(tmp_path: Path) -> None:
+def test_an_invalid_new_configuration_is_logged_in_one_line_and_the_old_one_stays(tmp_path: Path) -> None:
     async def play() -> None:
         backend, registry = await Backend(OK).start(), await Registry().start()
         async with program(tmp_path, backend, registry) as made:
@@ -171,20 +173,20 @@
     asyncio.run(play())
 
 
-def test_a_bad_configuration_at_the_start_is_one_line_and_an_exit(tmp_path: Path) -> None:
+def test_an_invalid_configuration_at_the_start_prints_one_line_and_exits(tmp_path: Path) -> None:
     async def play() -> None:
         made = Program(tmp_path, table("127.0.0.1:9", []))
         for config in ({}, {**made.config, "limits": {"memory_mb": float("inf"), "sockets": 256}}):
             made.write(config)
             await made.start()
-            said = await asyncio.wait_for(made.stderr.read(), PATIENCE_S)
+            output = await asyncio.wait_for(made.stderr.read(), PATIENCE_S)
             assert await asyncio.wait_for(made.process.wait(), PATIENCE_S) == 2
-            assert said.count(b"\n") == 1 and said.startswith(b"sorrelfront: ")
+            assert output.count(b"\n") == 1 and output.startswith(b"sorrelfront: ")
 
     asyncio.run(play())
 
 
-def test_sigterm_ends_it_after_what_it_owes(tmp_path: Path) -> None:
+def test_sigterm_ends_the_program_after_the_requests_in_flight(tmp_path: Path) -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -194,11 +196,11 @@
 
         backend, registry = await Backend(later).start(), await Registry().start()
         async with program(tmp_path, backend, registry) as made:
-            resting, client = await made.ready(), await made.ready()
+            idle, client = await made.ready(), await made.ready()
             client.send(request("held", "pay", b"x"))
             await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
             made.process.send_signal(signal.SIGTERM)
-            assert await resting.ended()
+            assert await idle.ended()
             go.set()
             status, head, body = await client.answer()
             assert (status, body) == (200, b"served") and b"connection: close" in head.lower()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""The program stopped and started again under load: by outside books nothing that it read is lost."""
+"""Restarts under load: by the records of clients and servers, no request that was read is lost."""
 
 from __future__ import annotations
 
@@ -18,9 +18,11 @@
 
 @pytest.mark.parametrize(
     ("sockets", "restarts"),
-    [pytest.param(512, 20, id="room for all"), pytest.param(256, 5, id="room for 134 of 200")],
+    [pytest.param(512, 20, id="descriptors for all"), pytest.param(256, 5, id="descriptors for 134 of 200")],
 )
-def test_restarts_under_load_lose_nothing_that_was_read(tmp_path: Path, sockets: int, restarts: int) -> None:
+def test_restarts_under_load_lose_no_request_that_was_read(
+    tmp_path: Path, sockets: int, restarts: int
+) -> None:
     async def play() -> None:
         backend, registry = await Backend(OK).start(), await Registry().start()
         async with program(tmp_path, backend, registry, sockets) as made:
