--- a/sorrelfront/platform/control.py
+++ b/sorrelfront/platform/control.py
@@ -29,7 +29,7 @@
 from sorrelfront.messages import Address
 from sorrelfront.net.heads import HEAD_MOST
 from sorrelfront.net.http import Wire, frame
-from sorrelfront.platform.orders_file import TooManyDisabled
+from sorrelfront.platform.orders_file import Full
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
 
 
 class AgentOperations(Protocol):
-    """The operations that the port offers. Overrides raise OSError or TooManyDisabled if they fail."""
+    """The operations that the port offers. Overrides raise OSError or Full if they fail."""
 
     def ready(self) -> bool:
         """Tell whether the process is ready to serve."""
@@ -112,7 +112,7 @@
         return Reply(404, "no server of that id is known here\n")
     try:
         operations.set_disabled(targets[0], disabled)
-    except (OSError, TooManyDisabled) as fault:
+    except (OSError, Full) as fault:
         return Reply(503, f"not done: {fault}\n")
     return Reply(200, "it is out\n" if disabled else "it is back\n")
 
--- a/sorrelfront/platform/orders_file.py
+++ b/sorrelfront/platform/orders_file.py
@@ -29,7 +29,7 @@
 MAX_FILE_BYTES = 4 * 1024 * 1024  # enough for OUT_MOST ids of ID_MOST ASCII characters
 
 
-class TooManyDisabled(SorrelfrontError):
+class Full(SorrelfrontError):
     """The limit on the number of disabled servers is reached, or a server's id is too long."""
 
     remedy = "Put servers back that need not be out, or take them out of the list itself."
@@ -74,7 +74,7 @@
         """Disable a server, or enable it again. If this raises, nothing has changed.
 
         Raises:
-            TooManyDisabled: The limit on the number of servers is reached, or the id is too long.
+            Full: The limit on the number of servers is reached, or the id is too long.
             OSError: The file cannot be locked or written.
         """
         with self._locked():
@@ -83,7 +83,7 @@
             if wanted == self.disabled:
                 return
             if disable and (len(wanted) > OUT_MOST or len(server) > ID_MOST):
-                raise TooManyDisabled(f"{OUT_MOST} servers are out by hand already, or the id is too long")
+                raise Full(f"{OUT_MOST} servers are out by hand already, or the id is too long")
             if self._path is not None:
                 temporary = self._path.with_suffix(".new")
                 temporary.write_text(json.dumps(sorted(wanted)))
--- a/sorrelfront/platform/service.py
+++ b/sorrelfront/platform/service.py
@@ -131,7 +131,7 @@
         return self._agent.knows(server)
 
     def set_disabled(self, server: str, disabled: bool) -> None:
-        """Disable a server, or enable it again. After OSError or TooManyDisabled nothing has changed."""
+        """Disable a server, or enable it again. After OSError or Full nothing has changed."""
         self._orders.set_disabled(server, disabled)
         self._agent.put_out(self._orders.disabled)
         log.warning("administrative override: %s is %s", server[:64], "disabled" if disabled else "enabled")
--- a/tests/platform/test_control.py
+++ b/tests/platform/test_control.py
@@ -15,7 +15,7 @@
 from sorrelfront.lab.http1 import Client, Registry, connect, member
 from sorrelfront.platform import control
 from sorrelfront.platform.control import ControlPort, handle_request
-from sorrelfront.platform.orders_file import TooManyDisabled
+from sorrelfront.platform.orders_file import Full
 from sorrelfront.platform.service import Service
 from tests.loopback import PATIENCE_S, Backend, World, request, until, world
 from tests.loopback import answer as reply
@@ -76,7 +76,7 @@
         handle_request(agent, "GET", "/metrics").text
         == "app.success.look=3\napp.concurrent=0\napp.share=0.25\n"
     )
-    for fault in (OSError("no room"), TooManyDisabled("too many")):
+    for fault in (OSError("no room"), Full("too many")):
         agent.fault = fault
         assert handle_request(agent, "POST", "/backends/disable?target=a").status == 503
 
--- a/tests/platform/test_orders_file.py
+++ b/tests/platform/test_orders_file.py
@@ -13,7 +13,7 @@
 
 from sorrelfront.decisions.orders import ID_MOST, OUT_MOST
 from sorrelfront.platform import orders_file
-from sorrelfront.platform.orders_file import OrdersFile, TooManyDisabled
+from sorrelfront.platform.orders_file import Full, OrdersFile
 from tests.test_process import ROOT
 
 NAME = "out-by-hand.json"
@@ -108,9 +108,9 @@
     made = OrdersFile(None)
     made.set_disabled("a", True)
     made.set_disabled("b", True)
-    with pytest.raises(TooManyDisabled):
+    with pytest.raises(Full):
         made.set_disabled("c", True)
-    with pytest.raises(TooManyDisabled):
+    with pytest.raises(Full):
         made.set_disabled("x" * (ID_MOST + 1), True)
     made.set_disabled("a", False)
     made.set_disabled("c", True)
