--- a/sorrelfront/net/jute.py
+++ b/sorrelfront/net/jute.py
@@ -1,10 +1,12 @@
-"""Jute, the records of ZooKeeper's client protocol: what client and stand-in both write and read. No I/O.
+"""Encode and decode Jute, the record format of the ZooKeeper client protocol. No I/O.
 
-Sources: zookeeper.jute of Apache ZooKeeper 3.9 (records, in their order of fields), the programmer's guide
-(sessions, watches, access control) and ZooDefs/KeeperException (numbers of operations and errors).
+Used by the client and by the test service.
 
-Everything is big-endian. A buffer, text or vector is a 32-bit length and what it counts; -1 stands for none.
-Every length is checked against what is there before anything is taken or made.
+Sources: zookeeper.jute of Apache ZooKeeper 3.9 (records and the order of their fields), the programmer's
+guide (sessions, watches, access control) and ZooDefs/KeeperException (operation and error codes).
+
+All numbers are big-endian. A buffer, string or vector is a 32-bit length followed by its content; -1 means
+null. Every length is checked against the remaining bytes before anything is read or allocated.
 """
 
 from __future__ import annotations
@@ -13,8 +15,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-FRAME_MOST = 1_048_576 + 1_024  # bytes: `jute.maxbuffer` is 0xfffff by default, beside the header
-VECTOR_MOST = 65_536  # elements: children of one node, watches set again
+FRAME_MOST = 1_048_576 + 1_024  # bytes: the default `jute.maxbuffer` is 0xfffff, without the header
+MAX_VECTOR_ELEMENTS = 65_536  # elements: children of a node, or watches to set again
 ANY_VERSION = -1
 PASSWORD_BYTES = 16
 
@@ -25,6 +27,8 @@
 
 
 class Op(IntEnum):
+    """Operation codes of requests."""
+
     CREATE = 1
     DELETE = 2
     EXISTS = 3
@@ -46,6 +50,8 @@
 
 
 class Err(IntEnum):
+    """Error codes of responses."""
+
     OK = 0
     RUNTIME_INCONSISTENCY = -2
     CONNECTION_LOSS = -4
@@ -65,6 +71,8 @@
 
 
 class Event(IntEnum):
+    """Types of watch events."""
+
     CREATED = 1
     DELETED = 2
     CHANGED = 3
@@ -72,6 +80,8 @@
 
 
 class Flag(IntEnum):
+    """Creation modes of a node."""
+
     PERSISTENT = 0
     EPHEMERAL = 1
     SEQUENTIAL = 2
@@ -79,6 +89,8 @@
 
 
 class Perm(IntEnum):
+    """Permission bits of an ACL entry."""
+
     READ = 1
     WRITE = 2
     CREATE = 4
@@ -88,10 +100,12 @@
 
 
 class Malformed(Exception):
-    """Bytes that are not the record they should be."""
+    """Bytes that do not encode the expected record."""
 
 
 class Acl(NamedTuple):
+    """An entry of an access control list."""
+
     perms: int
     scheme: str
     id: str
@@ -101,7 +115,11 @@
 
 
 class Stat(NamedTuple):
-    """What is known of a node beside its data; times in milliseconds since 1970, `owner` a session or 0."""
+    """Metadata of a node.
+
+    `ctime` and `mtime` are in milliseconds since 1970. `owner` is the session that owns an ephemeral node,
+    or 0.
+    """
 
     czxid: int
     mzxid: int
@@ -122,7 +140,7 @@
 
 
 class Writer:
-    """A record that is being written."""
+    """Encodes a record. Each method appends one value and returns the writer."""
 
     __slots__ = ("_parts",)
 
@@ -130,141 +148,166 @@
         self._parts: list[bytes] = []
 
     def int32(self, value: int) -> Writer:
+        """Append a 32-bit integer."""
         self._parts.append(_INT.pack(value))
         return self
 
     def int64(self, value: int) -> Writer:
+        """Append a 64-bit integer."""
         self._parts.append(_LONG.pack(value))
         return self
 
     def flag(self, value: bool) -> Writer:
+        """Append a boolean."""
         self._parts.append(b"\x01" if value else b"\x00")
         return self
 
     def buffer(self, value: bytes | None) -> Writer:
+        """Append a byte buffer, or null."""
         if value is None:
             return self.int32(-1)
         self._parts += (_INT.pack(len(value)), value)
         return self
 
     def text(self, value: str | None) -> Writer:
+        """Append a UTF-8 string, or null."""
         return self.buffer(None if value is None else value.encode())
 
     def texts(self, values: list[str]) -> Writer:
+        """Append a vector of strings."""
         self.int32(len(values))
         for value in values:
             self.text(value)
         return self
 
     def acls(self, values: tuple[Acl, ...]) -> Writer:
+        """Append a vector of ACL entries."""
         self.int32(len(values))
         for acl in values:
             self.int32(acl.perms).text(acl.scheme).text(acl.id)
         return self
 
     def stat(self, value: Stat) -> Writer:
+        """Append the metadata of a node."""
         self._parts.append(_STAT.pack(*value))
         return self
 
     def raw(self, data: bytes) -> Writer:
+        """Append bytes that are already encoded."""
         self._parts.append(data)
         return self
 
     def record(self) -> bytes:
+        """Return the encoded record without its length."""
         return b"".join(self._parts)
 
     def frame(self) -> bytes:
-        """The record behind its length, as it goes on the wire."""
+        """Return the encoded record preceded by its length, as it is sent."""
         record = self.record()
         return _INT.pack(len(record)) + record
 
 
 class Reader:
-    """A record that is being read. Every method raises Malformed if the bytes do not hold what is asked."""
+    """Decodes a record. Every method raises Malformed if the bytes do not encode the requested value."""
 
-    __slots__ = ("_at", "_data")
+    __slots__ = ("_cursor", "_data")
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._cursor = 0
 
     @property
     def left(self) -> int:
-        return len(self._data) - self._at
+        """The number of bytes not read yet."""
+        return len(self._data) - self._cursor
 
     def _take(self, count: int) -> bytes:
         if count < 0 or count > self.left:
-            raise Malformed(f"{count} bytes wanted, {self.left} left")
-        start = self._at
-        self._at += count
-        return self._data[start : self._at]
+            raise Malformed(f"{count} bytes expected, {self.left} left")
+        start = self._cursor
+        self._cursor += count
+        return self._data[start : self._cursor]
 
     def int32(self) -> int:
+        """Read a 32-bit integer."""
         return int(_INT.unpack(self._take(4))[0])
 
     def int64(self) -> int:
+        """Read a 64-bit integer."""
         return int(_LONG.unpack(self._take(8))[0])
 
     def flag(self) -> bool:
+        """Read a boolean."""
         byte = self._take(1)
         if byte not in (b"\x00", b"\x01"):
-            raise Malformed("a flag that is neither true nor false")
+            raise Malformed("a boolean that is neither 0 nor 1")
         return byte == b"\x01"
 
     def buffer(self) -> bytes | None:
+        """Read a byte buffer, or null."""
         length = self.int32()
         return None if length == -1 else self._take(length)
 
     def text(self) -> str:
+        """Read a UTF-8 string; null is read as an empty string."""
         try:
             return (self.buffer() or b"").decode()
         except UnicodeDecodeError:
-            raise Malformed("a text that is not UTF-8") from None
+            raise Malformed("a string that is not UTF-8") from None
+
+    def vector_length(self, min_element_bytes: int) -> int:
+        """Read the length of a vector whose elements take at least `min_element_bytes` each.
 
-    def count(self, least_bytes: int) -> int:
-        """Of a vector whose elements have so many bytes at least. Risk: a count of two thousand million would
-        be walked before the bytes are found to be missing."""
+        The length is checked here: otherwise a length of two billion would be iterated over before the
+        missing bytes are noticed.
+        """
         count = self.int32()
         if count == -1:
             return 0
-        if count < 0 or count > VECTOR_MOST or count * least_bytes > self.left:
-            raise Malformed(f"a vector of {count} elements")
+        if count < 0 or count > MAX_VECTOR_ELEMENTS or count * min_element_bytes > self.left:
+            raise Malformed(f"vector length {count}")
         return count
 
     def texts(self) -> list[str]:
-        return [self.text() for _ in range(self.count(4))]
+        """Read a vector of strings."""
+        return [self.text() for _ in range(self.vector_length(4))]
 
     def acls(self) -> tuple[Acl, ...]:
-        return tuple(Acl(self.int32(), self.text(), self.text()) for _ in range(self.count(12)))
+        """Read a vector of ACL entries."""
+        return tuple(Acl(self.int32(), self.text(), self.text()) for _ in range(self.vector_length(12)))
 
     def stat(self) -> Stat:
+        """Read the metadata of a node."""
         return Stat(*_STAT.unpack(self._take(_STAT.size)))
 
     def rest(self) -> bytes:
+        """Read all remaining bytes."""
         return self._take(self.left)
 
     def end(self) -> None:
+        """Check that the record ends here. Raises Malformed if bytes follow."""
         if self.left:
-            raise Malformed(f"{self.left} bytes behind the record")
+            raise Malformed(f"{self.left} bytes after the record")
 
 
 def frame_length(head: bytes) -> int:
-    """The length that stands ahead of a frame. Raises Malformed for one that none may have."""
+    """Decode the length prefix of a frame. Raises Malformed if it is negative or above FRAME_MOST."""
     length = int(_INT.unpack(head)[0])
     if not 0 <= length <= FRAME_MOST:
-        raise Malformed(f"a frame of {length} bytes")
+        raise Malformed(f"frame length {length}")
     return length
 
 
 def checked_path(path: str) -> str:
-    """An absolute path as ZooKeeper takes it. Raises Malformed."""
+    """Return an absolute path that ZooKeeper accepts. Raises Malformed for any other."""
     if path == "/":
         return path
     parts = path.split("/")
     if parts[0] != "" or not path or any(part in ("", ".", "..") for part in parts[1:]) or "\x00" in path:
-        raise Malformed(f"not a path: {path[:80]!r}")
+        raise Malformed(f"invalid path: {path[:80]!r}")
     return path
 
 
 def parent(path: str) -> str:
+    """Return the path of the parent node; the parent of the root is the root."""
     return path.rpartition("/")[0] or "/"
--- a/tests/net/test_jute.py
+++ b/tests/net/test_jute.py
@@ -1,4 +1,4 @@
-"""Records are read as they were written, and nothing that is no record does harm."""
+"""Jute records are decoded as they were encoded, and malformed input is rejected."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from sorrelfront.net.jute import (
     FRAME_MOST,
-    VECTOR_MOST,
+    MAX_VECTOR_ELEMENTS,
     Acl,
     Malformed,
     Reader,
@@ -30,19 +30,19 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(INTS, LONGS, st.booleans(), st.binary(max_size=99), st.text(max_size=30),
        st.lists(st.text(max_size=9), max_size=9), ACLS, STATS)  # fmt: skip
-def test_what_is_written_is_read(
+def test_encoded_values_are_decoded(
     number: int, long: int, flag: bool, data: bytes, text: str, texts: list[str], acls: tuple[Acl, ...],
     stat: Stat,
 ) -> None:  # fmt: skip
     writer = Writer().int32(number).int64(long).flag(flag).buffer(data).buffer(None).text(text)
     frame = writer.texts(texts).acls(acls).stat(stat).frame()
     assert frame_length(frame[:4]) == len(frame) - 4
-    said = Reader(frame[4:])
-    assert (said.int32(), said.int64(), said.flag(), said.buffer(), said.buffer()) == (
+    reader = Reader(frame[4:])
+    assert (reader.int32(), reader.int64(), reader.flag(), reader.buffer(), reader.buffer()) == (
         number, long, flag, data, None,
     )  # fmt: skip
-    assert (said.text(), said.texts(), said.acls(), said.stat()) == (text, texts, acls, stat)
-    said.end()
+    assert (reader.text(), reader.texts(), reader.acls(), reader.stat()) == (text, texts, acls, stat)
+    reader.end()
 
 
 READS = ("int32", "int64", "flag", "buffer", "text", "texts", "acls", "stat", "rest", "end")
@@ -50,19 +50,19 @@
 
 @settings(derandomize=True, deadline=None, max_examples=500)
 @given(st.binary(max_size=200), st.lists(st.sampled_from(READS), min_size=1, max_size=8))
-def test_any_bytes_are_read_or_are_malformed(data: bytes, reads: list[str]) -> None:
-    said = Reader(data)
+def test_any_bytes_are_decoded_or_malformed(data: bytes, reads: list[str]) -> None:
+    reader = Reader(data)
     for read in reads:
-        before = said.left
+        before = reader.left
         try:
-            getattr(said, read)()
+            getattr(reader, read)()
         except Malformed:
             return
-        assert 0 <= said.left <= before
+        assert 0 <= reader.left <= before
 
 
-@pytest.mark.parametrize("count", [VECTOR_MOST + 1, 2**31 - 1, -2, 3])
-def test_a_vector_that_cannot_be_there_is_refused_before_it_is_walked(count: int) -> None:
+@pytest.mark.parametrize("count", [MAX_VECTOR_ELEMENTS + 1, 2**31 - 1, -2, 3])
+def test_an_impossible_vector_length_is_refused_before_reading_elements(count: int) -> None:
     with pytest.raises(Malformed):
         Reader(struct.pack(">i", count) + bytes(8)).texts()
     with pytest.raises(Malformed):
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("length", [-1, FRAME_MOST + 1, 2**31 - 1, -(2**31)])
-def test_a_frame_that_is_too_long_is_refused_by_its_length(length: int) -> None:
+def test_an_invalid_frame_length_is_refused(length: int) -> None:
     with pytest.raises(Malformed):
         frame_length(struct.pack(">i", length))
 
