--- a/sorrelfront/decisions/places.py
+++ b/sorrelfront/decisions/places.py
@@ -1,12 +1,13 @@
-"""Which place each instance of a fleet has, so that their slices of the servers cover the list. No I/O.
+"""Assign a numbered seat to each instance of a fleet, so that their slices of the servers cover the list.
 
-Instances take *seats*, numbered from 0: a node `seat-N` that only one session can hold, the lowest that is
-free. A seat has its point on the ring of servers for good, whoever sits there and however many sit: the
-points are the van der Corput sequence in base 2, whose first n points leave no gap above twice the least. So
-one that joins moves no other's slice, and one that leaves moves one at most: once a seat has been free for
-`hole_us`, the instance with the highest number moves into it.
+A seat is an ephemeral node `seat-N`, numbered from 0, which only one session can own; an instance takes the
+lowest free one. Each seat has a fixed point on the ring of servers, whichever instance holds it and however
+many seats are taken: the points are the van der Corput sequence in base 2, whose first n points leave no gap
+above twice the smallest. So an instance that joins moves no other slice, and one that leaves moves at most
+one: once a seat has been free for `hole_us`, the instance with the highest seat moves into it.
 
-Source: J. G. van der Corput, Verteilungsfunktionen (1935); docs/design/zookeeper.md has the options weighed.
+This module does no I/O. Sources: J. G. van der Corput, Verteilungsfunktionen (1935); docs/design/zookeeper.md
+compares the options.
 """
 
 from __future__ import annotations
@@ -19,63 +20,75 @@
 from random import Random
 from typing import NamedTuple
 
-SEATS_MOST = 4_096
-POINTS = 65_536  # places on the ring: what the balancer is told as the number of agents
-CHOICE_MOST = 128  # free seats that a claim is drawn from
-BITS = POINTS.bit_length() - 1
+MAX_SEATS = 4_096
+POINTS = 65_536  # points on the ring; the balancer gets this as the number of agents
+MAX_CANDIDATES = 128  # free seats from which a claim is chosen at random
+POINT_BITS = POINTS.bit_length() - 1
 
 
 def point(seat: int) -> int:
-    """Where on a ring of POINTS this seat's slice begins: the bits of its number, reversed."""
+    """Return the point on the ring at which the slice of this seat begins: its bit-reversed number.
+
+    Raises:
+        ValueError: The seat is negative or not below POINTS.
+    """
     if not 0 <= seat < POINTS:
-        raise ValueError(f"no seat: {seat}")
-    turned = 0
-    for _ in range(BITS):
-        turned = turned << 1 | seat & 1
+        raise ValueError(f"seat {seat} is not from 0 to {POINTS - 1}")
+    reversed_bits = 0
+    for _ in range(POINT_BITS):
+        reversed_bits = reversed_bits << 1 | seat & 1
         seat >>= 1
-    return turned
+    return reversed_bits
 
 
 class Claim(NamedTuple):
-    """Try to make this seat's node, after this time. What came of it is told by `on_claimed`."""
+    """Try to create this seat's node after a delay; `on_claimed` or `on_claim_unknown` gets the result."""
 
     seat: int
     delay_us: int
 
 
 class Release(NamedTuple):
-    """Delete this seat's node, which is ours."""
+    """Delete the node of this seat, which we own."""
 
     seat: int
 
 
-class Sit(NamedTuple):
-    """The slice begins at this seat's point from now on; None: where the configuration says, since we have
-    no seat any more."""
+class SeatChange(NamedTuple):
+    """The slice begins at the point of this seat from now on.
+
+    None means that we have no seat any more: the slice begins where the configuration says.
+    """
 
     seat: int | None
 
 
 class Wake(NamedTuple):
-    """Call `on_timer` after this time."""
+    """Call `on_timer` after this delay."""
 
     delay_us: int
 
 
-Action = Claim | Release | Sit | Wake
+Action = Claim | Release | SeatChange | Wake
 
 
-class Session(Enum):
-    HELD = "held"
-    SILENT = "silent"
-    LOST = "lost"
+class SessionState(Enum):
+    """State of the session with the service."""
+
+    CONNECTED = "held"
+    DISCONNECTED = "silent"  # the session may still be alive
+    EXPIRED = "lost"
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Times in microseconds. `hole_us`: how long a seat is free before the highest moves there, so that one
-    that restarts finds its own again. `keep_us`: how long one whose session may have ended without its
-    knowing goes on by its seat; the session's time-out is the least that makes sense."""
+    """Time limits of seat assignment, in microseconds.
+
+    `hole_us` is how long a seat stays free before the instance with the highest seat moves into it, so that
+    an instance that restarts gets its own seat again. `keep_us` is how long an instance keeps using its seat
+    after it lost contact and its session may have expired; values below the session timeout make no sense.
+    `spread_us` is the upper bound of the random delay before a claim.
+    """
 
     hole_us: int = 10_000_000
     keep_us: int = 15_000_000
@@ -87,130 +100,139 @@
                 raise ValueError(f"{name} must be above 0")
 
 
-class Places:
-    """One instance's seat. Every method returns the actions that follow.
+class SeatAllocator:
+    """Assigns a seat to one instance. Its `on_...` methods return the actions to take.
 
-    Two never hold one seat's node. One that has lost its session goes on by its seat until it knows better,
-    for `keep_us` at most after its service fell silent; in that time another may have taken the node, so two
-    may *go by* one seat for `keep_us` less the session's time-out, and for the time that a claim takes."""
+    No two instances ever own the node of the same seat. An instance that has lost its session keeps using
+    its seat until it holds another one, for at most `keep_us` after contact was lost. Another instance may
+    own the node by then, so two instances may *use* the same seat for `keep_us` less the session timeout,
+    plus the time that a claim takes.
+    """
 
-    def __init__(self, terms: Terms, seed: int, last: int | None = None) -> None:
-        """`last`: the seat that this instance had before it was started anew, which it asks for first."""
-        self._terms = terms
+    def __init__(self, settings: Terms, seed: int, last: int | None = None) -> None:
+        """Start without a seat; `last` is the seat before a restart, which is claimed first."""
+        self._settings = settings
         self._random = Random(seed)
-        self._seats: frozenset[int] = frozenset()
-        self._holes: dict[int, int] = {}  # free seats below the highest, and since when
-        self._session = Session.SILENT
-        self._silent_since = -1
-        self._wanted: int | None = None  # being claimed
-        self.held: int | None = None  # our node
-        self.seat: int | None = last  # what the slice goes by
-        self._misses = 0  # claims in a row that somebody else was ahead of
-        self.moves = 0  # of the slice, since the start
+        self._taken: frozenset[int] = frozenset()
+        self._holes: dict[int, int] = {}  # free seats below the highest taken one, and since when
+        self._session_state = SessionState.DISCONNECTED
+        self._contact_lost_at = -1
+        self._claimed: int | None = None  # seat being claimed
+        self.held: int | None = None  # seat whose node we own
+        self.seat: int | None = last  # seat that determines the slice
+        self._failed_claims = 0  # consecutive claims that another instance won
+        self.moves = 0  # moves of the slice since the start
 
     @property
     def count(self) -> int:
-        """How many instances hold seats, as last heard."""
-        return len(self._seats)
-
-    def on_session(self, session: Session, now: int) -> list[Action]:
-        before, self._session = self._session, session
-        if session is Session.SILENT:
-            if before is Session.HELD:
-                self._silent_since = now
-                return [Wake(self._terms.keep_us)] if self.seat is not None else []
+        """The number of seats taken, as last read."""
+        return len(self._taken)
+
+    def on_session(self, session: SessionState, now: int) -> list[Action]:
+        """Handle a change of the session state."""
+        before, self._session_state = self._session_state, session
+        if session is SessionState.DISCONNECTED:
+            if before is SessionState.CONNECTED:
+                self._contact_lost_at = now
+                return [Wake(self._settings.keep_us)] if self.seat is not None else []
             return []
-        if session is Session.LOST:
-            # The node went with the session; the seat is gone by until another is held or time is up.
-            self.held = self._wanted = None
-            if before is Session.HELD:
-                self._silent_since = now
-            return [Wake(self._terms.keep_us)] if self.seat is not None else []
-        self._silent_since = -1
+        if session is SessionState.EXPIRED:
+            # The node is deleted with the session; the seat is used until another is held or `keep_us` is
+            # over.
+            self.held = self._claimed = None
+            if before is SessionState.CONNECTED:
+                self._contact_lost_at = now
+            return [Wake(self._settings.keep_us)] if self.seat is not None else []
+        self._contact_lost_at = -1
         return []
 
     def on_seats(self, taken: Collection[int], now: int) -> list[Action]:
-        """The seats whose nodes are there, from a read under a session that is held."""
-        self._seats = frozenset(seat for seat in taken if 0 <= seat < SEATS_MOST)
-        if self.held is not None and self.held not in self._seats and self._wanted is None:
-            self.held = None  # somebody deleted it
-        highest = max(self._seats, default=-1)
-        holes = [seat for seat in range(highest) if seat not in self._seats]
+        """Handle a read of the seat nodes that exist, made while the session is connected."""
+        self._taken = frozenset(seat for seat in taken if 0 <= seat < MAX_SEATS)
+        if self.held is not None and self.held not in self._taken and self._claimed is None:
+            self.held = None  # our node has been deleted
+        highest = max(self._taken, default=-1)
+        holes = [seat for seat in range(highest) if seat not in self._taken]
         self._holes = {seat: self._holes.get(seat, now) for seat in holes}
         return self._decide(now)
 
-    def on_claimed(self, seat: int, ours: bool, now: int) -> list[Action]:
-        """The node was made, or somebody else had made it."""
-        if self._wanted != seat:
-            return [Release(seat)] if ours and seat != self.held else []
-        self._wanted = None
-        if not ours:
-            self._misses += 1
-            self._seats |= {seat}
+    def on_claimed(self, seat: int, is_ours: bool, now: int) -> list[Action]:
+        """Handle the result of a claim: the node is ours, or another instance created it first."""
+        if self._claimed != seat:
+            return [Release(seat)] if is_ours and seat != self.held else []
+        self._claimed = None
+        if not is_ours:
+            self._failed_claims += 1
+            self._taken |= {seat}
             return self._decide(now) if self.held is None else []
         actions: list[Action] = []
         if self.held is not None:
             actions.append(Release(self.held))
         self.held = seat
-        self._misses = 0
-        self._seats |= {seat}
+        self._failed_claims = 0
+        self._taken |= {seat}
         if self.seat != seat:
             self.seat = seat
             self.moves += 1
-            actions.append(Sit(seat))
+            actions.append(SeatChange(seat))
         return actions
 
-    def on_failed(self, seat: int, now: int) -> list[Action]:
-        """Nobody knows whether the claim came through: the next read of the seats tells."""
-        if self._wanted == seat:
-            self._wanted = None
+    def on_claim_unknown(self, seat: int, now: int) -> list[Action]:
+        """Handle a claim with an unknown result: the next read of the seats decides."""
+        if self._claimed == seat:
+            self._claimed = None
         return []
 
     def on_timer(self, now: int) -> list[Action]:
-        if self._session is Session.HELD:
+        """Handle a due `Wake`: move to a lower seat, or give up a seat that was kept for `keep_us`."""
+        if self._session_state is SessionState.CONNECTED:
             return self._decide(now)
-        if self.seat is None or not self._over(now):
+        if self.seat is None or not self._keep_time_over(now):
             return []
         self.seat = self.held = None
-        return [Sit(None)]
+        return [SeatChange(None)]
 
-    def _over(self, now: int) -> bool:
-        return self._silent_since >= 0 and now >= self._silent_since + self._terms.keep_us
+    def _keep_time_over(self, now: int) -> bool:
+        return self._contact_lost_at >= 0 and now >= self._contact_lost_at + self._settings.keep_us
 
     def _decide(self, now: int) -> list[Action]:
-        if self._session is not Session.HELD or self._wanted is not None:
+        if self._session_state is not SessionState.CONNECTED or self._claimed is not None:
             return []
         if self.held is None:
-            return self._claim(self._first_choice(), spread=True)
-        # Only the highest moves, and only into a hole that has stayed one.
-        if not self._holes or self.held != max(self._seats, default=-1):
+            return self._claim(self._choose_seat(), spread=True)
+        # Only the instance with the highest seat moves, and only into a seat that was free for `hole_us`.
+        if not self._holes or self.held != max(self._taken, default=-1):
             return []
         seat, since = min(self._holes.items())
-        wait_us = since + self._terms.hole_us - now
+        wait_us = since + self._settings.hole_us - now
         return [Wake(wait_us)] if wait_us > 0 else self._claim(seat, spread=False)
 
-    def _first_choice(self) -> int:
-        if self.seat is not None and self.seat not in self._seats:
+    def _choose_seat(self) -> int:
+        if self.seat is not None and self.seat not in self._taken:
             return self.seat
-        # One of the first that are free: twice as many with each miss. Risk: a fleet that starts together
-        # asks for one seat after the other, all of it for each.
-        free = (seat for seat in range(SEATS_MOST) if seat not in self._seats)
-        choice = [*islice(free, min(CHOICE_MOST, 1 << min(self._misses, 16)))]
-        return self._random.choice(choice) if choice else SEATS_MOST
+        # A random one of the lowest free seats; the number of candidates doubles with each failed claim.
+        # Otherwise all instances of a fleet that starts together would claim the same seat, one seat at a
+        # time.
+        free = (seat for seat in range(MAX_SEATS) if seat not in self._taken)
+        candidates = [*islice(free, min(MAX_CANDIDATES, 1 << min(self._failed_claims, 16)))]
+        return self._random.choice(candidates) if candidates else MAX_SEATS
 
     def _claim(self, seat: int, spread: bool) -> list[Action]:
-        if seat >= SEATS_MOST:
+        if seat >= MAX_SEATS:
             return []
-        self._wanted = seat
-        delay = int(self._random.random() * self._terms.spread_us) if spread else 0
+        self._claimed = seat
+        delay = int(self._random.random() * self._settings.spread_us) if spread else 0
         return [Claim(seat, delay)]
 
 
 def gaps(seats: Collection[int]) -> tuple[float, float]:
-    """The least and the greatest part of the ring between neighbours, as multiples of an even share."""
+    """Return the smallest and largest gap between neighbours on the ring, as multiples of an even share."""
     points = sorted(point(seat) for seat in seats)
     if not points:
         return math.nan, math.nan
-    around = [*points[1:], points[0] + POINTS]
-    shares = [(after - at) * len(points) / POINTS for at, after in zip(points, around, strict=True)]
+    next_points = [*points[1:], points[0] + POINTS]
+    shares = [
+        (following - start) * len(points) / POINTS
+        for start, following in zip(points, next_points, strict=True)
+    ]
     return min(shares), max(shares)
--- a/sorrelfront/net/jute.py
+++ b/sorrelfront/net/jute.py
@@ -117,8 +117,8 @@
 class Stat(NamedTuple):
     """Metadata of a node.
 
-    `ctime` and `mtime` are in milliseconds since 1970. `owner` is the session that owns an ephemeral node,
-    or 0.
+    `ctime` and `mtime` are in milliseconds since 1970. `ephemeral_owner` is the session that owns an
+    ephemeral node, or 0.
     """
 
     czxid: int
@@ -128,9 +128,9 @@
     version: int
     cversion: int
     aversion: int
-    owner: int
+    ephemeral_owner: int
     data_length: int
-    children: int
+    num_children: int
     pzxid: int
 
 
--- a/sorrelfront/net/zookeeper.py
+++ b/sorrelfront/net/zookeeper.py
@@ -1,8 +1,8 @@
-"""A session with a ZooKeeper-style service, over asyncio streams: connects, keeps alive, comes back.
+"""Client session with a ZooKeeper-compatible service, over asyncio streams.
 
-It decides nothing about what is read. What a server sends is checked: a frame or a record that cannot be read
-ends the connection with one log line, and the next server is tried. Memory is bounded by one frame and by
-PENDING_MOST requests.
+The session connects, sends pings and reconnects; it does not interpret the data that is read. Everything
+that a server sends is checked: a malformed frame or record ends the connection with one log line, and the
+next server is tried. Memory is bounded by one frame and by MAX_IN_FLIGHT requests.
 
 Sources: zookeeper.jute and the programmer's guide of Apache ZooKeeper 3.9 (sessions, watches, consistency).
 """
@@ -47,29 +47,29 @@
 
 T = TypeVar("T")
 
-PENDING_MOST = 256  # requests without their answer; more wait here
-WAITING_MOST = 50_000  # requests in all, waiting ones too: a list of 10,000 with room to spare
-WATCHES_MOST = 50_000
-CONNECT_S = 1.0  # for a connection, and for the answer to its first record
-BACK_OFF_S = (0.05, 2.0)  # between connections, doubled with each that fails, and spread by seed
-WATCHES_IN_ONE = 4_096  # set again in one record; more would not fit a frame
+MAX_IN_FLIGHT = 256  # requests sent without a response; more are queued here
+MAX_REQUESTS = 50_000  # requests sent or queued: enough for a list of 10,000 servers, with a margin
+MAX_WATCHES = 50_000
+CONNECT_TIMEOUT_S = 1.0  # for connecting and for the response to the first record
+BACKOFF_RANGE_S = (0.05, 2.0)  # between connections, doubled with each failure and randomized by seed
+MAX_WATCHES_PER_RECORD = 4_096  # set again in one record; more would not fit in a frame
 
 
 class Life(Enum):
-    """What the session does; told with each change."""
+    """State of the session; `on_state_change` is called with each change."""
 
-    CONNECTED = "connected"  # a new session, or the same one again
-    SLOW = "slow"  # connected, and an answer is late
-    SILENT = "silent"  # no connection; the session may live on
-    EXPIRED = "expired"  # the session has ended, and all that it owned is gone
+    CONNECTED = "connected"  # a new session, or the same one after a reconnect
+    SLOW = "slow"  # connected, but a response is late
+    DISCONNECTED = "silent"  # no connection; the session may still be alive
+    EXPIRED = "expired"  # the session has ended, and its ephemeral nodes are deleted
 
 
 class Lost(Exception):
-    """The connection went before the answer: nobody knows whether it was done."""
+    """The connection was lost before the response: the request may or may not have been executed."""
 
 
 class NotDone(SorrelfrontError):
-    """The service says no, by its error."""
+    """The service refused the request with the error code `err`."""
 
     remedy = "Give the path the rights that the operators' page names, or mend [membership] auth_file."
 
@@ -78,28 +78,28 @@
         self.err = err
 
 
-class Full(Exception):
-    """Too many requests wait already."""
+class TooManyRequests(Exception):
+    """Too many requests are waiting, or too many watches are set."""
 
 
-def _nothing(answer: Reader) -> None:
-    """Of answers that say no more than that it is done."""
+def _parse_empty(answer: Reader) -> None:
+    """Parse a response without content."""
 
 
-def _data(answer: Reader) -> tuple[bytes, Stat]:
+def _parse_data(answer: Reader) -> tuple[bytes, Stat]:
     return answer.buffer() or b"", answer.stat()
 
 
-def _children(answer: Reader) -> tuple[list[str], Stat]:
+def _parse_children(answer: Reader) -> tuple[list[str], Stat]:
     return answer.texts(), answer.stat()
 
 
-class _Behind(Exception):
-    """A server that knows less than this session has seen."""
+class _StaleServer(Exception):
+    """A server whose data is older than what this session has seen."""
 
 
 @dataclass(slots=True)
-class _Asked:
+class _Request:
     op: Op
     record: bytes
     answer: asyncio.Future[tuple[int, Reader]]
@@ -108,10 +108,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """`timeout_s`: of the session, as asked for; the server may say otherwise."""
+    """Settings of a session."""
 
     hosts: tuple[Address, ...]
-    timeout_s: float = 6.0
+    timeout_s: float = 6.0  # session timeout to request; the server may set another
     chroot: str = ""
     auth: str = ""  # "user:password" of the digest scheme; empty for none
 
@@ -125,59 +125,70 @@
 
 
 class Session:
-    """`on_life` hears of each change of the session's life, `on_event` of each watch that fires, with its
-    path below the chroot. Both are called in the loop's step that read the news, and must not raise."""
+    """A client session.
+
+    `on_state_change` is called with each change of the session state, and `on_event` for each watch that
+    fires, with the path relative to the chroot. Both are called in the event loop iteration that received
+    the change, and must not raise.
+    """
 
     def __init__(
-        self, terms: Terms, seed: int, on_life: Callable[[Life], None], on_event: Callable[[Event, str], None]
+        self,
+        settings: Terms,
+        seed: int,
+        on_state_change: Callable[[Life], None],
+        on_event: Callable[[Event, str], None],
     ) -> None:
-        self._terms = terms
+        self._settings = settings
         self._random = Random(seed)
-        # In a seeded order. Risk: every instance of a fleet asks the first one named.
-        self._hosts = list(terms.hosts)
+        # In a seeded random order: otherwise all instances of a fleet connect to the first host.
+        self._hosts = list(settings.hosts)
         self._random.shuffle(self._hosts)
-        self._on_life, self._on_event = on_life, on_event
+        self._on_state_change, self._on_event = on_state_change, on_event
         self.id = 0
         self._password = bytes(PASSWORD_BYTES)
-        self.timeout_s = terms.timeout_s
+        self.timeout_s = settings.timeout_s
         self._last_zxid = 0
         self._xid = 0
         self._loop = asyncio.get_running_loop()
-        self._queue: OrderedDict[int, _Asked] = OrderedDict()  # by xid, not sent yet
-        self._pending: OrderedDict[int, _Asked] = OrderedDict()  # sent, in order
+        self._queue: OrderedDict[int, _Request] = OrderedDict()  # by xid, not sent yet
+        self._in_flight: OrderedDict[int, _Request] = OrderedDict()  # sent, in the order of their responses
         self._writer: asyncio.StreamWriter | None = None
-        self._heard_at = 0.0
-        self._pinged_at: float | None = None
-        self._silent_since = self._loop.time()
-        self._behind = False  # since the last connection that held, some server knew less than we do
-        # Watches by kind, as they have to be set again.
-        self._data: set[str] = set()
-        self._children: set[str] = set()
-        self.life: Life | None = None
+        self._last_received_at = 0.0
+        self._ping_sent_at: float | None = None
+        self._disconnected_since = self._loop.time()
+        self._stale_server_seen = False  # a server with older data was seen since the last connection
+        # Watches by kind, to set them again after a reconnect.
+        self._data_watches: set[str] = set()
+        self._child_watches: set[str] = set()
+        self.state: Life | None = None
         self.connections = 0
         self._task = asyncio.create_task(self._run())
-        self._task.add_done_callback(self._ended)
+        self._task.add_done_callback(self._on_task_done)
 
     async def close(self, within_s: float = 0.5) -> None:
-        """End the session, so that what it owns goes at once; at the latest when it expires."""
+        """End the session, so that its ephemeral nodes are deleted at once.
+
+        If the service does not respond within `within_s`, the nodes are deleted when the session expires.
+        """
         if self._writer is not None:
-            with contextlib.suppress(Lost, NotDone, Full, TimeoutError):
+            with contextlib.suppress(Lost, NotDone, TooManyRequests, TimeoutError):
                 async with asyncio.timeout(within_s):
-                    await self._ask(Op.CLOSE, b"", _nothing)
+                    await self._request(Op.CLOSE, b"", _parse_empty)
         self.abandon()
 
     def abandon(self) -> None:
-        """Let go without a word: the session lives on at the service until it expires."""
+        """Stop without closing the session: it stays alive at the service until it expires."""
         self._task.cancel()
         self._fail_all()
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._fail_all()
         if not task.cancelled() and task.exception() is not None:
-            log.error("the session's task failed", exc_info=task.exception())
+            log.error("the session task failed", exc_info=task.exception())
 
     def drop_connection(self) -> None:
-        """Go to another server."""
+        """Abort the connection; another server is tried next."""
         if self._writer is not None:
             self._writer.transport.abort()
 
@@ -186,269 +197,291 @@
     async def create(
         self, path: str, data: bytes, flags: Flag = Flag.PERSISTENT, acls: tuple[Acl, ...] = OPEN_TO_ALL
     ) -> str:
-        """The path as it was made. Raises Lost, NotDone or Full, as every request here."""
-        record = Writer().text(self._full(path)).buffer(data).acls(acls).int32(flags).record()
-        return self._below(await self._ask(Op.CREATE, record, Reader.text))
+        """Create a node and return its path.
+
+        Raises:
+            Lost: The connection was lost before the response; all requests raise these exceptions.
+            NotDone: The service refused the request.
+            TooManyRequests: Too many requests are waiting.
+        """
+        record = Writer().text(self._full_path(path)).buffer(data).acls(acls).int32(flags).record()
+        return self._relative_path(await self._request(Op.CREATE, record, Reader.text))
 
     async def delete(self, path: str, version: int = -1) -> None:
-        await self._ask(Op.DELETE, Writer().text(self._full(path)).int32(version).record(), _nothing)
+        """Delete a node; a version of -1 matches any."""
+        await self._request(
+            Op.DELETE, Writer().text(self._full_path(path)).int32(version).record(), _parse_empty
+        )
 
     async def put(self, path: str, data: bytes, version: int = -1) -> Stat:
-        record = Writer().text(self._full(path)).buffer(data).int32(version).record()
-        return await self._ask(Op.SET_DATA, record, Reader.stat)
+        """Replace the data of a node; a version of -1 matches any."""
+        record = Writer().text(self._full_path(path)).buffer(data).int32(version).record()
+        return await self._request(Op.SET_DATA, record, Reader.stat)
 
     async def get(self, path: str, watch: bool) -> tuple[bytes, Stat]:
-        full = self._watched(path, self._data, watch)
-        return await self._ask(Op.GET_DATA, Writer().text(full).flag(watch).record(), _data)
+        """Return the data and metadata of a node, and set a data watch if `watch`."""
+        full = self._add_watch(path, self._data_watches, watch)
+        return await self._request(Op.GET_DATA, Writer().text(full).flag(watch).record(), _parse_data)
 
     async def children(self, path: str, watch: bool) -> tuple[list[str], Stat]:
-        full = self._watched(path, self._children, watch)
-        return await self._ask(Op.GET_CHILDREN2, Writer().text(full).flag(watch).record(), _children)
+        """Return the names of the children and the metadata of a node; set a child watch if `watch`."""
+        full = self._add_watch(path, self._child_watches, watch)
+        return await self._request(
+            Op.GET_CHILDREN2, Writer().text(full).flag(watch).record(), _parse_children
+        )
 
     async def sync(self, path: str) -> None:
-        """Have this server catch up with the leader, so that the next read is fresh."""
-        await self._ask(Op.SYNC, Writer().text(self._full(path)).record(), Reader.text)
+        """Make the connected server catch up with the leader, so that the next read is up to date."""
+        await self._request(Op.SYNC, Writer().text(self._full_path(path)).record(), Reader.text)
 
-    def _watched(self, path: str, watches: set[str], watch: bool) -> str:
-        full = self._full(path)
+    def _add_watch(self, path: str, watches: set[str], watch: bool) -> str:
+        full = self._full_path(path)
         if watch:
-            if len(self._data) + len(self._children) >= WATCHES_MOST and full not in watches:
-                raise Full
+            if len(self._data_watches) + len(self._child_watches) >= MAX_WATCHES and full not in watches:
+                raise TooManyRequests
             watches.add(full)
         return full
 
-    def forget(self, path: str) -> None:
-        """Its watch is not set again."""
-        self._data.discard(self._full(path))
+    def forget_watch(self, path: str) -> None:
+        """Stop setting the data watch of this path again after a reconnect."""
+        self._data_watches.discard(self._full_path(path))
 
-    def _full(self, path: str) -> str:
-        return (self._terms.chroot + path).rstrip("/") or "/"
+    def _full_path(self, path: str) -> str:
+        return (self._settings.chroot + path).rstrip("/") or "/"
 
-    def _below(self, full: str) -> str:
-        return full.removeprefix(self._terms.chroot) or "/"
+    def _relative_path(self, full: str) -> str:
+        return full.removeprefix(self._settings.chroot) or "/"
 
-    async def _ask(self, op: Op, record: bytes, parse: Callable[[Reader], T]) -> T:
-        if len(self._queue) + len(self._pending) >= WAITING_MOST:
-            raise Full
+    async def _request(self, op: Op, record: bytes, parse: Callable[[Reader], T]) -> T:
+        if len(self._queue) + len(self._in_flight) >= MAX_REQUESTS:
+            raise TooManyRequests
         self._xid = self._xid % 0x3FFFFFFF + 1
         xid = self._xid
-        asked = _Asked(op, record, self._loop.create_future())
-        self._queue[xid] = asked
-        self._pump()
+        request = _Request(op, record, self._loop.create_future())
+        self._queue[xid] = request
+        self._send_queued()
         try:
-            err, answer = await asked.answer
+            err, answer = await request.answer
         finally:
-            self._queue.pop(xid, None)  # the caller may have gone; what was sent is answered all the same
+            self._queue.pop(xid, None)  # for a cancelled caller; requests already sent are still answered
         if err:
             raise NotDone(err)
         try:
             return parse(answer)
         except Malformed as fault:
-            # Risk: what comes next from whoever sends this is no better.
-            log.warning("an answer to %s cannot be read: %s", op.name, fault)
+            # Later data from this server cannot be trusted either.
+            log.warning("malformed response to %s: %s", op.name, fault)
             self.drop_connection()
             raise Lost from None
 
-    def _pump(self) -> None:
-        """Send what waits, as far as there is room."""
+    def _send_queued(self) -> None:
+        """Send queued requests, up to MAX_IN_FLIGHT without a response."""
         writer = self._writer
-        while writer is not None and self._queue and len(self._pending) < PENDING_MOST:
-            xid, asked = self._queue.popitem(last=False)
-            asked.sent_at = self._loop.time()
-            self._pending[xid] = asked
-            writer.write(Writer().int32(xid).int32(asked.op).raw(asked.record).frame())
+        while writer is not None and self._queue and len(self._in_flight) < MAX_IN_FLIGHT:
+            xid, request = self._queue.popitem(last=False)
+            request.sent_at = self._loop.time()
+            self._in_flight[xid] = request
+            writer.write(Writer().int32(xid).int32(request.op).raw(request.record).frame())
 
     def _fail_all(self) -> None:
-        for waiting in (self._pending, self._queue):
-            while waiting:
-                _, asked = waiting.popitem()
-                if not asked.answer.done():
-                    asked.answer.set_exception(Lost())
-                    asked.answer.exception()  # read by its caller, if there still is one
+        for requests in (self._in_flight, self._queue):
+            while requests:
+                _, request = requests.popitem()
+                if not request.answer.done():
+                    request.answer.set_exception(Lost())
+                    request.answer.exception()  # marks it as retrieved, in case the caller was cancelled
 
     # The connection
 
     async def _run(self) -> None:
-        failed = 0
+        failures = 0
         while True:
             for host in [*self._hosts]:
-                held = await self._one(host)
-                failed = 0 if held else failed + 1
-                if not held and failed >= len(self._hosts):
-                    self._give_up_what_nobody_knows()
-                least, most = BACK_OFF_S
-                pause = min(most, least * 2 ** min(failed, 16))
+                established = await self._run_connection(host)
+                failures = 0 if established else failures + 1
+                if not established and failures >= len(self._hosts):
+                    self._restart_if_service_rolled_back()
+                shortest, longest = BACKOFF_RANGE_S
+                pause = min(longest, shortest * 2 ** min(failures, 16))
                 await asyncio.sleep(pause * (0.5 + self._random.random()))
 
-    def _give_up_what_nobody_knows(self) -> None:
-        """Nobody takes this session for longer than it may be silent, and some server knew less than it has
-        seen: the service has been restored from something older. Risk: no server would ever be new enough."""
-        over = self._loop.time() > self._silent_since + 2 * self.timeout_s
-        if self._behind and over:
-            log.warning("no server knows what this session has seen; it begins anew")
-            self._forget_session()
-
-    def _forget_session(self) -> None:
-        self.id, self._password, self._last_zxid, self._behind = 0, bytes(PASSWORD_BYTES), 0, False
-        self._data.clear()
-        self._children.clear()
-        self._tell(Life.EXPIRED)
-
-    def _tell(self, life: Life) -> None:
-        if life is not self.life:
-            self.life = life
-            self._on_life(life)
-
-    async def _one(self, host: Address) -> bool:
-        """One connection, to its end. Whether a session was held on it."""
+    def _restart_if_service_rolled_back(self) -> None:
+        """Start a new session if the service was restored from an older state.
+
+        This is assumed when no server has accepted the session for twice its timeout and some server's data
+        was older than what the session has seen. Otherwise no server would ever be recent enough for it.
+        """
+        timed_out = self._loop.time() > self._disconnected_since + 2 * self.timeout_s
+        if self._stale_server_seen and timed_out:
+            log.warning("all servers have older data than this session has seen; starting a new session")
+            self._reset_session()
+
+    def _reset_session(self) -> None:
+        self.id, self._password, self._last_zxid, self._stale_server_seen = 0, bytes(PASSWORD_BYTES), 0, False
+        self._data_watches.clear()
+        self._child_watches.clear()
+        self._set_state(Life.EXPIRED)
+
+    def _set_state(self, state: Life) -> None:
+        if state is not self.state:
+            self.state = state
+            self._on_state_change(state)
+
+    async def _run_connection(self, host: Address) -> bool:
+        """Run one connection until it ends; return whether a session was established on it."""
         writer = None
-        held = False
+        established = False
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*host, limit=2 * FRAME_MOST)
-                expired = await self._shake_hands(reader, writer)
+                expired = await self._handshake(reader, writer)
             if expired:
                 log.warning("the session has expired")
-                self._forget_session()
-                return True  # the next one begins at once
-            held = True
-            await self._hold(reader, writer)
-        except _Behind:
-            self._behind = True
-            log.warning("%s:%d knows less than this session has seen", *host)
+                self._reset_session()
+                return True  # a new session is opened after the shortest back-off
+            established = True
+            await self._receive(reader, writer)
+        except _StaleServer:
+            self._stale_server_seen = True
+            log.warning("%s:%d has older data than this session has seen", *host)
         except (OSError, EOFError, asyncio.IncompleteReadError) as fault:  # TimeoutError is an OSError
-            if held:
+            if established:
                 log.warning("the connection to %s:%d ended: %s", *host, type(fault).__name__)
             elif isinstance(fault, asyncio.IncompleteReadError) and self._last_zxid:
-                self._behind = True  # who has seen more than a server is cut off by it without a word
+                self._stale_server_seen = (
+                    True  # servers close sessions that saw newer data, without a response
+                )
         except Malformed as fault:
-            log.warning("%s:%d sent what cannot be read: %s", *host, fault)
+            log.warning("%s:%d sent malformed data: %s", *host, fault)
         finally:
             self._writer = None
-            # Risk: a request whose connection is gone would wait for ever. Those not sent yet wait on.
-            pending, self._pending = self._pending, OrderedDict()
-            for asked in pending.values():
-                if not asked.answer.done():
-                    asked.answer.set_exception(Lost())
-                    asked.answer.exception()
-            if held:
-                self._silent_since = self._loop.time()
-                self._tell(Life.SILENT)
+            # Requests already sent would wait for ever without their connection. Queued ones stay queued.
+            in_flight, self._in_flight = self._in_flight, OrderedDict()
+            for request in in_flight.values():
+                if not request.answer.done():
+                    request.answer.set_exception(Lost())
+                    request.answer.exception()
+            if established:
+                self._disconnected_since = self._loop.time()
+                self._set_state(Life.DISCONNECTED)
             if writer is not None:
                 await end_stream(writer, abort=True)
-        return held
+        return established
 
-    async def _shake_hands(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Open a session or take up ours. True if ours has expired."""
-        asked = Writer().int32(0).int64(self._last_zxid).int32(int(self._terms.timeout_s * 1000))
-        writer.write(asked.int64(self.id).buffer(self._password).flag(False).frame())
-        answer = await self._frame(reader)
+    async def _handshake(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Open a new session or resume ours; return whether ours has expired."""
+        request = Writer().int32(0).int64(self._last_zxid).int32(int(self._settings.timeout_s * 1000))
+        writer.write(request.int64(self.id).buffer(self._password).flag(False).frame())
+        answer = await self._read_frame(reader)
         if answer.int32() != 0:
-            raise Malformed("another protocol")
+            raise Malformed("unsupported protocol version")
         timeout_ms, number, password = answer.int32(), answer.int64(), answer.buffer() or b""
         if timeout_ms <= 0:
             if not self.id:
-                raise Malformed("no session")
+                raise Malformed("a new session was refused")
             return True
-        again = number == self.id
-        if self.id and not again:
-            raise Malformed("another session than the one asked for")
+        resumed = number == self.id
+        if self.id and not resumed:
+            raise Malformed("a session id other than the requested one")
         self.id, self._password, self.timeout_s = number, password, timeout_ms / 1000
         self.connections += 1
         self._writer = writer
-        if self._terms.auth:
-            record = Writer().int32(0).text("digest").buffer(self._terms.auth.encode()).record()
+        if self._settings.auth:
+            record = Writer().int32(0).text("digest").buffer(self._settings.auth.encode()).record()
             writer.write(Writer().int32(XID_AUTH).int32(Op.AUTH).raw(record).frame())
-        if again:
+        if resumed:
             self._set_watches(writer)
         return False
 
     def _set_watches(self, writer: asyncio.StreamWriter) -> None:
-        """What has changed since our last zxid is told at once."""
-        data, children = sorted(self._data), sorted(self._children)
-        for start in range(0, max(len(data), len(children)), WATCHES_IN_ONE):
-            part = slice(start, start + WATCHES_IN_ONE)
-            said = Writer().int32(XID_SET_WATCHES).int32(Op.SET_WATCHES).int64(self._last_zxid)
-            writer.write(said.texts(data[part]).texts([]).texts(children[part]).frame())
-
-    async def _frame(self, reader: asyncio.StreamReader) -> Reader:
+        """Set all watches again; changes since our last zxid fire at once."""
+        data, children = sorted(self._data_watches), sorted(self._child_watches)
+        for start in range(0, max(len(data), len(children)), MAX_WATCHES_PER_RECORD):
+            part = slice(start, start + MAX_WATCHES_PER_RECORD)
+            record = Writer().int32(XID_SET_WATCHES).int32(Op.SET_WATCHES).int64(self._last_zxid)
+            writer.write(record.texts(data[part]).texts([]).texts(children[part]).frame())
+
+    async def _read_frame(self, reader: asyncio.StreamReader) -> Reader:
         return Reader(await reader.readexactly(frame_length(await reader.readexactly(4))))
 
-    async def _hold(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._heard_at = self._loop.time()
-        self._pinged_at = None
-        self._behind = False
-        self._tell(Life.CONNECTED)
-        self._pump()
+    async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._last_received_at = self._loop.time()
+        self._ping_sent_at = None
+        self._stale_server_seen = False
+        self._set_state(Life.CONNECTED)
+        self._send_queued()
         pinging = asyncio.create_task(self._keep_alive(writer))
         try:
             while True:
-                answer = await self._frame(reader)
-                self._heard_at = self._loop.time()
-                self._heard(answer)
-                self._pump()
+                answer = await self._read_frame(reader)
+                self._last_received_at = self._loop.time()
+                self._on_response(answer)
+                self._send_queued()
         finally:
             pinging.cancel()
 
     async def _keep_alive(self, writer: asyncio.StreamWriter) -> None:
-        """A ping when nothing has been asked for a while. Silence for two thirds of the time-out ends the
-        connection: the last third is for finding another server before the session expires."""
+        """Send a ping when idle, and abort the connection when the server stops responding.
+
+        The connection is aborted after two thirds of the session timeout without data: the last third is left
+        for connecting to another server before the session expires.
+        """
         step = self.timeout_s / 6
         while True:
             await asyncio.sleep(step)
             now = self._loop.time()
-            if now - self._heard_at > self.timeout_s * 2 / 3:
-                log.warning("the service has been silent for %.1f s", now - self._heard_at)
+            if now - self._last_received_at > self.timeout_s * 2 / 3:
+                log.warning("nothing received from the service for %.1f s", now - self._last_received_at)
                 writer.transport.abort()
                 return
-            oldest = next(iter(self._pending.values()), None)
+            oldest = next(iter(self._in_flight.values()), None)
             waited = now - min(
-                self._pinged_at if self._pinged_at is not None else now,
+                self._ping_sent_at if self._ping_sent_at is not None else now,
                 oldest.sent_at if oldest is not None else now,
             )
             if waited > self.timeout_s / 3:
-                self._tell(Life.SLOW)
-            elif self._pinged_at is None and not self._pending and self.life is Life.SLOW:
-                self._tell(Life.CONNECTED)
-            if self._pinged_at is None and now - self._heard_at > self.timeout_s / 4:
-                self._pinged_at = now
+                self._set_state(Life.SLOW)
+            elif self._ping_sent_at is None and not self._in_flight and self.state is Life.SLOW:
+                self._set_state(Life.CONNECTED)
+            if self._ping_sent_at is None and now - self._last_received_at > self.timeout_s / 4:
+                self._ping_sent_at = now
                 writer.write(Writer().int32(XID_PING).int32(Op.PING).frame())
 
-    def _heard(self, answer: Reader) -> None:
+    def _on_response(self, answer: Reader) -> None:
         xid, zxid, err = answer.int32(), answer.int64(), answer.int32()
         if xid == XID_WATCH:
-            self._fired(answer)
+            self._on_watch_event(answer)
             return
         if zxid > 0:
             if zxid < self._last_zxid:
-                raise _Behind
+                raise _StaleServer
             self._last_zxid = zxid
         if xid == XID_PING:
-            self._pinged_at = None
+            self._ping_sent_at = None
             return
         if xid in (XID_AUTH, XID_SET_WATCHES):
             if err:
-                raise Malformed(f"refused with error {err}")
+                raise Malformed(f"authentication or setting watches failed with error {err}")
             return
-        if not self._pending:
-            raise Malformed("an answer to nothing")
-        wanted, asked = self._pending.popitem(last=False)
-        if wanted != xid:
-            if not asked.answer.done():
-                asked.answer.set_exception(Lost())
-                asked.answer.exception()
-            raise Malformed(f"an answer to {xid} where {wanted} is next")
-        if not asked.answer.done():
-            asked.answer.set_result((err, answer))
-
-    def _fired(self, event: Reader) -> None:
+        if not self._in_flight:
+            raise Malformed("a response without a request")
+        expected_xid, request = self._in_flight.popitem(last=False)
+        if expected_xid != xid:
+            if not request.answer.done():
+                request.answer.set_exception(Lost())
+                request.answer.exception()
+            raise Malformed(f"a response to request {xid}, expected {expected_xid}")
+        if not request.answer.done():
+            request.answer.set_result((err, answer))
+
+    def _on_watch_event(self, event: Reader) -> None:
         number, _, full = event.int32(), event.int32(), event.text()
         event.end()
         if number not in Event.__members__.values():
-            return  # of the session, which the connection itself tells of
+            return  # a session event; the connection itself reports those
         kind = Event(number)
         if kind in (Event.CHILD, Event.DELETED):
-            self._children.discard(full)
+            self._child_watches.discard(full)
         if kind is not Event.CHILD:
-            self._data.discard(full)
-        self._on_event(kind, self._below(full))
+            self._data_watches.discard(full)
+        self._on_event(kind, self._relative_path(full))
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -1,4 +1,4 @@
-"""How far a list of ephemeral nodes is believed: each rule by itself, then seeded schedules of everything."""
+"""Membership decided from ephemeral nodes: each rule by itself, then seeded schedules of all events."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 from sorrelfront.decisions.interface import State
 from sorrelfront.decisions.membership import (
-    FLAP_HELD,
-    HOLD_MOST_US,
-    KNOWN_MOST,
-    REMEMBER_US,
-    SETTLE_US,
+    FLAP_SUPPRESS_THRESHOLD,
+    MAX_SERVER_IDS,
+    MAX_SUPPRESSION_US,
+    RETENTION_US,
+    SETTLE_DELAY_US,
     Answering,
     Member,
+    MembershipTracker,
     Reread,
-    Service,
+    ServerChanges,
+    ServiceState,
     Suspected,
     Terms,
-    Told,
-    Trust,
     Wake,
 )
 
 MS, S = 1_000, 1_000_000
 GRACE_US = 500 * MS
-OLD = 1_000 * S  # when the servers started, before all that happens here
-TERMS = Terms(suspect_us=20 * S, confirm_us=1 * S, doubt_us=10 * S)
+OLD = 1_000 * S  # start time of the servers, before all events of the tests
+SETTINGS = Terms(suspect_us=20 * S, confirm_us=1 * S, doubt_us=10 * S)
 
 
 def server(name: str, version: int = 1, started_us: int = OLD, port: int = 0, drains: bool = False) -> Member:
@@ -40,15 +40,17 @@
     return Member(name, ("127.0.0.1", port or 9_000 + number), "a", "m", 0, 1.0, started_us, drains, version)
 
 
-class World:
-    """The service as it is, the source that reads it, and the balancer as it has been told."""
+class Simulation:
+    """Simulates the service, the source that reads it, and the list reported to the balancer."""
 
-    def __init__(self, terms: Terms = TERMS, seed: int = 1) -> None:
+    def __init__(self, settings: Terms = SETTINGS, seed: int = 1) -> None:
         self.now = 10_000 * S
         self.nodes: dict[str, Member | None] = {}
         self.answering: dict[str, Answering] = {}
-        self.trust = Trust(terms, seed, lambda name, _: self.answering.get(name, Answering.UNKNOWN))
-        self.told: dict[str, State] = {}
+        self.tracker = MembershipTracker(
+            settings, seed, lambda name, _: self.answering.get(name, Answering.UNKNOWN)
+        )
+        self.reported: dict[str, State] = {}
         self.members: dict[str, Member] = {}
         self.history: list[tuple[int, str, State]] = []
         self.rereads = 0
@@ -69,19 +71,19 @@
             do()
         self.now = until
 
-    def settle(self) -> None:
-        for action in self.trust.settle(self.now):
+    def evaluate(self) -> None:
+        for action in self.tracker.evaluate(self.now):
             match action:
-                case Told(complete, servers):
+                case ServerChanges(complete, servers):
                     if complete:
-                        self.told.clear()
+                        self.reported.clear()
                     for member, state in servers:
-                        self.told[member.id] = state
+                        self.reported[member.id] = state
                         self.members[member.id] = member
                         self.history.append((self.now, member.id, state))
                 case Wake(delay_us):
                     assert delay_us > 0
-                    self.later(delay_us, self.settle)
+                    self.later(delay_us, self.evaluate)
                 case Reread(delay_us):
                     self.rereads += 1
                     self.later(delay_us, self.reread)
@@ -89,31 +91,31 @@
                     self.suspected += count
 
     def read(self) -> None:
-        """The children, and the records that are new."""
-        self.trust.on_children(self.nodes, self.now, self.now)
+        """Read the children and all their records."""
+        self.tracker.on_children(self.nodes, self.now, self.now)
         for node, member in self.nodes.items():
-            self.trust.on_record(node, member, self.now)
-        self.trust.on_whole(self.now)
-        self.settle()
+            self.tracker.on_record(node, member, self.now)
+        self.tracker.on_first_read_complete(self.now)
+        self.evaluate()
 
     def reread(self) -> None:
         if not self.silent:
             self.read()
 
-    def begin(self, count: int) -> World:
+    def begin(self, count: int) -> Simulation:
         self.nodes = {f"n{at}": server(f"b{at}") for at in range(count)}
-        self.trust.on_service(Service.WELL, self.now)
+        self.tracker.on_service_state(ServiceState.HEALTHY, self.now)
         self.read()
         return self
 
-    def service(self, *states: Service) -> None:
+    def service(self, *states: ServiceState) -> None:
         for state in states:
-            self.silent = state is Service.SILENT
-            self.trust.on_service(state, self.now)
-        self.settle()
+            self.silent = state is ServiceState.DISCONNECTED
+            self.tracker.on_service_state(state, self.now)
+        self.evaluate()
 
     def ready(self) -> set[str]:
-        return {name for name, state in self.told.items() if state is State.READY}
+        return {name for name, state in self.reported.items() if state is State.READY}
 
     def vanish(self, *names: str) -> None:
         for name in names:
@@ -125,279 +127,288 @@
     return {f"b{at}" for at in range(start, count)}
 
 
-def test_nothing_is_told_before_the_first_list_is_whole() -> None:
-    world = World()
-    world.trust.on_service(Service.WELL, world.now)
-    world.trust.on_children(["n0", "n1"], world.now, world.now)
-    world.trust.on_record("n0", server("b0"), world.now)
-    world.settle()
-    assert not world.history and world.trust.age_us(world.now) is None
-    world.nodes = {"n0": server("b0"), "n1": server("b1")}
-    world.read()
-    assert world.ready() == names(2)
+def test_nothing_is_reported_before_the_first_read_is_complete() -> None:
+    sim = Simulation()
+    sim.tracker.on_service_state(ServiceState.HEALTHY, sim.now)
+    sim.tracker.on_children(["n0", "n1"], sim.now, sim.now)
+    sim.tracker.on_record("n0", server("b0"), sim.now)
+    sim.evaluate()
+    assert not sim.history and sim.tracker.list_age_us(sim.now) is None
+    sim.nodes = {"n0": server("b0"), "n1": server("b1")}
+    sim.read()
+    assert sim.ready() == names(2)
 
 
-def test_a_record_that_says_draining_is_told_in_the_same_step() -> None:
-    world = World().begin(5)
-    world.service(Service.SILENT)  # also while the service is in doubt
-    world.trust.on_record("n1", server("b1", 2, drains=True), world.now)
-    world.settle()
-    assert world.told["b1"] is State.DRAINING and world.history[-1][0] == world.now
+def test_a_record_that_says_draining_is_reported_in_the_same_step() -> None:
+    sim = Simulation().begin(5)
+    sim.service(ServiceState.DISCONNECTED)  # applies while the service is in doubt, too
+    sim.tracker.on_record("n1", server("b1", 2, drains=True), sim.now)
+    sim.evaluate()
+    assert sim.reported["b1"] is State.DRAINING and sim.history[-1][0] == sim.now
 
 
 @pytest.mark.parametrize("gone", [1, 2])
 def test_few_that_vanish_are_drained_within_the_grace(gone: int) -> None:
-    world = World().begin(10)
-    at = world.now
-    world.vanish(*sorted(names(gone)))
-    world.run(GRACE_US)
-    assert world.ready() == names(10, gone)
-    assert all(when - at <= SETTLE_US for when, name, state in world.history if state is State.DRAINING)
+    sim = Simulation().begin(10)
+    at = sim.now
+    sim.vanish(*sorted(names(gone)))
+    sim.run(GRACE_US)
+    assert sim.ready() == names(10, gone)
+    assert all(when - at <= SETTLE_DELAY_US for when, name, state in sim.history if state is State.DRAINING)
 
 
 def test_one_that_vanishes_while_the_service_is_in_doubt_is_drained_too() -> None:
-    world = World().begin(10)
-    world.service(Service.SILENT, Service.WELL)
-    world.vanish("b3")
-    world.run(GRACE_US)
-    assert world.ready() == names(10) - {"b3"}
-
-
-def test_a_crowd_that_vanishes_in_doubt_is_kept_while_it_answers_and_not_for_ever() -> None:
-    world = World().begin(10)
-    world.service(Service.SILENT, Service.WELL)
-    world.vanish(*names(4))
-    world.run(5 * S)
-    assert world.ready() == names(10) and world.suspected == 4 and world.trust.suspects == 4
-    world.answering["b2"] = Answering.NO
-    world.run(1 * S)
-    assert world.ready() == names(10) - {"b2"}
-    world.run(TERMS.suspect_us)
-    assert world.ready() == names(10, 4) and world.rereads
+    sim = Simulation().begin(10)
+    sim.service(ServiceState.DISCONNECTED, ServiceState.HEALTHY)
+    sim.vanish("b3")
+    sim.run(GRACE_US)
+    assert sim.ready() == names(10) - {"b3"}
+
+
+def test_a_bulk_removal_in_doubt_is_kept_while_servers_answer_and_not_for_ever() -> None:
+    sim = Simulation().begin(10)
+    sim.service(ServiceState.DISCONNECTED, ServiceState.HEALTHY)
+    sim.vanish(*names(4))
+    sim.run(5 * S)
+    assert sim.ready() == names(10) and sim.suspected == 4 and sim.tracker.suspects == 4
+    sim.answering["b2"] = Answering.NO
+    sim.run(1 * S)
+    assert sim.ready() == names(10) - {"b2"}
+    sim.run(SETTINGS.suspect_us)
+    assert sim.ready() == names(10, 4) and sim.rereads
 
 
 def test_suspects_that_come_back_were_never_away() -> None:
-    world = World().begin(10)
-    before = len(world.history)
-    world.service(Service.LOST, Service.WELL)
-    nodes = dict(world.nodes)
-    world.nodes = {}
-    world.read()
-    world.run(5 * S)
-    # New sessions, new nodes, the same processes.
-    world.nodes = {f"again-{node}": member for node, member in nodes.items()}
-    world.read()
-    world.run(TERMS.suspect_us * 2)
-    assert world.ready() == names(10) and len(world.history) == before and world.trust.suspects == 0
-
-
-def test_most_of_a_list_vanishing_at_once_is_doubt_by_itself() -> None:
-    world = World().begin(10)
-    world.vanish(*names(7))
-    world.run(2 * S)
-    assert world.ready() == names(10)
-
-
-def test_the_last_of_a_crowd_to_come_back_has_not_gone_alone() -> None:
-    world = World().begin(8)
-    world.service(Service.SILENT, Service.WELL)
-    nodes, world.nodes = world.nodes, {}
-    world.read()
-    world.run(50 * MS)
-    world.nodes = {node: member for node, member in nodes.items() if node != "n0"}
-    world.read()
-    world.run(2 * S)
-    assert world.ready() == names(8)
-
-
-def test_a_crowd_without_doubt_that_is_not_most_is_believed() -> None:
-    world = World().begin(10)
-    world.vanish(*names(4))
-    world.run(GRACE_US)
-    assert world.ready() == names(10, 4)
-
-
-def test_a_drain_hidden_in_a_crowd_is_a_drain() -> None:
-    """Told by its record before, or by a change on the way out."""
-    world = World().begin(10)
-    world.trust.on_record("n1", server("b1", 2, drains=True), world.now)
-    world.nodes["n1"] = server("b1", 2, drains=True)
-    world.service(Service.LOST, Service.WELL)
-    world.trust.on_changed_away("n2", world.now)
-    world.nodes = {}
-    world.read()
-    world.run(2 * S)
-    assert world.ready() == names(10) - {"b1", "b2"}
+    sim = Simulation().begin(10)
+    before = len(sim.history)
+    sim.service(ServiceState.SESSION_LOST, ServiceState.HEALTHY)
+    nodes = dict(sim.nodes)
+    sim.nodes = {}
+    sim.read()
+    sim.run(5 * S)
+    # The same processes register again: new sessions, new nodes.
+    sim.nodes = {f"again-{node}": member for node, member in nodes.items()}
+    sim.read()
+    sim.run(SETTINGS.suspect_us * 2)
+    assert sim.ready() == names(10) and len(sim.history) == before and sim.tracker.suspects == 0
+
+
+def test_removal_of_most_of_the_list_is_doubted_by_itself() -> None:
+    sim = Simulation().begin(10)
+    sim.vanish(*names(7))
+    sim.run(2 * S)
+    assert sim.ready() == names(10)
+
+
+def test_the_last_server_of_a_bulk_removal_to_return_is_not_a_single_removal() -> None:
+    sim = Simulation().begin(8)
+    sim.service(ServiceState.DISCONNECTED, ServiceState.HEALTHY)
+    nodes, sim.nodes = sim.nodes, {}
+    sim.read()
+    sim.run(50 * MS)
+    sim.nodes = {node: member for node, member in nodes.items() if node != "n0"}
+    sim.read()
+    sim.run(2 * S)
+    assert sim.ready() == names(8)
+
+
+def test_a_bulk_removal_of_a_minority_is_accepted_without_doubt() -> None:
+    sim = Simulation().begin(10)
+    sim.vanish(*names(4))
+    sim.run(GRACE_US)
+    assert sim.ready() == names(10, 4)
+
+
+def test_a_drain_within_a_bulk_removal_is_a_drain() -> None:
+    """A server that drains must not stay in use as a suspect when a bulk removal includes it.
+
+    The drain is known from its earlier record, or from a change just before its node was deleted.
+    """
+    sim = Simulation().begin(10)
+    sim.tracker.on_record("n1", server("b1", 2, drains=True), sim.now)
+    sim.nodes["n1"] = server("b1", 2, drains=True)
+    sim.service(ServiceState.SESSION_LOST, ServiceState.HEALTHY)
+    sim.tracker.on_deleted_after_change("n2", sim.now)
+    sim.nodes = {}
+    sim.read()
+    sim.run(2 * S)
+    assert sim.ready() == names(10) - {"b1", "b2"}
 
 
 def test_the_whole_list_stays_while_the_service_is_silent() -> None:
-    world = World().begin(6)
-    world.service(Service.SILENT, Service.WELL)
-    world.vanish(*names(6))
-    world.service(Service.SILENT)
-    world.run(10 * TERMS.suspect_us)
-    assert world.ready() == names(6)
-    age = world.trust.age_us(world.now)
-    assert age is not None and age > 9 * TERMS.suspect_us
-
-
-def test_a_new_start_time_is_told_and_the_same_one_is_not() -> None:
-    world = World().begin(3)
-    world.nodes = {**world.nodes, "n1": server("b1", 9)}
-    world.read()
-    assert len([item for item in world.history if item[1] == "b1"]) == 2  # its record is another
-    world.nodes["n1"] = server("b1", 10, started_us=OLD + 5)
-    world.read()
-    assert world.members["b1"].started_us == OLD + 5 and world.told["b1"] is State.READY
-
-
-def test_two_nodes_of_one_id_are_one_server_and_the_newest_speaks() -> None:
-    world = World().begin(3)
-    world.nodes["again"] = server("b1", 5)
-    world.read()
-    before = len(world.history)
-    world.nodes.pop("n1")  # the older session ends
-    world.read()
-    world.run(2 * S)
-    assert world.ready() == names(3) and len(world.history) == before
+    sim = Simulation().begin(6)
+    sim.service(ServiceState.DISCONNECTED, ServiceState.HEALTHY)
+    sim.vanish(*names(6))
+    sim.service(ServiceState.DISCONNECTED)
+    sim.run(10 * SETTINGS.suspect_us)
+    assert sim.ready() == names(6)
+    age = sim.tracker.list_age_us(sim.now)
+    assert age is not None and age > 9 * SETTINGS.suspect_us
+
+
+def test_a_new_start_time_is_reported_and_the_same_one_is_not() -> None:
+    sim = Simulation().begin(3)
+    sim.nodes = {**sim.nodes, "n1": server("b1", 9)}
+    sim.read()
+    assert len([item for item in sim.history if item[1] == "b1"]) == 2  # its record has changed
+    sim.nodes["n1"] = server("b1", 10, started_us=OLD + 5)
+    sim.read()
+    assert sim.members["b1"].started_us == OLD + 5 and sim.reported["b1"] is State.READY
+
+
+def test_two_nodes_of_one_id_are_one_server_and_the_newest_record_counts() -> None:
+    sim = Simulation().begin(3)
+    sim.nodes["again"] = server("b1", 5)
+    sim.read()
+    before = len(sim.history)
+    sim.nodes.pop("n1")  # the older session ends
+    sim.read()
+    sim.run(2 * S)
+    assert sim.ready() == names(3) and len(sim.history) == before
 
 
 def test_an_address_that_another_server_has_taken_is_left_at_once() -> None:
-    world = World().begin(10)
-    world.service(Service.SILENT, Service.WELL)
+    sim = Simulation().begin(10)
+    sim.service(ServiceState.DISCONNECTED, ServiceState.HEALTHY)
     for at in range(5):
-        world.nodes.pop(f"n{at}")
-    world.nodes["new"] = server("b20", 7, OLD + 9, port=9_002)
-    at = world.now
-    world.read()
-    assert world.told["b2"] is State.GONE and world.told["b20"] is State.READY
-    assert world.history[-1][0] == at
-    world.run(5 * S)
-    assert {"b0", "b1", "b3", "b4"} <= world.ready() and "b2" not in world.ready()
+        sim.nodes.pop(f"n{at}")
+    sim.nodes["new"] = server("b20", 7, OLD + 9, port=9_002)
+    at = sim.now
+    sim.read()
+    assert sim.reported["b2"] is State.GONE and sim.reported["b20"] is State.READY
+    assert sim.history[-1][0] == at
+    sim.run(5 * S)
+    assert {"b0", "b1", "b3", "b4"} <= sim.ready() and "b2" not in sim.ready()
 
 
 def test_a_record_that_cannot_be_read_is_left_out_and_hides_no_other() -> None:
-    world = World()
-    world.nodes = {"n0": server("b0"), "n1": None, "n2": server("b2")}
-    world.trust.on_service(Service.WELL, world.now)
-    world.read()
-    assert world.ready() == {"b0", "b2"}
-    world.trust.on_record("n0", None, world.now)
-    world.settle()
-    assert world.ready() == {"b2"}
-
-
-def test_a_list_that_flaps_twice_in_a_second_is_not_felt() -> None:
-    world = World().begin(8)
-    before = len(world.history)
+    sim = Simulation()
+    sim.nodes = {"n0": server("b0"), "n1": None, "n2": server("b2")}
+    sim.tracker.on_service_state(ServiceState.HEALTHY, sim.now)
+    sim.read()
+    assert sim.ready() == {"b0", "b2"}
+    sim.tracker.on_record("n0", None, sim.now)
+    sim.evaluate()
+    assert sim.ready() == {"b2"}
+
+
+def test_a_list_that_flaps_twice_in_a_second_causes_no_reports() -> None:
+    sim = Simulation().begin(8)
+    before = len(sim.history)
     for _ in range(2):
-        nodes, world.nodes = world.nodes, {}
-        world.read()
-        world.run(120 * MS)
-        world.nodes = nodes
-        world.read()
-        world.run(380 * MS)
-    world.run(60 * S)
-    assert world.ready() == names(8) and len(world.history) == before
-
-
-def test_one_that_flaps_for_a_minute_is_held_out_and_comes_back_in_bounded_time() -> None:
-    world = World().begin(10)
+        nodes, sim.nodes = sim.nodes, {}
+        sim.read()
+        sim.run(120 * MS)
+        sim.nodes = nodes
+        sim.read()
+        sim.run(380 * MS)
+    sim.run(60 * S)
+    assert sim.ready() == names(8) and len(sim.history) == before
+
+
+def test_a_server_that_flaps_for_a_minute_is_suppressed_for_a_bounded_time() -> None:
+    sim = Simulation().begin(10)
     for _ in range(30):
-        world.vanish("b4")
-        world.run(1 * S)
-        world.nodes["n4"] = server("b4")
-        world.read()
-        world.run(1 * S)
-    told = [state for _, name, state in world.history if name == "b4"]
-    assert len(told) < 2 * 30 / 2  # most of the flaps were not passed on
-    assert world.ready() >= names(10) - {"b4"}
-    world.run(HOLD_MOST_US)
-    assert world.ready() == names(10)
-
-
-def test_a_new_process_is_not_held_out_for_what_the_old_one_did() -> None:
-    world = World().begin(10)
-    for _ in range(int(FLAP_HELD) + 3):
-        world.vanish("b4")
-        world.run(500 * MS)
-        world.nodes["n4"] = server("b4")
-        world.read()
-    assert "b4" not in world.ready()
-    world.nodes["n4"] = server("b4", 50, OLD + 77)
-    world.read()
-    assert "b4" in world.ready()
-
-
-def test_what_has_gone_for_long_is_forgotten_and_the_table_is_bounded() -> None:
-    world = World().begin(3)
-    world.vanish("b1")
-    world.run(REMEMBER_US + 2 * S)
-    assert world.told["b1"] is State.GONE and len(world.trust._known) == 2
-    for at in range(KNOWN_MOST + 10):
-        world.trust.on_record(f"x{at}", server(f"c{at}", port=1 + at % 60_000), world.now)
-    assert len(world.trust._known) == KNOWN_MOST and world.trust.left_out == 12
+        sim.vanish("b4")
+        sim.run(1 * S)
+        sim.nodes["n4"] = server("b4")
+        sim.read()
+        sim.run(1 * S)
+    reported = [state for _, name, state in sim.history if name == "b4"]
+    assert len(reported) < 2 * 30 / 2  # most of the flaps were not reported
+    assert sim.ready() >= names(10) - {"b4"}
+    sim.run(MAX_SUPPRESSION_US)
+    assert sim.ready() == names(10)
+
+
+def test_a_new_process_is_not_suppressed_for_flaps_of_the_old_one() -> None:
+    sim = Simulation().begin(10)
+    for _ in range(int(FLAP_SUPPRESS_THRESHOLD) + 3):
+        sim.vanish("b4")
+        sim.run(500 * MS)
+        sim.nodes["n4"] = server("b4")
+        sim.read()
+    assert "b4" not in sim.ready()
+    sim.nodes["n4"] = server("b4", 50, OLD + 77)
+    sim.read()
+    assert "b4" in sim.ready()
+
+
+def test_entries_of_removed_servers_expire_and_the_table_is_bounded() -> None:
+    sim = Simulation().begin(3)
+    sim.vanish("b1")
+    sim.run(RETENTION_US + 2 * S)
+    assert sim.reported["b1"] is State.GONE and len(sim.tracker._entries) == 2
+    for at in range(MAX_SERVER_IDS + 10):
+        sim.tracker.on_record(f"x{at}", server(f"c{at}", port=1 + at % 60_000), sim.now)
+    assert len(sim.tracker._entries) == MAX_SERVER_IDS and sim.tracker.rejected_records == 12
 
 
 @pytest.mark.parametrize("part", range(10))
 def test_drains_reach_the_balancer_in_time_in_a_thousand_schedules(part: int) -> None:
-    """A drain told by its record, or by a single node's going, amid trouble of every kind; reads take up to
-    150 ms. Nothing is told as ready again until its record says so."""
+    """Drains must reach the balancer within the grace, whatever state the service is in.
+
+    A drain is announced by a record or by the deletion of a single node; reads take up to 150 ms. No server
+    is reported as ready again before its record says so.
+    """
     for seed in range(part * 100, part * 100 + 100):
         schedule(seed)
 
 
 def schedule(seed: int) -> None:
     random = Random(seed)
-    world = World(seed=seed).begin(random.randint(4, 25))
+    sim = Simulation(seed=seed).begin(random.randint(4, 25))
     drained: dict[str, int] = {}
     alone: dict[str, int] = {}
 
     def drain(name: str) -> None:
         node = "n" + name[1:]
-        if world.nodes.get(node) is None:
+        if sim.nodes.get(node) is None:
             return
-        world.nodes[node] = server(name, 100 + seed, drains=True)
-        drained[name] = world.now
-        world.later(random.randint(0, 150 * MS), lambda: read_one(node))
+        sim.nodes[node] = server(name, 100 + seed, drains=True)
+        drained[name] = sim.now
+        sim.later(random.randint(0, 150 * MS), lambda: read_one(node))
 
     def vanish(name: str) -> None:
-        if world.nodes.pop("n" + name[1:], None) is not None:
-            alone[name] = world.now
-            world.later(random.randint(0, 150 * MS), world.read)
+        if sim.nodes.pop("n" + name[1:], None) is not None:
+            alone[name] = sim.now
+            sim.later(random.randint(0, 150 * MS), sim.read)
 
     def read_one(node: str) -> None:
-        if node in world.nodes:
-            world.trust.on_record(node, world.nodes[node], world.now)
+        if node in sim.nodes:
+            sim.tracker.on_record(node, sim.nodes[node], sim.now)
         else:
-            world.trust.on_changed_away(node, world.now)
-        world.settle()
+            sim.tracker.on_deleted_after_change(node, sim.now)
+        sim.evaluate()
 
-    everyone = sorted(world.ready())
+    everyone = sorted(sim.ready())
     for _ in range(12):
-        # One or two a step, some seconds apart: what goes alone.
+        # One removal at a time, some seconds apart, so that it never counts as bulk.
         name = random.choice(everyone)
         if name not in drained and name not in alone:
             random.choice((drain, vanish))(name)
         if random.random() < 0.3:
-            world.service(random.choice((Service.SLOW, Service.SILENT)))
-        world.run(random.randint(200 * MS, 600 * MS))
-        world.service(Service.WELL)
-        world.run(random.randint(2 * S, 4 * S))
+            sim.service(random.choice((ServiceState.SLOW, ServiceState.DISCONNECTED)))
+        sim.run(random.randint(200 * MS, 600 * MS))
+        sim.service(ServiceState.HEALTHY)
+        sim.run(random.randint(2 * S, 4 * S))
     for name, at in {**drained, **alone}.items():
-        told = [when for when, who, state in world.history if who == name and state is not State.READY]
-        assert told and told[0] - at <= GRACE_US, (seed, name, told, at)
-        again = [when for when, who, state in world.history if who == name and state is State.READY]
+        reported = [when for when, who, state in sim.history if who == name and state is not State.READY]
+        assert reported and reported[0] - at <= GRACE_US, (seed, name, reported, at)
+        again = [when for when, who, state in sim.history if who == name and state is State.READY]
         assert all(when <= at for when in again), (seed, name)
 
 
-class Believing(RuleBasedStateMachine):
-    """Whatever happens: what says that it drains is never drawn on, no address has two servers, and nothing
-    that is missed for good stays for longer than its time."""
+class MembershipMachine(RuleBasedStateMachine):
+    """Checks invariants under random events.
+
+    A server that says it drains is never ready, no address has two servers, and a server whose node stays
+    missing leaves within a bounded time.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(Terms(suspect_us=3 * S, confirm_us=200 * MS, doubt_us=2 * S)).begin(6)
+        self.sim = Simulation(Terms(suspect_us=3 * S, confirm_us=200 * MS, doubt_us=2 * S)).begin(6)
         self.version = 10
         self.missing: dict[str, int] = {}
 
@@ -406,49 +417,47 @@
         self.version += 1
         started = OLD + self.version if again else OLD
         node = f"n{at}"
-        self.world.nodes[node] = server(f"b{at}", self.version, started, 9_000 + port, drains)
-        self.world.trust.on_record(node, self.world.nodes[node], self.world.now)
-        self.world.settle()
+        self.sim.nodes[node] = server(f"b{at}", self.version, started, 9_000 + port, drains)
+        self.sim.tracker.on_record(node, self.sim.nodes[node], self.sim.now)
+        self.sim.evaluate()
 
     @rule(gone=st.sets(st.integers(0, 7), max_size=8))
     def vanish(self, gone: set[int]) -> None:
-        self.world.vanish(*(f"b{at}" for at in gone))
+        self.sim.vanish(*(f"b{at}" for at in gone))
 
-    @rule(states=st.lists(st.sampled_from(list(Service)), max_size=3))
-    def trouble(self, states: list[Service]) -> None:
-        self.world.service(*states, Service.WELL)
+    @rule(states=st.lists(st.sampled_from(list(ServiceState)), max_size=3))
+    def trouble(self, states: list[ServiceState]) -> None:
+        self.sim.service(*states, ServiceState.HEALTHY)
 
     @rule(at=st.integers(0, 7), what=st.sampled_from(list(Answering)))
     def attempt(self, at: int, what: Answering) -> None:
-        self.world.answering[f"b{at}"] = what
+        self.sim.answering[f"b{at}"] = what
 
     @rule(ms=st.integers(1, 4_000))
     def time(self, ms: int) -> None:
-        self.world.run(ms * MS)
+        self.sim.run(ms * MS)
 
     @invariant()
-    def what_drains_is_not_drawn_on(self) -> None:
-        for member in self.world.nodes.values():
+    def draining_servers_are_not_ready(self) -> None:
+        for member in self.sim.nodes.values():
             if member is not None and member.draining:
-                assert member.id not in self.world.ready()
+                assert member.id not in self.sim.ready()
 
     @invariant()
     def an_address_has_one_server(self) -> None:
-        places = [self.world.members[name].address for name in self.world.ready()]
-        assert len(places) == len(set(places))
+        addresses = [self.sim.members[name].address for name in self.sim.ready()]
+        assert len(addresses) == len(set(addresses))
 
     @invariant()
-    def what_is_missed_goes(self) -> None:
-        now = self.world.now
-        listed = {member.id for member in self.world.nodes.values() if member is not None}
-        self.missing = {
-            name: self.missing.get(name, now) for name in self.world.ready() if name not in listed
-        }
+    def missing_servers_leave(self) -> None:
+        now = self.sim.now
+        listed = {member.id for member in self.sim.nodes.values() if member is not None}
+        self.missing = {name: self.missing.get(name, now) for name in self.sim.ready() if name not in listed}
         assert all(now - since <= 5 * S for since in self.missing.values())
 
 
-Believing.TestCase.settings = settings(
+MembershipMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=40, derandomize=True, deadline=None,
     suppress_health_check=list(HealthCheck),
 )  # fmt: skip
-TestBelieving = Believing.TestCase
+TestMembership = MembershipMachine.TestCase
--- a/tests/decisions/test_places.py
+++ b/tests/decisions/test_places.py
@@ -1,4 +1,4 @@
-"""Seats: never two for one, the least that moves, and what a join or a leave of one costs."""
+"""Seats: no two owners of one seat, few moves, and how many slices move when an instance joins or leaves."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import pytest
 
 from sorrelfront.decisions.places import (
+    MAX_SEATS,
     POINTS,
-    SEATS_MOST,
     Action,
     Claim,
-    Places,
     Release,
-    Session,
-    Sit,
+    SeatAllocator,
+    SeatChange,
+    SessionState,
     Terms,
     Wake,
     gaps,
@@ -23,58 +23,58 @@
 )
 
 S = 1_000_000
-TERMS = Terms(hole_us=5 * S, keep_us=10 * S, spread_us=1)
+SETTINGS = Terms(hole_us=5 * S, keep_us=10 * S, spread_us=1)
 
 
-class Hall:
-    """The service's nodes, and instances that take seats by it."""
+class Fleet:
+    """Simulates the seat nodes of a service and the instances that claim them."""
 
     def __init__(self, count: int) -> None:
         self.now = 100 * S
-        self.nodes: dict[int, Places] = {}
-        self.everyone = [Places(TERMS, seed) for seed in range(count)]
-        self.sits: list[tuple[Places, int | None]] = []
-        self.timers: list[tuple[int, Places]] = []
-        for one in self.everyone:
-            self.join(one)
-
-    def join(self, one: Places) -> None:
-        self.do(one, one.on_session(Session.HELD, self.now))
-        self.tell(one)
+        self.nodes: dict[int, SeatAllocator] = {}
+        self.instances = [SeatAllocator(SETTINGS, seed) for seed in range(count)]
+        self.changes: list[tuple[SeatAllocator, int | None]] = []
+        self.timers: list[tuple[int, SeatAllocator]] = []
+        for instance in self.instances:
+            self.join(instance)
+
+    def join(self, instance: SeatAllocator) -> None:
+        self.do(instance, instance.on_session(SessionState.CONNECTED, self.now))
+        self.tell(instance)
         self.settle()
 
-    def tell(self, one: Places) -> None:
-        self.do(one, one.on_seats([*self.nodes], self.now))
+    def tell(self, instance: SeatAllocator) -> None:
+        self.do(instance, instance.on_seats([*self.nodes], self.now))
 
     def settle(self) -> None:
-        """Everybody reads until nothing changes."""
+        """Let all connected instances read the seats until nothing changes."""
         while True:
             before = dict(self.nodes)
-            for one in self.everyone:
-                if one._session is Session.HELD:
-                    self.tell(one)
+            for instance in self.instances:
+                if instance._session_state is SessionState.CONNECTED:
+                    self.tell(instance)
             if self.nodes == before:
                 return
 
-    def do(self, one: Places, actions: Sequence[Action]) -> None:
+    def do(self, instance: SeatAllocator, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case Claim(seat, _):
-                    ours = seat not in self.nodes
-                    if ours:
-                        self.nodes[seat] = one
-                    self.do(one, [*one.on_claimed(seat, ours, self.now)])
+                    is_ours = seat not in self.nodes
+                    if is_ours:
+                        self.nodes[seat] = instance
+                    self.do(instance, [*instance.on_claimed(seat, is_ours, self.now)])
                 case Release(seat):
-                    assert self.nodes.pop(seat) is one
-                case Sit(seat):
-                    self.sits.append((one, seat))
+                    assert self.nodes.pop(seat) is instance
+                case SeatChange(seat):
+                    self.changes.append((instance, seat))
                 case Wake(delay_us):
-                    self.timers.append((self.now + delay_us, one))
+                    self.timers.append((self.now + delay_us, instance))
 
-    def leave(self, one: Places) -> None:
-        """Its session has ended, and its node with it."""
-        self.nodes = {seat: who for seat, who in self.nodes.items() if who is not one}
-        self.do(one, [*one.on_session(Session.LOST, self.now)])
+    def leave(self, instance: SeatAllocator) -> None:
+        """End the session of an instance, and delete its node."""
+        self.nodes = {seat: owner for seat, owner in self.nodes.items() if owner is not instance}
+        self.do(instance, [*instance.on_session(SessionState.EXPIRED, self.now)])
         self.settle()
 
     def run(self, us: int) -> None:
@@ -90,7 +90,7 @@
 
 def test_points_never_move_and_cover_the_ring() -> None:
     assert [point(seat) for seat in range(4)] == [0, POINTS // 2, POINTS // 4, 3 * POINTS // 4]
-    assert len({point(seat) for seat in range(SEATS_MOST)}) == SEATS_MOST
+    assert len({point(seat) for seat in range(MAX_SEATS)}) == MAX_SEATS
     for count in range(1, 300):
         least, most = gaps(range(count))
         assert most <= 2 * least + 1e-9 and most < 2.0
@@ -98,113 +98,114 @@
         point(POINTS)
 
 
-def test_fifty_take_fifty_seats_and_a_join_moves_nobody() -> None:
-    hall = Hall(50)
-    assert sorted(hall.nodes) == list(range(50)) and len(hall.sits) == 50
-    one = Places(TERMS, 77)
-    hall.everyone.append(one)
-    hall.join(one)
-    assert one.seat == 50 and len(hall.sits) == 51
-    assert all(who.count == 51 for who in hall.everyone)
-
-
-def test_who_leaves_moves_one_at_most_and_only_after_a_while() -> None:
-    hall = Hall(50)
-    gone = hall.nodes[17]
-    hall.sits.clear()
-    hall.leave(gone)
-    hall.run(TERMS.hole_us - 1)
-    assert not hall.sits and 17 not in hall.nodes
-    hall.run(2 * S)
-    assert [seat for _, seat in hall.sits] == [17] and sorted(hall.nodes) == list(range(49))
-    moved = hall.sits[0][0]
+def test_fifty_instances_take_fifty_seats_and_a_join_moves_none() -> None:
+    fleet = Fleet(50)
+    assert sorted(fleet.nodes) == list(range(50)) and len(fleet.changes) == 50
+    instance = SeatAllocator(SETTINGS, 77)
+    fleet.instances.append(instance)
+    fleet.join(instance)
+    assert instance.seat == 50 and len(fleet.changes) == 51
+    assert all(owner.count == 51 for owner in fleet.instances)
+
+
+def test_a_leave_moves_at_most_one_and_only_after_the_delay() -> None:
+    fleet = Fleet(50)
+    gone = fleet.nodes[17]
+    fleet.changes.clear()
+    fleet.leave(gone)
+    fleet.run(SETTINGS.hole_us - 1)
+    assert not fleet.changes and 17 not in fleet.nodes
+    fleet.run(2 * S)
+    assert [seat for _, seat in fleet.changes] == [17] and sorted(fleet.nodes) == list(range(49))
+    moved = fleet.changes[0][0]
     assert moved.held == 17 and moved.moves == 2
 
 
-def test_one_that_flaps_moves_nobody_and_gets_its_own_seat_again() -> None:
-    hall = Hall(20)
-    flapping = hall.nodes[5]
-    hall.sits.clear()
+def test_an_instance_that_flaps_moves_none_and_gets_its_own_seat_again() -> None:
+    fleet = Fleet(20)
+    flapping = fleet.nodes[5]
+    fleet.changes.clear()
     for _ in range(10):
-        hall.leave(flapping)
-        hall.run(1 * S)
-        hall.join(flapping)
-        hall.run(1 * S)
-    assert not hall.sits and hall.nodes[5] is flapping and flapping.seat == 5
-
-
-def test_one_that_comes_back_asks_for_its_own_seat_though_a_lower_one_is_free() -> None:
-    hall = Hall(20)
-    lower, own = hall.nodes[5], hall.nodes[7]
-    hall.leave(lower)
-    hall.leave(own)
-    hall.sits.clear()
-    hall.join(own)
-    assert hall.nodes[7] is own and not hall.sits
-
-
-def test_a_seat_is_gone_by_until_better_is_known_and_no_longer_than_stated() -> None:
-    hall = Hall(3)
-    one = hall.nodes[1]
-    hall.do(one, [*one.on_session(Session.SILENT, hall.now)])
-    hall.run(TERMS.keep_us - 1)
-    assert one.seat == 1
-    hall.run(2)
-    assert one.seat is None and hall.sits[-1] == (one, None)
-    # The node lived on, since the session did: it is found again.
-    hall.nodes.pop(1)
-    hall.join(one)
-    assert one.seat == 1 and hall.nodes[1] is one
-
-
-def test_another_may_have_taken_the_seat_meanwhile() -> None:
-    hall = Hall(3)
-    one = hall.nodes[1]
-    hall.leave(one)
-    other = Places(TERMS, 9)
-    hall.everyone.append(other)
-    hall.join(other)
+        fleet.leave(flapping)
+        fleet.run(1 * S)
+        fleet.join(flapping)
+        fleet.run(1 * S)
+    assert not fleet.changes and fleet.nodes[5] is flapping and flapping.seat == 5
+
+
+def test_a_returning_instance_claims_its_own_seat_though_a_lower_one_is_free() -> None:
+    fleet = Fleet(20)
+    lower, own = fleet.nodes[5], fleet.nodes[7]
+    fleet.leave(lower)
+    fleet.leave(own)
+    fleet.changes.clear()
+    fleet.join(own)
+    assert fleet.nodes[7] is own and not fleet.changes
+
+
+def test_a_seat_is_used_without_contact_for_at_most_the_keep_time() -> None:
+    fleet = Fleet(3)
+    instance = fleet.nodes[1]
+    fleet.do(instance, [*instance.on_session(SessionState.DISCONNECTED, fleet.now)])
+    fleet.run(SETTINGS.keep_us - 1)
+    assert instance.seat == 1
+    fleet.run(2)
+    assert instance.seat is None and fleet.changes[-1] == (instance, None)
+    # The instance claims its own seat again once it is connected.
+    fleet.nodes.pop(1)
+    fleet.join(instance)
+    assert instance.seat == 1 and fleet.nodes[1] is instance
+
+
+def test_another_instance_may_have_taken_the_seat() -> None:
+    fleet = Fleet(3)
+    instance = fleet.nodes[1]
+    fleet.leave(instance)
+    other = SeatAllocator(SETTINGS, 9)
+    fleet.instances.append(other)
+    fleet.join(other)
     assert other.held == 1
-    hall.join(one)
-    assert one.held == 3 and one.seat == 3
+    fleet.join(instance)
+    assert instance.held == 3 and instance.seat == 3
 
 
-def test_a_claim_that_came_too_late_or_to_nobody_knows_where() -> None:
-    one = Places(TERMS, 1)
-    one.on_session(Session.HELD, 0)
-    (claim,) = one.on_seats([0, 1], 0)
+def test_lost_claims_and_claims_with_an_unknown_result() -> None:
+    instance = SeatAllocator(SETTINGS, 1)
+    instance.on_session(SessionState.CONNECTED, 0)
+    (claim,) = instance.on_seats([0, 1], 0)
     assert isinstance(claim, Claim) and claim.seat == 2
-    assert one.on_seats([0, 1], 0) == []  # one claim at a time
-    one.on_failed(2, 0)
-    (claim,) = one.on_seats([0, 1, 2], 0)
+    assert instance.on_seats([0, 1], 0) == []  # only one claim at a time
+    instance.on_claim_unknown(2, 0)
+    (claim,) = instance.on_seats([0, 1, 2], 0)
     assert isinstance(claim, Claim) and claim.seat == 3
-    assert one.on_claimed(2, True, 0) == [Release(2)]  # the one given up came through after all
-    (claim,) = one.on_claimed(3, False, 0)
-    assert isinstance(claim, Claim) and claim.seat in (4, 5)  # one of more, with each miss
+    assert instance.on_claimed(2, True, 0) == [Release(2)]  # the claim with an unknown result had succeeded
+    (claim,) = instance.on_claimed(3, False, 0)
+    assert isinstance(claim, Claim) and claim.seat in (4, 5)  # more candidates after each failed claim
 
 
-def test_no_seat_beyond_the_most_and_none_of_bad_names() -> None:
-    one = Places(TERMS, 1)
-    one.on_session(Session.HELD, 0)
-    assert one.on_seats(range(SEATS_MOST), 0) == []
-    assert one.count == SEATS_MOST
-    one.on_seats([-4, SEATS_MOST + 3, 1], 0)
-    assert one.count == 1
+def test_no_seat_beyond_the_maximum_and_none_out_of_range() -> None:
+    instance = SeatAllocator(SETTINGS, 1)
+    instance.on_session(SessionState.CONNECTED, 0)
+    assert instance.on_seats(range(MAX_SEATS), 0) == []
+    assert instance.count == MAX_SEATS
+    instance.on_seats([-4, MAX_SEATS + 3, 1], 0)
+    assert instance.count == 1
 
 
-def test_random_comings_and_goings_never_share_a_seat() -> None:
+def test_random_joins_and_leaves_never_share_a_seat() -> None:
     for seed in range(40):
         random = Random(seed)
-        hall = Hall(random.randint(2, 12))
+        fleet = Fleet(random.randint(2, 12))
         for _ in range(40):
-            one = random.choice(hall.everyone)
-            if one._session is Session.HELD:
-                hall.leave(one)
+            instance = random.choice(fleet.instances)
+            if instance._session_state is SessionState.CONNECTED:
+                fleet.leave(instance)
             else:
-                hall.join(one)
-            hall.run(random.randint(0, 4 * S))
-            held = [who.held for who in hall.everyone if who.held is not None]
-            assert len(held) == len(set(held)) and all(hall.nodes[who.held] is who for who in hall.everyone
-                                                        if who.held is not None)  # fmt: skip
-        hall.run(60 * S)
-        assert sorted(hall.nodes) == list(range(len(hall.nodes)))
+                fleet.join(instance)
+            fleet.run(random.randint(0, 4 * S))
+            held = [owner.held for owner in fleet.instances if owner.held is not None]
+            assert len(held) == len(set(held)) and all(
+                fleet.nodes[owner.held] is owner for owner in fleet.instances if owner.held is not None
+            )
+        fleet.run(60 * S)
+        assert sorted(fleet.nodes) == list(range(len(fleet.nodes)))
--- a/tests/lab/test_zookeeper.py
+++ b/tests/lab/test_zookeeper.py
@@ -1,4 +1,4 @@
-"""The stand-in speaks the real protocol: clients not written here use it, and its trouble is what it says."""
+"""The test ensemble speaks the real protocol: third-party clients can use it, and its faults take effect."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 
 @asynccontextmanager
 async def ensemble(members: int = 1) -> AsyncIterator[Ensemble]:
-    made = await Ensemble(members).start()
+    env = await Ensemble(members).start()
     try:
-        yield made
+        yield env
     finally:
-        await made.stop()
+        await env.stop()
 
 
-async def with_kazoo(made: Ensemble, use: Callable[[Any], None], **terms: Any) -> None:
-    """kazoo has threads of its own; a test's part that uses it runs in one too."""
+async def with_kazoo(env: Ensemble, use: Callable[[Any], None], **terms: Any) -> None:
+    """Run `use` with a kazoo client in a thread, because kazoo is synchronous and has its own threads."""
 
     def run() -> None:
-        client = KazooClient(hosts=made.hosts, timeout=5.0, **terms)
+        client = KazooClient(hosts=env.hosts, timeout=5.0, **terms)
         client.start(PATIENCE_S)
         try:
             use(client)
@@ -83,9 +83,9 @@
         assert client.sync("/a") == "/a"
         assert client.create("/x/y/z", b"", makepath=True) == "/x/y/z"
 
-    async with ensemble() as made:
-        await with_kazoo(made, use)
-        assert made.open == 0 and made.asked["CREATE"] >= 5
+    async with ensemble() as env:
+        await with_kazoo(env, use)
+        assert env.open == 0 and env.asked["CREATE"] >= 5
 
 
 @looped
@@ -93,11 +93,11 @@
     def use(client: Any) -> None:
         client.create("/t", b"0")
         fired: list[Any] = []
-        told = threading.Event()
+        watch_fired = threading.Event()
 
-        def watch(event: Any) -> None:  # in a thread of the client's own
+        def watch(event: Any) -> None:  # called in a thread of the client
             fired.append(event)
-            told.set()
+            watch_fired.set()
 
         client.get_children("/t", watch=watch)
         bad = client.transaction()
@@ -113,15 +113,15 @@
         good.create("/t/a", b"")
         good.set_data("/t", b"1")
         assert good.commit()[0] == "/t/a"
-        assert client.get("/t")[0] == b"1" and told.wait(PATIENCE_S) and len(fired) == 1
+        assert client.get("/t")[0] == b"1" and watch_fired.wait(PATIENCE_S) and len(fired) == 1
 
-    async with ensemble() as made:
-        await with_kazoo(made, use)
+    async with ensemble() as env:
+        await with_kazoo(env, use)
 
 
 @looped
 async def test_kazoo_watches_fire_once_and_ephemeral_nodes_go_with_their_session() -> None:
-    async with ensemble() as made:
+    async with ensemble() as env:
 
         def use(client: Any) -> None:
             client.create("/e")
@@ -131,25 +131,25 @@
             def note(event: Any) -> None:
                 seen.append((event.type, event.path))
 
-            other = KazooClient(hosts=made.hosts, timeout=5.0)
+            other = KazooClient(hosts=env.hosts, timeout=5.0)
             other.start(PATIENCE_S)
             other.create("/e/n", b"", ephemeral=True)
             assert client.exists("/e/n", watch=note).owner_session_id == other.client_id[0]
             client.get_children("/e", watch=note)
             other.stop()
             other.close()
-            # The client hands events on one after the other in a thread of its own: behind this one all are.
+            # The client delivers events in order in its own thread: after this one, all have been delivered.
             client.create("/e/m")
             client.exists("/e/z", watch=lambda _: last.set())
             client.create("/e/z")
             assert last.wait(PATIENCE_S)
             assert sorted(seen) == [("CHILD", "/e"), ("DELETED", "/e/n")]
 
-        await with_kazoo(made, use)
+        await with_kazoo(env, use)
 
 
 @looped
-async def test_kazoo_is_refused_without_the_right_and_served_with_it() -> None:
+async def test_kazoo_is_refused_without_permission_and_served_with_it() -> None:
     def use(client: Any) -> None:
         client.create("/p", b"s", acl=[make_digest_acl("me", "word", all=True)])
         with pytest.raises(NoAuthError):
@@ -161,21 +161,21 @@
         with pytest.raises(AuthFailedError):
             client.add_auth("nothing", "x")
 
-    async with ensemble() as made:
-        await with_kazoo(made, use)
-        await with_kazoo(made, bad)
+    async with ensemble() as env:
+        await with_kazoo(env, use)
+        await with_kazoo(env, bad)
 
 
 @looped
-async def test_kazoo_lives_through_a_lost_member_and_learns_of_its_expiry() -> None:
-    async with ensemble(3) as made:
+async def test_kazoo_survives_a_lost_member_and_learns_of_its_expiry() -> None:
+    async with ensemble(3) as env:
         loop = asyncio.get_running_loop()
 
-        def told(do: Callable[[], object]) -> None:
+        def run_in_loop(callback: Callable[[], object]) -> None:
             done = threading.Event()
 
             def run() -> None:
-                do()
+                callback()
                 done.set()
 
             loop.call_soon_threadsafe(run)
@@ -195,42 +195,42 @@
             client.add_listener(listen)
             client.create("/mine", b"", ephemeral=True)
             session = client.client_id[0]
-            busy = next(member for member in made.members if member.open)
-            told(busy.vanish)
+            busy = next(member for member in env.members if member.open)
+            run_in_loop(busy.vanish)
             assert back.wait(PATIENCE_S) and client.client_id[0] == session
             assert client.exists("/mine") is not None
-            told(lambda: made.expire(session))
+            run_in_loop(lambda: env.expire(session))
             assert lost.wait(PATIENCE_S)
             assert client.retry(client.exists, "/mine") is None and client.client_id[0] != session
 
-        await with_kazoo(made, use)
+        await with_kazoo(env, use)
 
 
 @looped
-async def test_a_service_without_quorum_takes_nobody_in() -> None:
-    async with ensemble() as made:
-        made.members[0].lose_quorum()
+async def test_a_service_without_quorum_accepts_no_client() -> None:
+    async with ensemble() as env:
+        env.members[0].lose_quorum()
 
         def run() -> None:
-            client = KazooClient(hosts=made.hosts, timeout=1.0)
+            client = KazooClient(hosts=env.hosts, timeout=1.0)
             with pytest.raises(KazooTimeoutError):
                 client.start(0.5)
             client.stop()
             client.close()
 
         await asyncio.to_thread(run)
-        made.members[0].lose_quorum(read_only=True)
+        env.members[0].lose_quorum(read_only=True)
 
         def use(client: Any) -> None:
             assert client.get_children("/") == []
 
-        await with_kazoo(made, use, read_only=True)
+        await with_kazoo(env, use, read_only=True)
 
 
 @looped
-async def test_aiozk_uses_it_too() -> None:
-    async with ensemble(2) as made:
-        client = aiozk.ZKClient(made.hosts, session_timeout=5)
+async def test_aiozk_works_with_the_ensemble() -> None:
+    async with ensemble(2) as env:
+        client = aiozk.ZKClient(env.hosts, session_timeout=5)
         await client.start()
         try:
             assert await client.create("/z", b"d") == "/z"
@@ -254,9 +254,9 @@
 
 
 @looped
-async def test_what_cannot_be_read_ends_its_connection_alone() -> None:
-    async with ensemble() as made:
-        host, port = made.members[0].address.split(":")
+async def test_malformed_input_ends_only_its_own_connection() -> None:
+    async with ensemble() as env:
+        host, port = env.members[0].address.split(":")
         for junk in (
             b"\xff\xff\xff\xff", struct.pack(">i", 1 << 30), struct.pack(">i", 3) + b"abc",
             struct.pack(">i", 12) + bytes(8) + b"\x7f\xff\xff\xff",
@@ -269,11 +269,11 @@
         writer.write(b"ruok")
         assert await asyncio.wait_for(reader.read(100), PATIENCE_S) == b"imok"
         writer.close()
-        await with_kazoo(made, lambda client: client.get_children("/"))
+        await with_kazoo(env, lambda client: client.get_children("/"))
 
 
 @looped
-async def test_it_runs_by_itself_and_obeys() -> None:
+async def test_the_ensemble_runs_as_a_process_and_executes_commands() -> None:
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "sorrelfront.lab.zookeeper", *("--listen", "127.0.0.1:0") * 2,
         cwd=ROOT, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
@@ -282,24 +282,24 @@
     hosts = json.loads(await asyncio.wait_for(process.stdout.readline(), PATIENCE_S))["hosts"]
     assert len(hosts.split(",")) == 2
 
-    async def tell(**order: Any) -> dict[str, Any]:
+    async def send_command(**order: Any) -> dict[str, Any]:
         assert process.stdin is not None and process.stdout is not None
         process.stdin.write(json.dumps(order).encode() + b"\n")
-        said = json.loads(await asyncio.wait_for(process.stdout.readline(), PATIENCE_S))
-        assert isinstance(said, dict)
-        return said
+        reply = json.loads(await asyncio.wait_for(process.stdout.readline(), PATIENCE_S))
+        assert isinstance(reply, dict)
+        return reply
 
     for do in ("stall", "go_on", "freeze", "thaw", "drop", "vanish", "come_back", "restore_from_nothing"):
-        assert await tell(do=do) == {"ok": True}
-    assert (await tell(do="quorum", how="lost", member=1))["ok"]
-    assert (await tell(do="asked"))["open"] == 0
+        assert await send_command(do=do) == {"ok": True}
+    assert (await send_command(do="quorum", how="lost", member=1))["ok"]
+    assert (await send_command(do="asked"))["open"] == 0
     for bad in ({"do": "nothing"}, {"do": "quorum", "how": "maybe"}, {"do": "drop", "member": 9}, {}):
-        assert not (await tell(**bad))["ok"]
+        assert not (await send_command(**bad))["ok"]
     process.stdin.close()
     assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
 
 
-def test_a_tree_refuses_what_a_real_one_refuses() -> None:
+def test_the_tree_refuses_what_zookeeper_refuses() -> None:
     tree = Tree()
     session = tree.open(5_000, 0)
     tree.create("/e", b"", OPEN_TO_ALL, 1, session.id, set(), 0)
@@ -316,5 +316,3 @@
     tree.close(session.id)
     assert events == [(Event.DELETED, "/e"), (Event.CHILD, "/")] and "/e" not in tree.nodes
     assert tree.resume(session.id, session.password, 0) is None
-
-
--- a/tests/sources/test_zookeeper.py
+++ b/tests/sources/test_zookeeper.py
@@ -1,4 +1,4 @@
-"""The source between a scripted ensemble and a balancer's ear: each hard case of ephemeral nodes."""
+"""The ephemeral-node source against a scripted test ensemble: each hard case, up to the reported list."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 SESSION_S = 0.6
 
 
-class Ear:
-    """An instance's source, and what its balancer is told."""
+class Instance:
+    """The source of one instance, and the list that its balancer receives."""
 
     def __init__(self, ensemble: Ensemble, seed: int = 1, fleet: str = "", suspect_s: float = 5.0) -> None:
         self.hosts = tuple(parse_address(host) for host in ensemble.hosts.split(","))
@@ -43,19 +43,19 @@
         self.started: dict[str, int] = {}
         self.history: list[tuple[float, str, State]] = []
         self.answering: dict[str, Answering] = {}
-        self.sits: list[int | None] = []
-        terms = Terms(
+        self.seat_changes: list[int | None] = []
+        settings = Terms(
             net.Terms(self.hosts, SESSION_S), PATH, fleet,
             membership.Terms(int(suspect_s * 1e6), 200_000, 5_000_000),
             places.Terms(hole_us=300_000, keep_us=1_000_000, spread_us=20_000),
         )  # fmt: skip
         self.source = Ephemeral(
-            terms, seed, f"i{seed}", Clock(), lambda name, _: self.answering.get(name, Answering.UNKNOWN),
-            self.hear, self.sits.append,
+            settings, seed, f"i{seed}", Clock(), lambda name, _: self.answering.get(name, Answering.UNKNOWN),
+            self.on_update, self.seat_changes.append,
         )  # fmt: skip
         self.source.subscribe()
 
-    def hear(self, update: Update) -> None:
+    def on_update(self, update: Update) -> None:
         if update.complete:
             self.states.clear()
         for backend in update.backends:
@@ -68,15 +68,15 @@
         return {name for name, state in self.states.items() if state is State.READY}
 
 
-class Scene:
+class Environment:
     def __init__(self, ensemble: Ensemble, registrar: Registrar) -> None:
         self.ensemble, self.registrar = ensemble, registrar
-        self.ears: list[Ear] = []
+        self.instances: list[Instance] = []
 
-    def ear(self, **more: Any) -> Ear:
-        made = Ear(self.ensemble, seed=len(self.ears) + 1, **more)
-        self.ears.append(made)
-        return made
+    def instance(self, **more: Any) -> Instance:
+        instance = Instance(self.ensemble, seed=len(self.instances) + 1, **more)
+        self.instances.append(instance)
+        return instance
 
     async def servers(self, count: int) -> set[str]:
         for at in range(count):
@@ -85,350 +85,363 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(members: int = 1) -> AsyncIterator[Scene]:
+async def environment(members: int = 1) -> AsyncIterator[Environment]:
     ensemble = await Ensemble(members).start()
     registrar = Registrar(ensemble.hosts, PATH, SESSION_S)
-    made = Scene(ensemble, registrar)
+    env = Environment(ensemble, registrar)
     try:
         await registrar.make_path()
-        yield made
+        yield env
     finally:
-        for ear in made.ears:
-            ear.source.close()
+        for instance in env.instances:
+            instance.source.close()
         await registrar.close()
         await ensemble.stop()
 
 
-def play(what: Callable[[Scene], Awaitable[None]], members: int = 1) -> None:
+def run_scenario(scenario: Callable[[Environment], Awaitable[None]], members: int = 1) -> None:
     async def run() -> None:
-        async with asyncio.timeout(PATIENCE_S), scene(members) as made:
-            await what(made)
+        async with asyncio.timeout(PATIENCE_S), environment(members) as env:
+            await scenario(env)
 
     asyncio.run(run())
 
 
-def test_a_drain_by_record_and_one_that_leaves_reach_the_balancer() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(6)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        await made.registrar.drain("b1")
-        await until(lambda: ear.states["b1"] is State.DRAINING)
-        await made.registrar.leave("b2")
-        await until(lambda: ear.states["b2"] is State.DRAINING)
-        assert ear.ready == everyone - {"b1", "b2"}
+def test_a_drain_by_record_and_a_leave_reach_the_balancer() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(6)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        await env.registrar.drain("b1")
+        await until(lambda: instance.states["b1"] is State.DRAINING)
+        await env.registrar.leave("b2")
+        await until(lambda: instance.states["b2"] is State.DRAINING)
+        assert instance.ready == everyone - {"b1", "b2"}
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_session_that_expires_while_its_server_answers_costs_a_drain_and_comes_back_warm() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(6)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        made.ensemble.expire(made.registrar.servers["b3"].session.id)
-        await until(lambda: ear.states["b3"] is State.DRAINING or len(ear.history) > 6)
-        await until(lambda: ear.ready == everyone)  # it has registered again
-        assert ear.started["b3"] == 1_000_000
+def test_a_server_whose_session_expires_is_drained_and_returns_warm() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(6)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        env.ensemble.expire(env.registrar.servers["b3"].session.id)
+        await until(lambda: instance.states["b3"] is State.DRAINING or len(instance.history) > 6)
+        await until(lambda: instance.ready == everyone)  # it has registered again
+        assert instance.started["b3"] == 1_000_000
 
-    play(what)
+    run_scenario(scenario)
 
 
 def test_a_server_that_dies_while_its_session_lives_costs_no_request() -> None:
-    """The list says ready for as long; the balancer goes by what attempts show."""
+    """A dead server stays listed while its session lives; failed attempts alone must keep requests off it."""
 
-    async def what(made: Scene) -> None:
+    async def scenario(env: Environment) -> None:
         backends = [await Backend(answer(b"served")).start() for _ in range(3)]
         for at, backend in enumerate(backends):
-            await made.registrar.register(f"b{at}", backend.address)
+            await env.registrar.register(f"b{at}", backend.address)
         config = parse(table("127.0.0.1:9", []))
         descriptors = Descriptors(config.sockets)
         upstream = Upstream(descriptors.backends, config.idle_us, config.settings.connect_timeout_us)
-        hosts = tuple(parse_address(host) for host in made.ensemble.hosts.split(","))
-        terms = Terms(net.Terms(hosts, SESSION_S), PATH)
+        hosts = tuple(parse_address(host) for host in env.ensemble.hosts.split(","))
+        settings = Terms(net.Terms(hosts, SESSION_S), PATH)
 
         def source(_: Any, on_update: Any, __: Any) -> Ephemeral:
-            return Ephemeral(terms, 1, "i0", Clock(), lambda *_: Answering.UNKNOWN, on_update)
+            return Ephemeral(settings, 1, "i0", Clock(), lambda *_: Answering.UNKNOWN, on_update)
 
         agent = Agent(config, upstream, source)
         listener = Listener(agent, ("127.0.0.1", 0), descriptors, BodyBudget(config.memory_bytes))
         agent.start()
         await until(lambda: len(agent.balancer.ready) == 3)
-        # The process is gone, and its session is kept alive, as by a process that hangs half dead.
+        # The process no longer serves, but its session is kept alive, as when a process hangs partly.
         backends[1].stop()
         client = await connect(listener.address)
         for number in range(30):
             client.send(request(f"r{number}"))
             assert (await client.answer())[0] == 200
-        assert f"{PATH}/b1" in made.ensemble.tree.nodes and len(agent.balancer.ready) == 3
-        made.registrar.crash("b1")
+        assert f"{PATH}/b1" in env.ensemble.tree.nodes and len(agent.balancer.ready) == 3
+        env.registrar.crash("b1")
         await until(lambda: len(agent.balancer.ready) == 2)
         client.close()
         agent.close()
         backends[0].stop()
         backends[2].stop()
 
-    play(what)
-
-
-def test_the_whole_list_vanishes_and_comes_back_with_a_drain_hidden_in_it() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(8)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        await made.registrar.drain("b5")
-        await until(lambda: ear.states["b5"] is State.DRAINING)
-        before = len(ear.history)
-        made.registrar.servers["b5"].again = False
-        made.ensemble.expire_under(PATH)
-        await until(lambda: len(made.ensemble.tree.nodes[PATH].children) == 7)
-        await until(lambda: ear.source.trust.suspects == 0 and not ear.source._dirty)
-        assert ear.ready == everyone - {"b5"}
-        assert [item for item in ear.history[before:] if item[2] is not State.READY] == []
-
-    play(what)
-
-
-def test_a_service_restored_from_nothing_takes_no_server_away() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(5)
-        ear = made.ear(suspect_s=20.0)
-        await until(lambda: ear.ready == everyone)
-        made.ensemble.restore_from_nothing()
-        await until(lambda: ear.source.trust.suspects == 5)
-        assert ear.ready == everyone
-        await made.registrar.make_path()  # whoever owns the path makes it anew; the servers register again
-        await until(lambda: ear.source.trust.suspects == 0)
-        assert ear.ready == everyone and all(state is State.READY for _, _, state in ear.history)
-
-    play(what)
-
-
-def test_what_stays_away_after_a_crowd_leaves_in_bounded_time() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(6)
-        ear = made.ear(suspect_s=1.0)
-        await until(lambda: ear.ready == everyone)
-        for item in made.registrar.servers.values():
+    run_scenario(scenario)
+
+
+def test_the_whole_list_vanishes_and_returns_with_a_drain_among_it() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(8)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        await env.registrar.drain("b5")
+        await until(lambda: instance.states["b5"] is State.DRAINING)
+        before = len(instance.history)
+        env.registrar.servers["b5"].again = False
+        env.ensemble.expire_under(PATH)
+        await until(lambda: len(env.ensemble.tree.nodes[PATH].children) == 7)
+        await until(lambda: instance.source.tracker.suspects == 0 and not instance.source._unread)
+        assert instance.ready == everyone - {"b5"}
+        assert [item for item in instance.history[before:] if item[2] is not State.READY] == []
+
+    run_scenario(scenario)
+
+
+def test_a_service_restored_without_data_removes_no_server() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(5)
+        instance = env.instance(suspect_s=20.0)
+        await until(lambda: instance.ready == everyone)
+        env.ensemble.restore_from_nothing()
+        await until(lambda: instance.source.tracker.suspects == 5)
+        assert instance.ready == everyone
+        await (
+            env.registrar.make_path()
+        )  # the owner of the path creates it again, and the servers register again
+        await until(lambda: instance.source.tracker.suspects == 0)
+        assert instance.ready == everyone and all(state is State.READY for _, _, state in instance.history)
+
+    run_scenario(scenario)
+
+
+def test_servers_missing_after_a_bulk_removal_leave_in_bounded_time() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(6)
+        instance = env.instance(suspect_s=1.0)
+        await until(lambda: instance.ready == everyone)
+        for item in env.registrar.servers.values():
             item.again = item.name == "b0"
-        made.ensemble.expire_under(PATH)
-        await until(lambda: ear.source.trust.suspects == 5)
-        assert ear.ready == everyone
-        await until(lambda: ear.ready == {"b0"})
+        env.ensemble.expire_under(PATH)
+        await until(lambda: instance.source.tracker.suspects == 5)
+        assert instance.ready == everyone
+        await until(lambda: instance.ready == {"b0"})
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_list_that_flaps_twice_in_a_second_is_not_felt() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(5)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        before = len(ear.history)
+def test_a_list_that_flaps_twice_in_a_second_causes_no_reports() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(5)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        before = len(instance.history)
         for _ in range(2):
-            made.ensemble.expire_under(PATH)
-            await until(lambda: len(made.ensemble.tree.nodes[PATH].children) == 5)
-        await until(lambda: ear.source.trust.suspects == 0 and len(ear.source._names) == 5)
-        assert ear.ready == everyone
-        assert [item for item in ear.history[before:] if item[2] is not State.READY] == []
+            env.ensemble.expire_under(PATH)
+            await until(lambda: len(env.ensemble.tree.nodes[PATH].children) == 5)
+        await until(lambda: instance.source.tracker.suspects == 0 and len(instance.source._listed_nodes) == 5)
+        assert instance.ready == everyone
+        assert [item for item in instance.history[before:] if item[2] is not State.READY] == []
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_watch_that_fires_before_the_answer_it_belongs_to(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Answers are late, watches are not: what changes between the read and its answer is read again."""
-    monkeypatch.setattr(source, "REFRESH_S", 1e6)  # nor is it found by the read that needs no reason
+def test_a_watch_that_fires_before_the_response_of_its_read(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A change between a read and its late response must be read again, or it would be lost."""
+    monkeypatch.setattr(source, "REFRESH_INTERVAL_S", 1e6)  # the periodic read must not find the change
 
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(3)
-        member, tree = made.ensemble.members[0], made.ensemble.tree
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(3)
+        member, tree = env.ensemble.members[0], env.ensemble.tree
         member.answer_delay_s = 0.2
         asked = member.asked["GET_CHILDREN2"]
-        ear = made.ear()
-        await until(lambda: member.asked["GET_CHILDREN2"] > asked)  # read, and not answered yet
+        instance = env.instance()
+        await until(lambda: member.asked["GET_CHILDREN2"] > asked)  # sent, without a response yet
         late = json.dumps({"id": "late", "address": "127.0.0.1:8999"}).encode()
         tree.create(f"{PATH}/late", late, tree.nodes["/"].acls, 0, 0, set(), 0)
-        await until(lambda: ear.ready == everyone | {"late"})
+        await until(lambda: instance.ready == everyone | {"late"})
 
-    play(what)
+    run_scenario(scenario)
 
 
 def test_a_change_between_two_watches_and_watches_that_come_late() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(4)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        made.ensemble.members[0].watch_delay_s = 0.08
-        made.registrar.servers["b2"].record["zone"] = "z"
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(4)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        env.ensemble.members[0].watch_delay_s = 0.08
+        env.registrar.servers["b2"].record["zone"] = "z"
         for phase in ("ready", "ready", "draining"):
-            made.registrar.servers["b2"].record["phase"] = phase
-            record = json.dumps(made.registrar.servers["b2"].record).encode()
-            await made.registrar.servers["b2"].session.put(f"{PATH}/b2", record)
-        await made.registrar.leave("b3")
-        await until(lambda: ear.ready == {"b0", "b1"})
+            env.registrar.servers["b2"].record["phase"] = phase
+            record = json.dumps(env.registrar.servers["b2"].record).encode()
+            await env.registrar.servers["b2"].session.put(f"{PATH}/b2", record)
+        await env.registrar.leave("b3")
+        await until(lambda: instance.ready == {"b0", "b1"})
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_drain_written_just_before_the_node_goes_is_a_drain_in_a_crowd_too(
+def test_a_drain_written_just_before_a_bulk_removal_is_a_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(8)
-        ear = made.ear(suspect_s=1_000.0)  # told as a suspect, it would stay
-        await until(lambda: ear.ready == everyone)
-        # It says so and is gone in the same moment as everybody else.
-        made.registrar.servers["b6"].again = False
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(8)
+        instance = env.instance(suspect_s=1_000.0)  # as a suspect it would stay in the list
+        await until(lambda: instance.ready == everyone)
+        # It writes its drain and is deleted at the same moment as all others.
+        env.registrar.servers["b6"].again = False
         record = json.dumps({"id": "b6", "address": "127.0.0.1:9006", "phase": "draining"}).encode()
-        made.ensemble.tree.set(f"{PATH}/b6", record, -1, set(), 0)
-        made.ensemble.expire_under(PATH)
-        await until(lambda: ear.states["b6"] is State.DRAINING)
-        await until(lambda: ear.source.trust.suspects == 0)
-        assert ear.ready == everyone - {"b6"}
+        env.ensemble.tree.set(f"{PATH}/b6", record, -1, set(), 0)
+        env.ensemble.expire_under(PATH)
+        await until(lambda: instance.states["b6"] is State.DRAINING)
+        await until(lambda: instance.source.tracker.suspects == 0)
+        assert instance.ready == everyone - {"b6"}
 
-    play(what)
+    run_scenario(scenario)
 
 
 def test_watches_are_set_again_at_a_member_that_lags() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(5)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        behind = made.ensemble.members[0]
-        behind.freeze()
-        await made.registrar.leave("b1")
-        await until(lambda: "b1" not in ear.ready)
-        told = len(ear.history)
-        for member in made.ensemble.members:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(5)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        lagging = env.ensemble.members[0]
+        lagging.freeze()
+        await env.registrar.leave("b1")
+        await until(lambda: "b1" not in instance.ready)
+        reported = len(instance.history)
+        for member in env.ensemble.members:
             member.drop()
-        await made.registrar.drain("b2")
-        await until(lambda: "b2" not in ear.ready)
-        behind.thaw()
-        assert ear.ready == everyone - {"b1", "b2"}
-        assert all(state is not State.READY for _, _, state in ear.history[told:])
+        await env.registrar.drain("b2")
+        await until(lambda: "b2" not in instance.ready)
+        lagging.thaw()
+        assert instance.ready == everyone - {"b1", "b2"}
+        assert all(state is not State.READY for _, _, state in instance.history[reported:])
 
-    play(what, members=3)
+    run_scenario(scenario, members=3)
 
 
 def test_our_own_session_expires_in_a_partition() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(5)
-        ear = made.ear(fleet="/fleet")
-        await until(lambda: ear.ready == everyone and ear.sits == [0])
-        assert ear.source._session is not None
-        made.ensemble.stall()
-        made.ensemble.expire(ear.source._session.id)
-        await until(lambda: ear.source.figures()["service"] == "silent")
-        assert ear.ready == everyone
-        made.ensemble.go_on()
-        await until(lambda: ear.source.figures()["service"] == "connected" and ear.source.seats is not None
-                    and ear.source.seats.places.held == 0)  # fmt: skip
-        await made.registrar.drain("b3")
-        await until(lambda: ear.ready == everyone - {"b3"})
-        assert ear.sits == [0]  # it kept its place
-
-    play(what)
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(5)
+        instance = env.instance(fleet="/fleet")
+        await until(lambda: instance.ready == everyone and instance.seat_changes == [0])
+        assert instance.source._session is not None
+        env.ensemble.stall()
+        env.ensemble.expire(instance.source._session.id)
+        await until(lambda: instance.source.figures()["service"] == "silent")
+        assert instance.ready == everyone
+        env.ensemble.go_on()
+        await until(lambda: instance.source.figures()["service"] == "connected"
+                    and instance.source.seats is not None
+                    and instance.source.seats.places.held == 0)  # fmt: skip
+        await env.registrar.drain("b3")
+        await until(lambda: instance.ready == everyone - {"b3"})
+        assert instance.seat_changes == [0]  # it kept its seat
+
+    run_scenario(scenario)
 
 
 def test_an_address_reused_by_a_new_server_within_one_read() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(5)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        made.ensemble.members[0].stall()
-        made.ensemble.tree.close(made.registrar.servers["b1"].session.id)
-        made.registrar.servers["b1"].again = False
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(5)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        env.ensemble.members[0].stall()
+        env.ensemble.tree.close(env.registrar.servers["b1"].session.id)
+        env.registrar.servers["b1"].again = False
         record = json.dumps({"id": "new", "address": "127.0.0.1:9001", "started_ms": 5_000}).encode()
-        made.ensemble.tree.create(f"{PATH}/new", record, made.ensemble.tree.nodes["/"].acls, 0, 0, set(), 0)
-        made.ensemble.go_on()
-        await until(lambda: "new" in ear.ready)
-        assert ear.states["b1"] is State.GONE and ear.started["new"] == 5_000_000
+        env.ensemble.tree.create(f"{PATH}/new", record, env.ensemble.tree.nodes["/"].acls, 0, 0, set(), 0)
+        env.ensemble.go_on()
+        await until(lambda: "new" in instance.ready)
+        assert instance.states["b1"] is State.GONE and instance.started["new"] == 5_000_000
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_record_that_cannot_be_read_is_one_log_line_and_hides_nobody(
+def test_a_malformed_record_is_one_log_line_and_hides_no_server(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def what(made: Scene) -> None:
-        tree = made.ensemble.tree
-        everyone = await made.servers(3)
+    async def scenario(env: Environment) -> None:
+        tree = env.ensemble.tree
+        everyone = await env.servers(3)
         bads = (b"", b"{", b"[]", b'{"id": 7}', b"x" * 5_000, b'{"id":"a","address":"here"}')
         for at, bad in enumerate(bads):
             tree.create(f"{PATH}/bad{at}", bad, tree.nodes["/"].acls, 0, 0, set(), 0)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        reads = ear.source.reads
-        await made.registrar.drain("b0")
-        await until(lambda: ear.ready == everyone - {"b0"} and ear.source.reads > reads)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        reads = instance.source.reads
+        await env.registrar.drain("b0")
+        await until(lambda: instance.ready == everyone - {"b0"} and instance.source.reads > reads)
 
     with caplog.at_level(logging.WARNING, "sorrelfront.sources.zookeeper"):
-        play(what)
-    lines = [record for record in caplog.records if "left out" in record.getMessage()]
+        run_scenario(scenario)
+    lines = [record for record in caplog.records if "ignoring the record" in record.getMessage()]
     assert len(lines) == 6 and not any(record.exc_info for record in lines)
 
 
 def test_fifty_instances_lose_and_regain_the_service_together() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(10)
-        ears = [made.ear(fleet="/fleet") for _ in range(50)]
-        await until(lambda: all(ear.ready == everyone for ear in ears))
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(10)
+        instances = [env.instance(fleet="/fleet") for _ in range(50)]
+        await until(lambda: all(instance.ready == everyone for instance in instances))
 
         def held() -> set[int | None]:
-            return {ear.source.seats.places.held for ear in ears if ear.source.seats is not None}
+            return {
+                instance.source.seats.places.held
+                for instance in instances
+                if instance.source.seats is not None
+            }
 
         await until(lambda: held() == set(range(50)))
-        sits = [list(ear.sits) for ear in ears]
-        before = dict(made.ensemble.asked)
-        made.ensemble.members[0].vanish()
-        await until(lambda: all(ear.source.figures()["service"] == "silent" for ear in ears))
-        await made.ensemble.members[0].come_back()
-        await until(lambda: all(ear.source.figures()["service"] == "connected" for ear in ears))
-        await made.registrar.drain("b4")
-        await until(lambda: all(ear.ready == everyone - {"b4"} for ear in ears))
-        asked = {name: count - before.get(name, 0) for name, count in made.ensemble.asked.items()}
-        # Watches were set again, in one request each; nothing was read but what had changed, and the seats.
+        seat_changes = [list(instance.seat_changes) for instance in instances]
+        before = dict(env.ensemble.asked)
+        env.ensemble.members[0].vanish()
+        await until(lambda: all(instance.source.figures()["service"] == "silent" for instance in instances))
+        await env.ensemble.members[0].come_back()
+        await until(
+            lambda: all(instance.source.figures()["service"] == "connected" for instance in instances)
+        )
+        await env.registrar.drain("b4")
+        await until(lambda: all(instance.ready == everyone - {"b4"} for instance in instances))
+        asked = {name: count - before.get(name, 0) for name, count in env.ensemble.asked.items()}
+        # Watches are set again with one request each; only scenario changed and the seats are read.
         assert asked["SET_WATCHES"] >= 50
         assert held() == set(range(50))
         assert asked.get("GET_DATA", 0) <= 3 * 50 and asked.get("GET_CHILDREN2", 0) <= 4 * 50, asked
-        assert [list(ear.sits) for ear in ears] == sits
+        assert [list(instance.seat_changes) for instance in instances] == seat_changes
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_seats_follow_who_comes_and_goes() -> None:
-    async def what(made: Scene) -> None:
-        await made.servers(1)
-        ears = [made.ear(fleet="/fleet/seats") for _ in range(4)]
-        await until(lambda: all(ear.sits for ear in ears))
-        assert sorted(ear.sits[-1] for ear in ears if ear.sits[-1] is not None) == [0, 1, 2, 3]
-        first = next(ear for ear in ears if ear.sits[-1] == 0)
-        last = next(ear for ear in ears if ear.sits[-1] == 3)
+def test_seats_follow_joins_and_leaves() -> None:
+    async def scenario(env: Environment) -> None:
+        await env.servers(1)
+        instances = [env.instance(fleet="/fleet/seats") for _ in range(4)]
+        await until(lambda: all(instance.seat_changes for instance in instances))
+        assert sorted(
+            instance.seat_changes[-1] for instance in instances if instance.seat_changes[-1] is not None
+        ) == [0, 1, 2, 3]
+        first = next(instance for instance in instances if instance.seat_changes[-1] == 0)
+        last = next(instance for instance in instances if instance.seat_changes[-1] == 3)
         first.source.close()
-        ears.remove(first)
-        await until(lambda: last.sits[-1] == 0)
-        assert sorted(sit for ear in ears for sit in ear.sits[1:] if sit is not None) == [0]
-        nodes = made.ensemble.tree.nodes
+        instances.remove(first)
+        await until(lambda: last.seat_changes[-1] == 0)
+        assert sorted(
+            seat for instance in instances for seat in instance.seat_changes[1:] if seat is not None
+        ) == [0]
+        nodes = env.ensemble.tree.nodes
         await until(lambda: nodes["/fleet/seats"].children == {"seat-0000", "seat-0001", "seat-0002"})
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_other_terms_are_gone_by_without_losing_the_list() -> None:
-    async def what(made: Scene) -> None:
-        everyone = await made.servers(5)
-        ear = made.ear()
-        await until(lambda: ear.ready == everyone)
-        terms = ear.source._terms
-        session = ear.source._session
-        ear.source.change(terms)
-        assert ear.source._session is session
-        changed = Terms(terms.session, "/elsewhere", terms.fleet, terms.trust, terms.seats)
-        ear.source.change(changed)
-        await until(lambda: ear.source.trust.suspects == 5)
-        assert ear.ready == everyone and ear.source._session is not session
+def test_changed_settings_apply_without_losing_the_list() -> None:
+    async def scenario(env: Environment) -> None:
+        everyone = await env.servers(5)
+        instance = env.instance()
+        await until(lambda: instance.ready == everyone)
+        settings = instance.source._settings
+        session = instance.source._session
+        instance.source.change(settings)
+        assert instance.source._session is session
+        changed = Terms(settings.session, "/elsewhere", settings.fleet, settings.trust, settings.seats)
+        instance.source.change(changed)
+        await until(lambda: instance.source.tracker.suspects == 5)
+        assert instance.ready == everyone and instance.source._session is not session
 
-    play(what)
+    run_scenario(scenario)
 
 
 STAT = Stat(1, 7, 3_000, 0, 0, 0, 0, 5, 0, 0, 0)
@@ -436,7 +449,7 @@
 
 def test_records() -> None:
     member = parse_record(b'{"id":"a","address":"127.0.0.1:80"}', STAT)
-    # Who does not say since when it runs is as old as its node.
+    # Without a start time the server is as old as its node.
     assert member == ("a", ("127.0.0.1", 80), "", "", 0, 1.0, 3_000_000, False, 7)
     full = {"id": "a", "address": "127.0.0.1:80", "phase": "draining", "zone": "z", "kind": "k", "cell": 3,
             "size": 2, "started_ms": 9}  # fmt: skip
@@ -450,50 +463,52 @@
 
 
 def test_more_children_than_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "CHILDREN_MOST", 3)
+    monkeypatch.setattr(source, "MAX_CHILDREN", 3)
 
-    async def what(made: Scene) -> None:
-        await made.servers(5)
-        ear = made.ear()
-        await until(lambda: len(ear.ready) == 3)
+    async def scenario(env: Environment) -> None:
+        await env.servers(5)
+        instance = env.instance()
+        await until(lambda: len(instance.ready) == 3)
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_claim_whose_answer_was_lost_leaves_one_seat_and_not_two() -> None:
-    async def what(made: Scene) -> None:
-        await made.servers(1)
-        first = made.ear(fleet="/fleet")
-        await until(lambda: first.sits == [0])
-        member = made.ensemble.members[0]
-        nodes = made.ensemble.tree.nodes
+def test_a_claim_whose_response_was_lost_leaves_one_seat_and_not_two() -> None:
+    async def scenario(env: Environment) -> None:
+        await env.servers(1)
+        first = env.instance(fleet="/fleet")
+        await until(lambda: first.seat_changes == [0])
+        member = env.ensemble.members[0]
+        nodes = env.ensemble.tree.nodes
         member.answer_delay_s = 0.15
-        ear = made.ear(fleet="/fleet")
+        instance = env.instance(fleet="/fleet")
         await until(lambda: "/fleet/seat-0001" in nodes)
         member.drop()
         member.answer_delay_s = 0.0
-        await until(lambda: ear.source.seats is not None and ear.source.seats.places.held is not None)
-        mine = ear.source._session
+        await until(
+            lambda: instance.source.seats is not None and instance.source.seats.places.held is not None
+        )
+        mine = instance.source._session
         assert mine is not None
 
         def owned() -> list[str]:
             return [path for path, node in nodes.items() if node.owner == mine.id]
 
         await until(lambda: len(owned()) == 1)
-        assert ear.source.seats is not None
-        assert owned() == [f"/fleet/seat-{ear.source.seats.places.held:04d}"]
+        assert instance.source.seats is not None
+        assert owned() == [f"/fleet/seat-{instance.source.seats.places.held:04d}"]
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_path_that_is_not_there_is_no_empty_list() -> None:
-    async def what(made: Scene) -> None:
-        made.ensemble.tree.delete(PATH, -1, set())
-        ear = made.ear()
-        await until(lambda: ear.source.reads >= 2)
-        assert not ear.history and ear.source.figures()["list_age_ms"] is None
-        await made.registrar.make_path()
-        everyone = await made.servers(2)
-        await until(lambda: ear.ready == everyone)
+def test_a_missing_path_is_not_an_empty_list() -> None:
+    async def scenario(env: Environment) -> None:
+        env.ensemble.tree.delete(PATH, -1, set())
+        instance = env.instance()
+        await until(lambda: instance.source.reads >= 2)
+        assert not instance.history and instance.source.figures()["list_age_ms"] is None
+        await env.registrar.make_path()
+        everyone = await env.servers(2)
+        await until(lambda: instance.ready == everyone)
 
-    play(what)
+    run_scenario(scenario)
