--- a/sorrelfront/decisions/places.py
+++ b/sorrelfront/decisions/places.py
@@ -117,7 +117,7 @@
         self._holes: dict[int, int] = {}  # free seats below the highest taken one, and since when
         self._session_state = SessionState.DISCONNECTED
         self._contact_lost_at = -1
-        self._claimed: int | None = None  # seat being claimed
+        self._pending_claim: int | None = None  # seat being claimed
         self.held: int | None = None  # seat whose node we own
         self.seat: int | None = last  # seat that determines the slice
         self._failed_claims = 0  # consecutive claims that another instance won
@@ -139,7 +139,7 @@
         if session is SessionState.EXPIRED:
             # The node is deleted with the session; the seat is used until another is held or `keep_us` is
             # over.
-            self.held = self._claimed = None
+            self.held = self._pending_claim = None
             if before is SessionState.CONNECTED:
                 self._contact_lost_at = now
             return [Wake(self._settings.keep_us)] if self.seat is not None else []
@@ -149,7 +149,7 @@
     def on_seats(self, taken: Collection[int], now: int) -> list[Action]:
         """Handle a read of the seat nodes that exist, made while the session is connected."""
         self._taken = frozenset(seat for seat in taken if 0 <= seat < MAX_SEATS)
-        if self.held is not None and self.held not in self._taken and self._claimed is None:
+        if self.held is not None and self.held not in self._taken and self._pending_claim is None:
             self.held = None  # our node has been deleted
         highest = max(self._taken, default=-1)
         holes = [seat for seat in range(highest) if seat not in self._taken]
@@ -158,9 +158,9 @@
 
     def on_claimed(self, seat: int, is_ours: bool, now: int) -> list[Action]:
         """Handle the result of a claim: the node is ours, or another instance created it first."""
-        if self._claimed != seat:
+        if self._pending_claim != seat:
             return [Release(seat)] if is_ours and seat != self.held else []
-        self._claimed = None
+        self._pending_claim = None
         if not is_ours:
             self._failed_claims += 1
             self._taken |= {seat}
@@ -179,8 +179,8 @@
 
     def on_claim_unknown(self, seat: int, now: int) -> list[Action]:
         """Handle a claim with an unknown result: the next read of the seats decides."""
-        if self._claimed == seat:
-            self._claimed = None
+        if self._pending_claim == seat:
+            self._pending_claim = None
         return []
 
     def on_timer(self, now: int) -> list[Action]:
@@ -196,7 +196,7 @@
         return self._contact_lost_at >= 0 and now >= self._contact_lost_at + self._settings.keep_us
 
     def _decide(self, now: int) -> list[Action]:
-        if self._session_state is not SessionState.CONNECTED or self._claimed is not None:
+        if self._session_state is not SessionState.CONNECTED or self._pending_claim is not None:
             return []
         if self.held is None:
             return self._claim(self._choose_seat(), spread=True)
@@ -220,7 +220,7 @@
     def _claim(self, seat: int, spread: bool) -> list[Action]:
         if seat >= MAX_SEATS:
             return []
-        self._claimed = seat
+        self._pending_claim = seat
         delay = int(self._random.random() * self._settings.spread_us) if spread else 0
         return [Claim(seat, delay)]
 
--- a/sorrelfront/net/jute.py
+++ b/sorrelfront/net/jute.py
@@ -15,8 +15,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-FRAME_MOST = 1_048_576 + 1_024  # bytes: the default `jute.maxbuffer` is 0xfffff, without the header
-MAX_VECTOR_ELEMENTS = 65_536  # elements: children of a node, or watches to set again
+FRAME_MOST = 1_048_576 + 1_024  # bytes: the default `jute.maxbuffer` of 0xfffff, plus the header
+MAX_VECTOR_ELEMENTS = 65_536  # children of a node, or watches to set again
 ANY_VERSION = -1
 PASSWORD_BYTES = 16
 
--- a/sorrelfront/sources/zookeeper.py
+++ b/sorrelfront/sources/zookeeper.py
@@ -38,9 +38,7 @@
 # Minimum time between reads of the children. Without it, each change of a release would cost each instance a
 # read of all names.
 MIN_CHILDREN_INTERVAL_S = 0.05
-REFRESH_INTERVAL_S = (
-    30.0  # mean time between reads of the children without an event, in case a watch was lost
-)
+REFRESH_INTERVAL_S = 30.0  # mean time until the children are read without an event, in case a watch was lost
 RETRY_DELAY_S = 1.0  # mean delay before reading again a path that is missing or refused
 RESYNC_SPREAD_S = 1.0  # the instances of a fleet spread their reads after an expired session over this time
 SEAT_NODE_NAME = re.compile(r"seat-([0-9]{4})")
@@ -66,8 +64,8 @@
         raise Malformed(f"{len(data)} bytes")
     try:
         record = json.loads(data)
-        # Without a start time the server is as old as its node: a process that has just started would be
-        # taken for warm and overloaded.
+        # Without a start time the server counts as old as its node: otherwise a process that has just started
+        # would be taken for warm and overloaded.
         started_ms = record.get("started_ms", stat.ctime)
         phase = record.get("phase", "ready")
         cell, size = record.get("cell", 0), record.get("size", 1.0)
@@ -169,7 +167,7 @@
             self._settings.session, self._seed, self._on_session_state, self._on_event
         )
         if self._settings.fleet and self._on_seat_change is not None:
-            last = self.seats.places.seat if self.seats is not None else self._previous_seat
+            last = self.seats.allocator.seat if self.seats is not None else self._previous_seat
             self.seats = SeatKeeper(
                 self._session, self._settings, self._seed, self._name, self._now, self._on_seat_change, last
             )
@@ -399,7 +397,7 @@
         if self._session is not None and self._session.state is not None:
             figures["service"] = self._session.state.value
         if self.seats is not None:
-            figures |= {"seat": self.seats.places.seat, "seats": self.seats.places.count}
+            figures |= {"seat": self.seats.allocator.seat, "seats": self.seats.allocator.count}
         return figures
 
 
@@ -420,7 +418,7 @@
         self._session, self._path, self._name, self._now, self._on_seat_change = (
             session, settings.fleet, name, now, on_seat_change,
         )  # fmt: skip
-        self.places = places.SeatAllocator(settings.seats, seed, previous)
+        self.allocator = places.SeatAllocator(settings.seats, seed, previous)
         self._random = Random(seed ^ 0x5EA7)
         self._acls: tuple[Acl, ...] = OPEN_TO_ALL
         if settings.session.auth:
@@ -453,7 +451,7 @@
     def on_session_state(self, state: net.Life) -> None:
         """Handle a change of the session state."""
         if state in (net.Life.CONNECTED, net.Life.SLOW):
-            self._execute(self.places.on_session(places.SessionState.CONNECTED, self._now()))
+            self._execute(self.allocator.on_session(places.SessionState.CONNECTED, self._now()))
             if not self._connected.is_set():
                 self._connected.set()
                 self._read_needed.set()
@@ -463,7 +461,7 @@
         if expired:
             self._unconfirmed.clear()
         self._execute(
-            self.places.on_session(
+            self.allocator.on_session(
                 places.SessionState.EXPIRED if expired else places.SessionState.DISCONNECTED, self._now()
             )
         )
@@ -504,11 +502,11 @@
         # Claims that succeeded although their response was lost are settled here, and the surplus seat
         # released. Otherwise an instance would hold two seats until its session ends, and the slices would
         # be uneven.
-        for seat in self._unconfirmed & taken - {self.places.held}:
+        for seat in self._unconfirmed & taken - {self.allocator.held}:
             if await self._is_ours(seat):
-                self._execute(self.places.on_claimed(seat, True, self._now()))
+                self._execute(self.allocator.on_claimed(seat, True, self._now()))
         self._unconfirmed.clear()
-        self._execute(self.places.on_seats(taken, self._now()))
+        self._execute(self.allocator.on_seats(taken, self._now()))
 
     async def _create_path(self) -> None:
         parts = self._path.split("/")[1:]
@@ -534,7 +532,7 @@
     def _call_later(self, delay_s: float) -> None:
         def due() -> None:
             self._timers.discard(timer)
-            self._execute(self.places.on_timer(self._now()))
+            self._execute(self.allocator.on_timer(self._now()))
 
         timer = asyncio.get_running_loop().call_later(delay_s, due)
         self._timers.add(timer)
@@ -551,17 +549,17 @@
                 # A claim whose response was lost may have succeeded.
                 ours = seat in self._unconfirmed and await self._is_ours(seat)
                 self._unconfirmed.discard(seat)
-                self._execute(self.places.on_claimed(seat, ours, self._now()))
+                self._execute(self.allocator.on_claimed(seat, ours, self._now()))
                 return
             log.warning("the service refused to create a seat: %s", refused)
-            self._execute(self.places.on_claim_unknown(seat, self._now()))
+            self._execute(self.allocator.on_claim_unknown(seat, self._now()))
             self._read_needed.set()
         except (net.Lost, net.TooManyRequests):
             self._unconfirmed.add(seat)
-            self._execute(self.places.on_claim_unknown(seat, self._now()))
+            self._execute(self.allocator.on_claim_unknown(seat, self._now()))
             self._read_needed.set()
         else:
-            self._execute(self.places.on_claimed(seat, True, self._now()))
+            self._execute(self.allocator.on_claimed(seat, True, self._now()))
 
     async def _is_ours(self, seat: int) -> bool:
         """Return whether this session owns the node of the seat, after a create without a response."""
--- a/tests/sources/test_zookeeper.py
+++ b/tests/sources/test_zookeeper.py
@@ -325,7 +325,7 @@
         env.ensemble.go_on()
         await until(lambda: instance.source.figures()["service"] == "connected"
                     and instance.source.seats is not None
-                    and instance.source.seats.places.held == 0)  # fmt: skip
+                    and instance.source.seats.allocator.held == 0)  # fmt: skip
         await env.registrar.drain("b3")
         await until(lambda: instance.ready == everyone - {"b3"})
         assert instance.seat_changes == [0]  # it kept its seat
@@ -379,7 +379,7 @@
 
         def held() -> set[int | None]:
             return {
-                instance.source.seats.places.held
+                instance.source.seats.allocator.held
                 for instance in instances
                 if instance.source.seats is not None
             }
@@ -486,7 +486,7 @@
         member.drop()
         member.answer_delay_s = 0.0
         await until(
-            lambda: instance.source.seats is not None and instance.source.seats.places.held is not None
+            lambda: instance.source.seats is not None and instance.source.seats.allocator.held is not None
         )
         mine = instance.source._session
         assert mine is not None
@@ -496,7 +496,7 @@
 
         await until(lambda: len(owned()) == 1)
         assert instance.source.seats is not None
-        assert owned() == [f"/fleet/seat-{instance.source.seats.places.held:04d}"]
+        assert owned() == [f"/fleet/seat-{instance.source.seats.allocator.held:04d}"]
 
     run_scenario(scenario)
 
