--- a/sorrelfront/daemon/border.py
+++ b/sorrelfront/daemon/border.py
@@ -1,5 +1,7 @@
-"""An instance as a gateway of its site. What belongs to it is imported only here, and only if the file has
-[site]."""
+"""The part of an instance that makes it a gateway of its site.
+
+The modules for partner sites are imported only here, and only if the configuration has a [site] table.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +25,9 @@
 from sorrelfront.lists import parse_address
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import BadConfig
-from sorrelfront.sites.carrier import Carrier, now_us
+from sorrelfront.sites.carrier import PartnerTransport, now_us
 from sorrelfront.sites.keys import BadSiteKey, Keys, private
-from sorrelfront.sites.requests import BorderAgent, Gateway, Outward
+from sorrelfront.sites.requests import Forwarder, ForwardingAgent, Gateway
 from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
@@ -34,79 +36,94 @@
 
 log = logging.getLogger("sorrelfront.sites")
 
-_newest = msgspec.msgpack.Decoder(Newest)
+_newest_decoder = msgspec.msgpack.Decoder(Newest)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-OFFER, SEPARATOR = "offer/", "\x1f"  # of keys by which offers' newest states are copied
-SHARE_EVERY_S = 0.2
-LISTEN_AGAIN_S = 0.25  # while another process has the address
+# Of the keys under which the newest states of offers are replicated.
+OFFER_PREFIX, KEY_SEPARATOR = "offer/", "\x1f"
+SHARE_INTERVAL_S = 0.2
+LISTEN_RETRY_S = 0.25  # between attempts while another process holds the address
+
 
+class GatedForwardingAgent(ForwardingAgent, GatedAgent):
+    """A forwarding agent under the fleet's policy; requests that the policy refuses are not forwarded."""
 
-class GatedBorderAgent(BorderAgent, GatedAgent):
-    """One that goes by the fleet's policy too: what the policy turns away goes nowhere."""
 
+def reserve_epoch(path: Path | None) -> int:
+    """Reserve and return the epoch of this process.
 
-def reserved(path: Path | None) -> int:
-    """The epoch of this life, above every earlier one that the disk knows, and durable before it is told.
-    Without a disk it is 1, and partners that remember a later one say so."""
+    It is above every earlier one on the disk, and is stored before it is sent to anyone. Without a record on
+    disk it is 1; partners that remember a later epoch report it.
+    """
     if path is None:
         return 1
     payload = records.trusted(path, records.Kind.SITE)
-    before = 0
+    previous = 0
     if payload is not None:
         try:
-            before = msgspec.msgpack.decode(payload, type=int) % 2**53
-        except msgspec.DecodeError as fault:
-            log.warning("%s is not used: %s", path, fault)
-    keep(path, before + 1)
-    return before + 1
+            previous = msgspec.msgpack.decode(payload, type=int) % 2**53
+        except msgspec.DecodeError as error:
+            log.warning("%s is not used: %s", path, error)
+    store_epoch(path, previous + 1)
+    return previous + 1
 
 
-def keep(path: Path, epoch: int) -> None:
+def store_epoch(path: Path, epoch: int) -> None:
+    """Write the epoch to disk; a failure is logged only, as partners report a lost epoch."""
     try:
         records.write(path, records.seal(records.Kind.SITE, msgspec.msgpack.encode(epoch)))
-    except OSError as fault:
-        log.warning("%s: %s; partners will say which life this is", path, fault)
+    except OSError as error:
+        log.warning("%s: %s; the epoch will be recovered from partners", path, error)
 
 
 class Frontier:
-    """This instance's border with partner sites."""
+    """This instance's gateway to partner sites: routes, advertisements and requests."""
 
     def __init__(self, table: dict[str, Any]) -> None:
-        """Raises BadConfig."""
+        """Create it from the [site] table.
+
+        Raises:
+            BadConfig: The site's key or a partner's key cannot be used.
+        """
         try:
             self._keys = Keys(private(Path(table["key_file"])), _keys(table))
-        except BadSiteKey as bad:
-            raise BadConfig(f"site.key_file: {bad.told()}") from None
+        except BadSiteKey as error:
+            raise BadConfig(f"site.key_file: {error.told()}") from None
         self._table = table
         self._path = Path(table["record"]) if table["record"] else None
-        birth = int.from_bytes(os.urandom(6), "big")
+        birth_id = int.from_bytes(os.urandom(6), "big")
         self.border = Border(
             table["name"], table["member"], table["gateway"], self._keys.sign, self._keys.verify,
-            (reserved(self._path), birth), now_us(), _settings(table),
+            (reserve_epoch(self._path), birth_id), now_us(), _settings(table),
         )  # fmt: skip
-        self._kept = self.border.life[0]
-        self._passage = Passage(table["name"])
-        self._carrier = Carrier(self.border, self._keys, self._changed)
-        self._outward: Outward | None = None
-        self._agent: BorderAgent | None = None
+        self._stored_epoch = self.border.life[0]
+        self._admission = Passage(table["name"])
+        self._transport = PartnerTransport(self.border, self._keys, self._on_change)
+        self._forwarder: Forwarder | None = None
+        self._agent: ForwardingAgent | None = None
         self._listener: Listener | None = None
         self._starting: asyncio.Task[None] | None = None
         self._copier: Copier | None = None
-        self._sharing: asyncio.TimerHandle | None = None
-        self._untils: dict[tuple[str, float], int] = {}  # when offers end, as it was first worked out
-
-    def agent(self, config: Config, upstream: Upstream, source: Any, governed: bool) -> BorderAgent:
-        made = GatedBorderAgent if governed else BorderAgent
-        self._agent = made(config, upstream, source)
-        self._outward = self._agent.outward = Outward(self.border, config, upstream)
+        self._share_timer: asyncio.TimerHandle | None = None
+        # (offer, its `until`) -> its end in monotonic time, as first computed
+        self._end_times_us: dict[tuple[str, float], int] = {}
+
+    def agent(self, config: Config, upstream: Upstream, source: Any, governed: bool) -> ForwardingAgent:
+        """Create the agent of this instance; `governed` if it is under the fleet's policy."""
+        agent_class = GatedForwardingAgent if governed else ForwardingAgent
+        self._agent = agent_class(config, upstream, source)
+        self._forwarder = self._agent.forwarder = Forwarder(self.border, config, upstream)
         return self._agent
 
     def open(self, config: Config, bodies: BodyBudget) -> None:
-        """Listen for partners' words and requests. Raises BadConfig."""
+        """Start to listen for advertisements and requests from partners.
+
+        Raises:
+            BadConfig: The address for requests cannot be bound.
+        """
         assert self._agent is not None
-        gateway = Gateway(self._agent, self.border, self._passage, self._keys)
+        gateway = Gateway(self._agent, self.border, self._admission, self._keys)
         try:
             self._listener = Listener(
                 gateway,
@@ -114,152 +131,164 @@
                 Descriptors(config.sockets),
                 bodies,
             )
-        except OSError as fault:
-            raise BadConfig(f"site.gateway: {self._table['gateway']}: {fault.strerror}") from None
+        except OSError as error:
+            raise BadConfig(f"site.gateway: {self._table['gateway']}: {error.strerror}") from None
         self._starting = asyncio.get_running_loop().create_task(self._start())
-        self._starting.add_done_callback(_ended)
+        self._starting.add_done_callback(_log_failure)
 
     async def _start(self) -> None:
-        self._go_by(self._table)
-        told = False
+        self._apply(self._table)
+        logged = False
         while True:
             try:
-                await self._carrier.start(parse_address(self._table["listen"]))
-            except OSError as fault:
-                # The one before, which is on its way out, may still have it.
-                if not told:
-                    log.warning("site.listen: %s; partners cannot ask this gateway yet", fault)
-                told = True
-                await asyncio.sleep(LISTEN_AGAIN_S)
+                await self._transport.start(parse_address(self._table["listen"]))
+            except OSError as error:
+                # The previous process may still hold the address while it exits.
+                if not logged:
+                    log.warning("site.listen: %s; partners cannot ask this gateway yet", error)
+                logged = True
+                await asyncio.sleep(LISTEN_RETRY_S)
             else:
                 log.info("partners may ask at %s", self._table["listen"])
                 return
 
     def change(self, table: dict[str, Any], config: Config) -> None:
-        """Raises BadConfig, and then the file before holds."""
+        """Apply a new [site] table.
+
+        Raises:
+            BadConfig: A key cannot be used; the previous table stays in effect.
+        """
         try:
             keys = Keys(private(Path(table["key_file"])), _keys(table))
-        except BadSiteKey as bad:
-            raise BadConfig(f"site.key_file: {bad.told()}") from None
+        except BadSiteKey as error:
+            raise BadConfig(f"site.key_file: {error.told()}") from None
         self._keys.take(keys)
         self._table = table
-        self._go_by(table)
+        self._apply(table)
         if self._listener is not None:
             self._listener.resize(Descriptors(config.sockets), config.memory_bytes)
 
-    def _go_by(self, table: dict[str, Any]) -> None:
+    def _apply(self, table: dict[str, Any]) -> None:
         self.border.settings = _settings(table)
-        lent = self._lent(table)
-        self._passage.keep({item.name: item for item in lent})
-        places = {
-            address: (name, told)
+        lent = self._offers_of(table)
+        self._admission.keep({item.name: item for item in lent})
+        gateways = {
+            address: (name, requests_to)
             for name, partner in table["partners"].items()
-            for address, told in zip(
+            for address, requests_to in zip(
                 partner["at"], partner["gateways"] or [""] * len(partner["at"]), strict=True
             )
         }
-        self._carrier.change(_partners(table), lent, places)
+        self._transport.change(_partners(table), lent, gateways)
 
-    def _lent(self, table: dict[str, Any]) -> list[Lent]:
-        found = []
-        untils: dict[tuple[str, float], int] = {}
+    def _offers_of(self, table: dict[str, Any]) -> list[Lent]:
+        lent = []
+        end_times_us: dict[tuple[str, float], int] = {}
         for name, offer in table["offers"].items():
             until_us = None
             if offer["until"] is not None:
-                # The one place where the time of day is looked at: the owner's own, once for each end. Risk:
-                # worked out anew, it would be another by microseconds, and the offer another with it.
+                # The only use of the wall clock: the owner's own, once for each end. Computed again, the end
+                # would differ by microseconds, and partners would see the offer as changed.
                 until = (name, offer["until"])
                 left_us = int((offer["until"] - time.time()) * 1e6)
-                until_us = untils[until] = self._untils.get(until, now_us() + left_us)
+                until_us = end_times_us[until] = self._end_times_us.get(until, now_us() + left_us)
                 if until_us <= now_us():
                     continue
-            told = terms(
-                _sites(offer["to"]), _sites(offer["onward"]), offer["classes"], offer["rate"],
+            offer_terms = terms(
+                _site_names(offer["to"]), _site_names(offer["onward"]), offer["classes"], offer["rate"],
                 int(offer["lifetime_ms"]),
             )  # fmt: skip
-            found.append(Lent(name, told, offer["cost"], offer["capacity"], offer["group"], until_us))
-        self._untils = untils
-        return found
-
-    def _changed(self) -> None:
-        if self._outward is not None:
-            self._outward.changed()
-        if self.border.life[0] != self._kept:
-            self._kept = self.border.life[0]
+            lent.append(Lent(name, offer_terms, offer["cost"], offer["capacity"], offer["group"], until_us))
+        self._end_times_us = end_times_us
+        return lent
+
+    def _on_change(self) -> None:
+        if self._forwarder is not None:
+            self._forwarder.on_routes_changed()
+        if self.border.life[0] != self._stored_epoch:
+            self._stored_epoch = self.border.life[0]
             if self._path is not None:
-                keep(self._path, self._kept)
-        self._share()
+                store_epoch(self._path, self._stored_epoch)
+        self._schedule_share()
 
     def share(self, copier: Copier) -> None:
-        """Have what this member hears of offers' newest states copied to the others, and go by what they
-        heard: an old word that is told again finds no member that does not know better."""
+        """Replicate the newest state of each offer among the members of this site.
+
+        Then a replayed old advertisement is rejected by all members, whichever of them saw the newer one.
+        """
         self._copier = copier
-        copier.watch(OFFER, self._copied)
-        self._changed()
+        copier.watch(OFFER_PREFIX, self._on_replicated)
+        self._on_change()
 
-    def _copied(self, key: str) -> None:
+    def _on_replicated(self, key: str) -> None:
         id = _offer_id(key)
         assert self._copier is not None
         for book, value in self._copier.copies.values(key) if id is not None else ():
             if book.owner == self._copier.copies.me and id in self.border.newest:
                 continue
             try:
-                mark = _newest.decode(value)
-            except msgspec.DecodeError as fault:
-                log.warning("a copy of an offer's state is not used: %s", fault)
+                mark = _newest_decoder.decode(value)
+            except msgspec.DecodeError as error:
+                log.warning("a replicated state of an offer is not used: %s", error)
                 continue
             assert id is not None
             self.border.on_mark(id, mark, now_us())
 
-    def _share(self) -> None:
-        """Risk: a partner that changes its offers ten times a second would have this site's members write and
-        say as much to each other; so of each offer the newest state goes, now and then."""
-        if self._sharing is None and self.border.marks:
-            self._sharing = asyncio.get_running_loop().call_later(SHARE_EVERY_S, self._share_now)
+    def _schedule_share(self) -> None:
+        """Schedule the replication of changed offer states.
+
+        Only the newest state of each offer is sent, every `SHARE_INTERVAL_S`. Otherwise a partner that
+        changes its offers ten times a second would cause as many writes and messages among this site's
+        members.
+        """
+        if self._share_timer is None and self.border.marks:
+            self._share_timer = asyncio.get_running_loop().call_later(SHARE_INTERVAL_S, self._share_marks)
 
-    def _share_now(self) -> None:
-        self._sharing = None
+    def _share_marks(self) -> None:
+        self._share_timer = None
         marks = self.border.take_marks()
         if self._copier is None:
             return
         for id, mark in marks.items():
-            self._copier.put(OFFER + SEPARATOR.join(id), _encode(mark))
-        mine = self._copier.copies.mine
-        if mine is not None and len(mine.entries) > 2 * IDS_MOST:
-            for key in [key for key in mine.entries if key.startswith(OFFER)]:
+            self._copier.put(OFFER_PREFIX + KEY_SEPARATOR.join(id), _encode(mark))
+        own = self._copier.copies.mine
+        if own is not None and len(own.entries) > 2 * IDS_MOST:
+            for key in [key for key in own.entries if key.startswith(OFFER_PREFIX)]:
                 if _offer_id(key) not in self.border.newest:
                     self._copier.put(key, None)
 
     def figures(self) -> dict[str, Any]:
-        told = self._carrier.figures()
-        told["requests"] = {
-            "in": dict(self._passage.counts),
-            "out": {} if self._outward is None else dict(self._outward.counts),
-            "inside": dict(self._passage.inside),
+        """Return the status of the gateway, for `ctl status`."""
+        status = self._transport.figures()
+        status["requests"] = {
+            "in": dict(self._admission.counts),
+            "out": {} if self._forwarder is None else dict(self._forwarder.counts),
+            "inside": dict(self._admission.inside),
         }
-        return told
+        return status
 
     async def close(self) -> None:
-        """Take on nothing more, and finish what partners have sent."""
+        """Accept no further requests, and finish those that partners have sent."""
         if self._listener is not None:
             await self._listener.close()
 
     async def end(self) -> None:
+        """Stop the timers and the exchange of advertisements."""
         if self._starting is not None:
             self._starting.cancel()
-        if self._sharing is not None:
-            self._sharing.cancel()
-        await self._carrier.close()
+        if self._share_timer is not None:
+            self._share_timer.cancel()
+        await self._transport.close()
 
 
 def _offer_id(key: str) -> OfferId | None:
-    parts = key.removeprefix(OFFER).split(SEPARATOR)
+    parts = key.removeprefix(OFFER_PREFIX).split(KEY_SEPARATOR)
     return OfferId(*parts) if len(parts) == 3 else None
 
 
-def _ended(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        log.error("opening the border failed", exc_info=task.exception())
+        log.error("starting the site's gateway failed", exc_info=task.exception())
 
 
 def _settings(table: dict[str, Any]) -> Settings:
@@ -280,5 +309,5 @@
     ]  # fmt: skip
 
 
-def _sites(names: list[str]) -> list[str] | None:
+def _site_names(names: list[str]) -> list[str] | None:
     return None if MEMBERS in names else names
--- a/sorrelfront/daemon/fellow.py
+++ b/sorrelfront/daemon/fellow.py
@@ -1,5 +1,7 @@
-"""An instance as a member of its fleet, and the record of its incarnation. What belongs to it is imported
-only here, and only if the file has [fleet]."""
+"""The part of an instance that makes it a member of its fleet, with the record of its incarnation.
+
+The modules of the fleet are imported only here, and only if the configuration has a [fleet] table.
+"""
 
 from __future__ import annotations
 
@@ -24,49 +26,59 @@
 log = logging.getLogger("sorrelfront.daemon")
 
 
-def kept(path: Path) -> int:
-    """The incarnation that an earlier life has reserved; 0 if nothing there can be trusted. Raises
-    nothing."""
+def load_incarnation(path: Path) -> int:
+    """Return the incarnation that an earlier process reserved, or 0 if there is no valid record.
+
+    It raises no exceptions.
+    """
     payload = records.trusted(path, records.Kind.INCARNATION)
     if payload is None:
         return 0
     try:
         return msgspec.msgpack.decode(payload, type=int) % 2**53
-    except msgspec.DecodeError as fault:
-        log.warning("%s is not used: %s", path, fault)
+    except msgspec.DecodeError as error:
+        log.warning("%s is not used: %s", path, error)
         return 0
 
 
 class Fellow:
-    """This instance's part in the fleet."""
+    """This instance's membership of the fleet."""
 
     def __init__(self, table: dict[str, Any]) -> None:
-        """Raises BadConfig."""
+        """Create the member from the [fleet] table and start it.
+
+        Raises:
+            BadConfig: The fleet's key cannot be used.
+        """
         from sorrelfront.decisions.fleet.seats import Seat
         from sorrelfront.fleet.envelope import BadKey
         from sorrelfront.fleet.member import Member
 
         self._path = Path(table["record"]) if table["record"] else None
         self._writer = records.Writer() if self._path is not None else None
-        first = kept(self._path) if self._path is not None else 0
+        incarnation = load_incarnation(self._path) if self._path is not None else 0
         try:
-            self._member = Member(table, first, _version(), self._keep)
-        except BadKey as bad:
-            raise BadConfig(f"fleet.key_file: {bad}") from None
-        self._seat = Seat(table["member"], int(table["rest_ms"] * 1_000))
+            self._member = Member(table, incarnation, _version(), self._store_incarnation)
+        except BadKey as error:
+            raise BadConfig(f"fleet.key_file: {error}") from None
+        self._ring_position = Seat(table["member"], int(table["rest_ms"] * 1_000))
         self.council: Council | None = None
         self.copier: Copier | None = None
         self._member.start()
 
-    def copy(self, listed: bool, update: Callable[[Update], None]) -> None:
-        """Keep copies with the others. `listed`: this member's list service counts its states, the same for
-        all members. `update`: tells the agent of servers."""
+    def copy(self, list_is_numbered: bool, update: Callable[[Update], None]) -> None:
+        """Start to replicate server states and drains among the members.
+
+        Args:
+            list_is_numbered: Whether this member's list service numbers its states, the same for all members.
+            update: Passes a changed server list to the agent.
+        """
         from sorrelfront.daemon.ledger import Ledger
         from sorrelfront.fleet.copier import Copier, Ports, changes, settings
 
         table, view = self._member.table, self._member.carrier.view
         ledger = Ledger(Path(table["copies_record"])) if table["copies_record"] else None
-        kept = changes(ledger.load()) if ledger is not None else []
+        stored = changes(ledger.load()) if ledger is not None else []
 
         async def write(payloads: list[bytes]) -> None:
             if ledger is not None:
@@ -81,62 +93,74 @@
             members=view.alive, known=lambda: set(view.members), write=write, snapshot=snapshot,
             wants_snapshot=lambda: ledger is not None and ledger.wants_snapshot, update=update,
         )  # fmt: skip
-        copier = Copier(table["member"], "registry" if listed else "", settings(table), ports, kept)
+        copier = Copier(
+            table["member"], "registry" if list_is_numbered else "", settings(table), ports, stored
+        )
         self.copier = copier
         copier.start()
 
     def govern(self, agent: GatedAgent, governed: Governed) -> None:
-        """Take part in the fleet's policy: `agent` asks before it decides, `governed` goes by what is in
-        force."""
+        """Take part in the fleet's policy.
+
+        Args:
+            agent: It checks the policy before it decides on a request.
+            governed: It applies the version that is in force.
+        """
         from sorrelfront.fleet.council import Council, Ports
 
         table, view = self._member.table, self._member.carrier.view
-        vote, held = Path(table["vote_record"]), Path(table["held_record"])
+        vote_path, held_path = Path(table["vote_record"]), Path(table["held_record"])
         writer = self._writer
-        assert writer is not None  # the file's check wants a state_dir
+        assert writer is not None  # the configuration is checked to have a state_dir
 
-        async def keep(data: bytes) -> None:
-            await asyncio.to_thread(records.write, vote, records.seal(records.Kind.VOTE, data))
+        async def store_vote(data: bytes) -> None:
+            await asyncio.to_thread(records.write, vote_path, records.seal(records.Kind.VOTE, data))
 
         ports = Ports(
-            say=self._member.say, keep=keep,
-            remember=lambda data: writer.put(held, records.seal(records.Kind.HELD, data)),
+            say=self._member.say, keep=store_vote,
+            remember=lambda data: writer.put(held_path, records.seal(records.Kind.HELD, data)),
             members=view.alive, check=governed.refusal, take=governed.take,
             finished=lambda: agent.finished, opened=agent.opened,
         )  # fmt: skip
         self.council = Council(
             table["member"], tuple(table["voters"]), int(table["lease_ms"] * 1_000), ports,
-            records.trusted(vote, records.Kind.VOTE), records.trusted(held, records.Kind.HELD),
+            records.trusted(vote_path, records.Kind.VOTE), records.trusted(held_path, records.Kind.HELD),
         )  # fmt: skip
         agent.council = self.council
         self._member.sit(self.council)
         self.council.start()
 
-    def _keep(self, incarnation: int) -> None:
-        """Lost, it is found out from the others: what they remember of this member, plus one."""
+    def _store_incarnation(self, incarnation: int) -> None:
+        """Store the incarnation; if it is lost, it becomes the one that other members remember, plus one."""
         if self._writer is not None and self._path is not None:
             data = records.seal(records.Kind.INCARNATION, msgspec.msgpack.encode(incarnation))
             self._writer.put(self._path, data)
 
     def change(self, table: dict[str, Any]) -> None:
-        """Raises BadConfig."""
+        """Apply a new [fleet] table.
+
+        Raises:
+            BadConfig: The fleet's key cannot be used.
+        """
         from sorrelfront.fleet.envelope import BadKey
 
         try:
             self._member.change(table)
-        except BadKey as bad:
-            raise BadConfig(f"fleet.key_file: {bad}") from None
+        except BadKey as error:
+            raise BadConfig(f"fleet.key_file: {error}") from None
 
     def seat(self) -> int | None:
-        """Where this instance's slice of the servers is to begin from now on, on a ring of `places.POINTS`;
-        None if nothing changes. Call now and then."""
+        """Return the new start of this instance's slice of the servers, or None if it is unchanged.
+
+        The start is a point on a ring of `places.POINTS`. Call this periodically.
+        """
         if not self._member.table["seats"]:
             return None
         view = self._member.carrier.view
-        return self._seat.on_view(view.alive(), view.now)
+        return self._ring_position.on_view(view.alive(), view.now)
 
     def told(self, after: int) -> dict[str, Any]:
-        """For `ctl members`: all members, and events after this number."""
+        """Return all members and the events after this number, for `ctl members`."""
         carrier = self._member.carrier
         return {
             "fleet": self._member.table["name"], "self": carrier.view.me.name,
@@ -144,14 +168,16 @@
         }  # fmt: skip
 
     def figures(self) -> dict[str, Any]:
-        told = self._member.carrier.figures()
+        """Return the status of the membership, the policy and the replication, for `ctl status`."""
+        status = self._member.carrier.figures()
         if self.council is not None:
-            told["policy"] = self.council.figures()
+            status["policy"] = self.council.figures()
         if self.copier is not None:
-            told["copies"] = self.copier.figures()
-        return told
+            status["copies"] = self.copier.figures()
+        return status
 
     def close(self, leave: bool) -> None:
+        """Stop all of it; `leave`: first announce that this member leaves for good."""
         if self.council is not None:
             self.council.close()
         if self.copier is not None:
@@ -162,7 +188,7 @@
 
 
 def _version() -> str:
-    import importlib.metadata  # takes a tenth of an instance's start
+    import importlib.metadata  # here, as it takes a tenth of an instance's start time
 
     try:
         return importlib.metadata.version("sorrelfront")
--- a/sorrelfront/sites/carrier.py
+++ b/sorrelfront/sites/carrier.py
@@ -1,5 +1,8 @@
-"""Carries words between one agent's border (`decisions.sites.routes`) and those of partner sites. Decides
-nothing: a task for each gateway that is asked, one for each connection that asks."""
+"""Exchange of advertisements with the gateways of partner sites.
+
+Transports messages between this agent's `Border` (`decisions.sites.routes`) and those of partner sites. It
+makes no decisions. One task polls each partner gateway, and one task serves each inbound connection.
+"""
 
 from __future__ import annotations
 
@@ -26,30 +29,30 @@
 
 log = logging.getLogger("sorrelfront.sites")
 
-CONNECTIONS_MOST = 512  # that ask, all partners together; further ones are closed
-FIRST_WITHIN_S = 2.0  # for a connection to show whose it is
-CONNECT_WITHIN_S = 1.0
-NEWS_EVERY_S = 0.1  # to one that asks
-ASKS_A_SECOND = 50.0  # of one connection; one that asks more is closed
-AGAIN_S = 0.05  # between two asks of one gateway at the least
-INLINE_MOST = 4  # chains whose signatures are checked in the loop, at about 0.2 ms each; more in a thread
-# Of the time that checking a partner's answer took, that passes before the next one of that partner is
-# checked, whichever gateway sent it. Risk: one that tells very much and each time something else would have
-# all of this process's time.
-REST = 20
-BUFFER_MOST = 256 * 1024  # bytes that wait to be read by one that asks; then it has no news
-# What is told in the log; the rest comes and goes with links, files and processes.
-WRONG = frozenset(
+MAX_CONNECTIONS = 512  # inbound, over all partners; further ones are closed
+FIRST_MESSAGE_TIMEOUT_S = 2.0  # for an inbound connection to authenticate
+CONNECT_TIMEOUT_S = 1.0
+MIN_NEWS_INTERVAL_S = 0.1  # between two change notices on one connection
+MAX_ASKS_PER_S = 50.0  # on one connection; it is closed if the peer sends more
+MIN_ASK_INTERVAL_S = 0.05  # between two requests to one gateway
+MAX_INLINE_CHAINS = 4  # verified in the event loop, at about 0.2 ms each; more are verified in a thread
+# After an advertisement is verified, the next one from the same partner, whichever gateway sent it, waits for
+# this multiple of the time that the verification took. Without the pause, a partner that sends large and
+# ever-changing advertisements would use all of this process's time.
+VERIFY_PAUSE_FACTOR = 20
+MAX_WRITE_BUFFER = 256 * 1024  # unsent bytes of a connection, above which it is sent no change notices
+# Refusals that are logged. The others come and go with links, configuration changes and processes.
+LOGGED_REASONS = frozenset(
     {Why.UNKNOWN_SITE, Why.SIGNATURE, Why.WIDENED, Why.NOT_PASSED_ON, Why.ADDRESSEE, Why.VALLEY, Why.ROLE,
      Why.SPELLING, Why.FORKED, Why.TOO_MANY}
 )  # fmt: skip
-IDLE_S = 60.0  # a connection that asks nothing for so long is closed
-CLOSE_WITHIN_S = 0.2
-WORDS_MOST = 8  # that wait to be taken up; then the partner's are left in the kernel
-ROUTES_TOLD = 64  # in figures
+IDLE_TIMEOUT_S = 60.0  # an inbound connection without a request for this long is closed
+CLOSE_TIMEOUT_S = 0.2
+MAX_QUEUED_MESSAGES = 8  # received and not yet processed; further ones stay in the kernel's buffer
+MAX_STATUS_ROUTES = 64  # listed in `figures`
 
 
-class SiteUnheard(SorrelfrontError):
+class GatewayUnreachable(SorrelfrontError):
     """A partner site's gateway does not answer."""
 
     remedy = (
@@ -59,333 +62,366 @@
 
 
 def now_us() -> int:
-    """Elapsed time, as routes count it."""
+    """Return the monotonic time in microseconds, the clock of routes and lifetimes."""
     return time.monotonic_ns() // 1_000
 
 
 @dataclass(eq=False)
-class _Asker:
-    """A connection that has asked."""
+class _Subscriber:
+    """An inbound connection that has authenticated with its first request."""
 
     partner: str
     writer: asyncio.StreamWriter
     challenge: bytes
-    news_at: float = -1e9
+    notified_at: float = -1e9
     timer: asyncio.TimerHandle | None = None
-    tokens: float = ASKS_A_SECOND
-    at: float = field(default_factory=time.monotonic)
+    tokens: float = MAX_ASKS_PER_S
+    refilled_at: float = field(default_factory=time.monotonic)
+
 
+class PartnerTransport:
+    """Exchanges advertisements with all partner gateways.
 
-class Carrier:
-    """`start` it, `change` it with the file, `close` it."""
+    Call `start` once, `change` after each load of the configuration, and `close` at the end.
+    """
 
-    def __init__(self, border: Border, keys: Keys, changed: Callable[[], None]) -> None:
-        """`changed`: the table may be another."""
+    def __init__(self, border: Border, keys: Keys, on_change: Callable[[], None]) -> None:
+        """Create it; `on_change` is called when the routing table may have changed."""
         self.border = border
         self.keys = keys
         self.counts = dict.fromkeys(("unreadable", "refused", "connections", "sent", "received"), 0)
-        self.by_partner: Counter[str] = Counter()  # bytes, both ways
-        self._changed = changed
-        self._random = Random()  # no two agents ask in step
+        self.bytes_by_partner: Counter[str] = Counter()  # sent and received
+        self._on_change = on_change
+        self._random = Random()  # so that agents do not poll in step
         self._server: asyncio.Server | None = None
-        self._askers: set[_Asker] = set()
-        self._open = 0
+        self._subscribers: set[_Subscriber] = set()
+        self._open_connections = 0
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._serving: set[asyncio.Task[Any]] = set()
-        self._seen = (-1, -1)
+        self._notified_state = (-1, -1)
         self._timer: asyncio.TimerHandle | None = None
-        self._places: dict[str, str] = {}
-        self._proving: dict[str, asyncio.Lock] = {}  # by partner: one answer is checked at a time
-        self._rests: dict[str, float] = {}  # partner -> until when nothing further of it is checked
-        self._silent: set[str] = set()  # told of in the log
-        self._refused: dict[str, str] = {}  # partner -> why its chains are refused, as the log was told
+        self._address_overrides: dict[str, str] = {}
+        self._verify_locks: dict[str, asyncio.Lock] = {}  # by partner: one verification at a time
+        self._verify_not_before: dict[str, float] = {}  # partner -> earliest time of its next verification
+        self._logged_silent: set[str] = set()  # gateways that were logged as unreachable
+        self._logged_refusals: dict[str, str] = {}  # gateway -> reasons for refused chains, as last logged
         self._closed = False
 
     async def start(self, listen: Address) -> None:
-        """Raises OSError."""
+        """Listen for partner gateways.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         self._server = await asyncio.start_server(self._serve, *listen, limit=65_536)
-        self._on_time()
+        self._on_timer()
 
     def change(
-        self, partners: Iterable[Partner], lent: Iterable[Lent], places: dict[str, tuple[str, str]]
+        self, partners: Iterable[Partner], lent: Iterable[Lent], gateways: dict[str, tuple[str, str]]
     ) -> None:
-        """`places`: address of each gateway that is asked -> its partner, and where requests to it go if not
-        where it says itself."""
+        """Apply a new configuration.
+
+        Args:
+            partners: The partner sites.
+            lent: The offers of this gateway.
+            gateways: Address of each polled gateway -> its partner, and the address that requests are sent
+                to, or "" to use the address that the gateway itself advertises.
+        """
         self.border.configure(partners, lent, now_us())
-        self._places = {name: place for name, (_, place) in places.items() if place}
-        for name in [name for name in self._tasks if places.get(name, ("",))[0] != self._partner(name)]:
+        self._address_overrides = {name: address for name, (_, address) in gateways.items() if address}
+        for name in [name for name in self._tasks if gateways.get(name, ("",))[0] != self._partner_of(name)]:
             self._tasks.pop(name).cancel()
             self.border.drop(name)
-        for name, (partner, _) in places.items():
+        for name, (partner, _) in gateways.items():
             if name not in self._tasks:
                 self.border.peer(name, partner, self._random.getrandbits(48))
-                task = self._tasks[name] = asyncio.get_running_loop().create_task(self._ask_on(name))
-                task.add_done_callback(_ended)
-        for asker in [item for item in self._askers if item.partner not in self.border.partners]:
-            asker.writer.close()
-        self._after()
+                task = self._tasks[name] = asyncio.get_running_loop().create_task(self._poll_gateway(name))
+                task.add_done_callback(_log_failure)
+        for subscriber in [item for item in self._subscribers if item.partner not in self.border.partners]:
+            subscriber.writer.close()
+        self._propagate_changes()
 
-    def _partner(self, name: str) -> str:
+    def _partner_of(self, name: str) -> str:
         peer = self.border.peers.get(name)
         return peer.partner if peer is not None else ""
 
     async def close(self) -> None:
-        """Ends its tasks, and waits for them."""
+        """Cancel all tasks and wait up to `CLOSE_TIMEOUT_S` for them."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        for asker in self._askers:
-            if asker.timer is not None:
-                asker.timer.cancel()
+        for subscriber in self._subscribers:
+            if subscriber.timer is not None:
+                subscriber.timer.cancel()
         if self._server is not None:
             self._server.close()
         tasks = [*self._tasks.values(), *self._serving]
         for task in tasks:
             task.cancel()
         if tasks:
-            await asyncio.wait(tasks, timeout=CLOSE_WITHIN_S)
+            await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT_S)
 
-    # Time and changes
+    # Timer and change notices
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.border.on_time(now_us())
-        self._after()
+        self._propagate_changes()
 
-    def _after(self) -> None:
-        """Whatever may have changed: the next look at the time, news for those that asked, requests."""
+    def _propagate_changes(self) -> None:
+        """Reset the timer and, if the routing state changed, schedule notices and call `on_change`."""
         if self._closed:
             return
         border, loop = self.border, asyncio.get_running_loop()
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = loop.call_later(max(0.001, (border.next_us() - now_us()) / 1e6), self._on_time)
+        self._timer = loop.call_later(max(0.001, (border.next_us() - now_us()) / 1e6), self._on_timer)
         state = (border.changed, border.told)
-        if state == self._seen and not border.marks:
+        if state == self._notified_state and not border.marks:
             return
-        self._seen = state
-        for asker in self._askers:
-            if asker.timer is None:
-                delay = max(0.0, asker.news_at + NEWS_EVERY_S - time.monotonic())
-                asker.timer = loop.call_later(delay, self._tell_news, asker)
-        self._changed()
-
-    def _tell_news(self, asker: _Asker) -> None:
-        asker.timer = None
-        asker.news_at = time.monotonic()
-        if asker.writer.transport.get_write_buffer_size() <= BUFFER_MOST:
-            self._write(asker.writer, asker.partner, pack(self.border.site, News(self.border.site),
-                                                          asker.challenge, self.keys.sign))  # fmt: skip
+        self._notified_state = state
+        for subscriber in self._subscribers:
+            if subscriber.timer is None:
+                delay = max(0.0, subscriber.notified_at + MIN_NEWS_INTERVAL_S - time.monotonic())
+                subscriber.timer = loop.call_later(delay, self._send_news, subscriber)
+        self._on_change()
+
+    def _send_news(self, subscriber: _Subscriber) -> None:
+        subscriber.timer = None
+        subscriber.notified_at = time.monotonic()
+        if subscriber.writer.transport.get_write_buffer_size() <= MAX_WRITE_BUFFER:
+            self._write(
+                subscriber.writer,
+                subscriber.partner,
+                pack(self.border.site, News(self.border.site), subscriber.challenge, self.keys.sign),
+            )
 
     def _write(self, writer: asyncio.StreamWriter, partner: str, frame: bytes) -> None:
         writer.write(frame)
         self.counts["sent"] += len(frame)
-        self.by_partner[partner] += len(frame)
+        self.bytes_by_partner[partner] += len(frame)
 
-    def _received(self, count: int) -> None:
+    def _count_received(self, count: int) -> None:
         self.counts["received"] += count
 
-    # Those that ask
+    # Inbound connections
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        if self._open >= CONNECTIONS_MOST or self._closed:
+        if self._open_connections >= MAX_CONNECTIONS or self._closed:
             self.counts["refused"] += 1
             writer.transport.abort()
             return
-        self._open += 1
+        self._open_connections += 1
         self._serving.add(task)
-        asker: _Asker | None = None
+        subscriber: _Subscriber | None = None
         try:
             challenge = os.urandom(CHALLENGE)
             writer.write(challenge)
-            async with asyncio.timeout(FIRST_WITHIN_S):
-                first = await read(reader, ASK_MOST, self._received)
+            async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
+                first = await read(reader, ASK_MOST, self._count_received)
             ask = unpack(first, challenge, self.keys.verify)
-            asker = _Asker(ask.site, writer, challenge)
-            self._askers.add(asker)
+            subscriber = _Subscriber(ask.site, writer, challenge)
+            self._subscribers.add(subscriber)
             number = -1
-            while isinstance(ask, Ask) and ask.site == asker.partner and ask.number > number:
+            while isinstance(ask, Ask) and ask.site == subscriber.partner and ask.number > number:
                 number = ask.number
-                if not self._may_ask(asker) or not self._answer(asker, ask):
+                if not self._within_rate(subscriber) or not self._answer(subscriber, ask):
                     return
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     await writer.drain()
-                    data = await read(reader, ASK_MOST, self._received)
+                    data = await read(reader, ASK_MOST, self._count_received)
                 ask = unpack(data, challenge, self.keys.verify)
-        except BadPartnerWord as bad:
+        except BadPartnerWord as error:
             self.counts["unreadable"] += 1
-            log.warning("%s: %s", "a partner" if asker is None else asker.partner, bad.told())
+            log.warning("%s: %s", "a partner" if subscriber is None else subscriber.partner, error.told())
         except (OSError, EOFError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
-            self._open -= 1
-            if asker is not None:
-                self._askers.discard(asker)
-                if asker.timer is not None:
-                    asker.timer.cancel()
+            self._open_connections -= 1
+            if subscriber is not None:
+                self._subscribers.discard(subscriber)
+                if subscriber.timer is not None:
+                    subscriber.timer.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await end_stream(writer, abort=True)
             self._serving.discard(task)
 
-    def _may_ask(self, asker: _Asker) -> bool:
+    def _within_rate(self, subscriber: _Subscriber) -> bool:
         now = time.monotonic()
-        asker.tokens = min(ASKS_A_SECOND, asker.tokens + (now - asker.at) * ASKS_A_SECOND)
-        asker.at = now
-        asker.tokens -= 1
-        return asker.tokens >= 0
-
-    def _answer(self, asker: _Asker, ask: Ask) -> bool:
+        subscriber.tokens = min(
+            MAX_ASKS_PER_S, subscriber.tokens + (now - subscriber.refilled_at) * MAX_ASKS_PER_S
+        )
+        subscriber.refilled_at = now
+        subscriber.tokens -= 1
+        return subscriber.tokens >= 0
+
+    def _answer(self, subscriber: _Subscriber, ask: Ask) -> bool:
         border, now = self.border, now_us()
-        over = border.outlived(ask)
-        if over is not None:
-            log.warning("%s knows of life %d of this gateway; going on as life %d", ask.site, over, over + 1)
-            border.live((over + 1, border.life[1]), now)
+        known_epoch = border.outlived(ask)
+        if known_epoch is not None:
+            log.warning(
+                "%s knows of life %d of this gateway; going on as life %d",
+                ask.site, known_epoch, known_epoch + 1,
+            )  # fmt: skip
+            border.live((known_epoch + 1, border.life[1]), now)
             border.counts["outlived"] += 1
-        tell = border.on_ask(asker.partner, ask, self.keys.ticket(asker.partner), now)
+        tell = border.on_ask(subscriber.partner, ask, self.keys.ticket(subscriber.partner), now)
         if tell is not None:
-            frame = pack(border.site, tell, asker.challenge, self.keys.sign)
-            self._write(asker.writer, asker.partner, frame)
-        self._after()
+            frame = pack(border.site, tell, subscriber.challenge, self.keys.sign)
+            self._write(subscriber.writer, subscriber.partner, frame)
+        self._propagate_changes()
         return tell is not None
 
-    # Those that are asked
+    # Polled gateways
 
-    async def _ask_on(self, name: str) -> None:
-        """Ask this gateway, for as long as it is to be asked."""
+    async def _poll_gateway(self, name: str) -> None:
+        """Poll this gateway and reconnect after each failure, until the task is cancelled."""
         renew_s = self.border.settings.renew_us / 1e6
         while not self._closed:
-            fault = ""
+            reason = ""
             try:
-                await self._ask_while_open(name)
-            except BadPartnerWord as bad:
+                await self._poll_connection(name)
+            except BadPartnerWord as error:
                 self.counts["unreadable"] += 1
-                fault = str(bad)
+                reason = str(error)
             except TimeoutError:
-                fault = "it does not answer"
-            except (OSError, EOFError) as broken:
-                fault = str(broken) or type(broken).__name__
-            self._unheard(name, fault)
+                reason = "it does not answer"
+            except (OSError, EOFError) as error:
+                reason = str(error) or type(error).__name__
+            self._mark_silent(name, reason)
             await asyncio.sleep(renew_s * self._random.uniform(0.25, 0.75))
 
-    def _unheard(self, name: str, fault: str) -> None:
+    def _mark_silent(self, name: str, reason: str) -> None:
         self.border.silent(name, now_us())
-        if name not in self._silent:
-            self._silent.add(name)
-            what = SiteUnheard(f"{self._partner(name)} at {name}: {fault}")
-            log.warning("%s", what.told())
-        self._after()
-
-    async def _ask_while_open(self, name: str) -> None:
-        """Raises OSError, EOFError, TimeoutError and BadPartnerWord once the connection is of no more use."""
+        if name not in self._logged_silent:
+            self._logged_silent.add(name)
+            error = GatewayUnreachable(f"{self._partner_of(name)} at {name}: {reason}")
+            log.warning("%s", error.told())
+        self._propagate_changes()
+
+    async def _poll_connection(self, name: str) -> None:
+        """Connect to a gateway and poll it over that connection.
+
+        Raises:
+            OSError: The connection failed.
+            EOFError: The gateway closed the connection.
+            TimeoutError: The gateway did not answer in time.
+            BadPartnerWord: The gateway sent an invalid message.
+        """
         host, _, port = name.rpartition(":")
-        async with asyncio.timeout(CONNECT_WITHIN_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port), limit=65_536)
-        words: asyncio.Queue[Word | Exception] = asyncio.Queue(WORDS_MOST)
-        pump = None
+        messages: asyncio.Queue[Word | Exception] = asyncio.Queue(MAX_QUEUED_MESSAGES)
+        receiver = None
         try:
-            async with asyncio.timeout(CONNECT_WITHIN_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 challenge = await reader.readexactly(CHALLENGE)
             self.counts["connections"] += 1
-            # A task of its own: a read that is cut off in a word would take its rest for another.
-            pump = asyncio.create_task(self._pump(reader, challenge, self._partner(name), words))
+            # Reading has its own task: after a read cancelled inside a message, the next read would take
+            # the rest of that message for a new one.
+            receiver = asyncio.create_task(
+                self._receive_messages(reader, challenge, self._partner_of(name), messages)
+            )
             while name in self.border.peers:
-                await self._ask_once(name, words, writer, challenge)
+                await self._poll_once(name, messages, writer, challenge)
         finally:
-            if pump is not None:
-                pump.cancel()
+            if receiver is not None:
+                receiver.cancel()
             await end_stream(writer, abort=True)
 
-    async def _pump(
+    async def _receive_messages(
         self,
         reader: asyncio.StreamReader,
         challenge: bytes,
         partner: str,
-        words: asyncio.Queue[Word | Exception],
+        messages: asyncio.Queue[Word | Exception],
     ) -> None:
         try:
             while True:
-                data = await read(reader, TELL_MOST, self._received)
-                self.by_partner[partner] += len(data)
-                word = unpack(data, challenge, self.keys.verify)
-                if word.site != partner:
-                    raise BadPartnerWord(f"{partner} is asked, and {word.site} answers")
-                await words.put(word)
-        except (BadPartnerWord, OSError, EOFError) as end:
-            await words.put(end)
-
-    async def _ask_once(
+                data = await read(reader, TELL_MOST, self._count_received)
+                self.bytes_by_partner[partner] += len(data)
+                message = unpack(data, challenge, self.keys.verify)
+                if message.site != partner:
+                    raise BadPartnerWord(f"a message from {message.site} on a connection to {partner}")
+                await messages.put(message)
+        except (BadPartnerWord, OSError, EOFError) as error:
+            await messages.put(error)
+
+    async def _poll_once(
         self,
         name: str,
-        words: asyncio.Queue[Word | Exception],
+        messages: asyncio.Queue[Word | Exception],
         writer: asyncio.StreamWriter,
         challenge: bytes,
     ) -> None:
-        """One ask and its answer; then the time until the next one, or news."""
+        """Send one request and process its answer, then wait for the next poll or a change notice."""
         border = self.border
         renew_s = border.settings.renew_us / 1e6
         frame = pack(border.site, border.ask(name, now_us()), challenge, self.keys.sign)
-        self._write(writer, self._partner(name), frame)
+        self._write(writer, self._partner_of(name), frame)
         news = False
         async with asyncio.timeout(2 * renew_s):
-            while not isinstance(word := await _next(words), Tell):
+            while not isinstance(message := await _next_message(messages), Tell):
                 news = True
         if name not in border.peers:
             return
-        await self._heard(name, word)
+        await self._process_tell(name, message)
         if not news:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(renew_s * self._random.uniform(0.8, 1.2)):
-                    while not isinstance(await _next(words), News):
+                    while not isinstance(await _next_message(messages), News):
                         pass
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(MIN_ASK_INTERVAL_S)
 
-    async def _heard(self, name: str, tell: Tell) -> None:
-        """Hand over what was told."""
+    async def _process_tell(self, name: str, tell: Tell) -> None:
+        """Verify the chains of an advertisement and apply it to the routing state."""
         border = self.border
-        came = now_us()
-        if name in self._places:
-            tell = msgspec.structs.replace(tell, place=self._places[name])
+        received_us = now_us()
+        if name in self._address_overrides:
+            tell = msgspec.structs.replace(tell, place=self._address_overrides[name])
         chains = tell.chains or ()
         known = set(border.partners) | {border.site}
-        if len(chains) <= INLINE_MOST:
-            proven = prove(chains, self.keys.verify, known.__contains__, border.good)
+        if len(chains) <= MAX_INLINE_CHAINS:
+            reasons = prove(chains, self.keys.verify, known.__contains__, border.good)
         else:
-            proven = await self._prove(tell.site, chains, known)
-        if border.on_tell(name, tell, came, proven):
-            if name in self._silent:
-                self._silent.discard(name)
-                log.info("%s at %s answers", self._partner(name), name)
-            self._tell_refused(name)
-        self._after()
-
-    async def _prove(self, partner: str, chains: tuple[Chain, ...], known: set[str]) -> list[Why | None]:
-        lock = self._proving.setdefault(partner, asyncio.Lock())
+            reasons = await self._verify_chains(tell.site, chains, known)
+        if border.on_tell(name, tell, received_us, reasons):
+            if name in self._logged_silent:
+                self._logged_silent.discard(name)
+                log.info("%s at %s answers", self._partner_of(name), name)
+            self._log_refused(name)
+        self._propagate_changes()
+
+    async def _verify_chains(
+        self, partner: str, chains: tuple[Chain, ...], known: set[str]
+    ) -> list[Why | None]:
+        lock = self._verify_locks.setdefault(partner, asyncio.Lock())
         async with lock:
-            await asyncio.sleep(max(0.0, self._rests.get(partner, 0.0) - time.monotonic()))
-            found, took_s = await asyncio.to_thread(
-                _timed, prove, chains, self.keys.verify, known.__contains__, self.border.good
+            await asyncio.sleep(max(0.0, self._verify_not_before.get(partner, 0.0) - time.monotonic()))
+            reasons, cpu_s = await asyncio.to_thread(
+                _timed_call, prove, chains, self.keys.verify, known.__contains__, self.border.good
             )
-            self._rests[partner] = time.monotonic() + took_s * REST
-        return found
+            self._verify_not_before[partner] = time.monotonic() + cpu_s * VERIFY_PAUSE_FACTOR
+        return reasons
 
-    def _tell_refused(self, name: str) -> None:
+    def _log_refused(self, name: str) -> None:
         peer = self.border.peers[name]
-        wrong = sorted(item for item in peer.refused if Why[item] in WRONG)
-        why = ", ".join(wrong)
-        if self._refused.get(name, "") != why:
-            self._refused[name] = why
-            if why:
-                first = Why[wrong[0]]
+        names = sorted(item for item in peer.refused if Why[item] in LOGGED_REASONS)
+        joined = ", ".join(names)
+        if self._logged_refusals.get(name, "") != joined:
+            self._logged_refusals[name] = joined
+            if joined:
+                first = Why[names[0]]
                 log.warning(
                     "routes of %s at %s are not used: %s; %s", peer.partner, name, first.value, REMEDY[first]
                 )
 
-    # Figures
+    # Status
 
     def figures(self) -> dict[str, Any]:
-        """For `ctl status`."""
+        """Return the status of the exchange, for `ctl status`."""
         border, now = self.border, now_us()
         return {
             "site": border.site, "gateway": border.gateway, "life": border.life[0], "circle": border.circle,
@@ -403,34 +439,34 @@
                     "offer": "/".join((route.id.gateway, route.id.name)), "partner": route.partner,
                     "peer": route.peer, "path": list(route.sites), "rank": list(route.rank),
                     "to": route.terms.to, "onward": route.terms.onward, "classes": route.terms.classes,
-                    "rate": route.terms.rate, "left_ms": self._left_ms(route.peer, route.id, now),
+                    "rate": route.terms.rate, "left_ms": self._remaining_ms(route.peer, route.id, now),
                     "state": "used" if route.state is None else route.state.name.lower(),
                     "why": "" if route.state is None else f"{route.state.value}; {REMEDY[route.state]}",
                 }
-                for route in border.table[:ROUTES_TOLD]
+                for route in border.table[:MAX_STATUS_ROUTES]
             ],
-            "bytes": dict(self.by_partner), **self.counts, **border.counts,
+            "bytes": dict(self.bytes_by_partner), **self.counts, **border.counts,
         }  # fmt: skip
 
-    def _left_ms(self, peer: str, id: Any, now: int) -> int:
+    def _remaining_ms(self, peer: str, id: Any, now: int) -> int:
         held = self.border.peers[peer].held.get(id) if peer in self.border.peers else None
         return 0 if held is None else max(0, held.expires_us - now) // 1_000
 
 
-def _timed(what: Callable[..., list[Why | None]], *told: Any) -> tuple[list[Why | None], float]:
-    """What it returns, and the processor's time that it took in this thread, in seconds."""
+def _timed_call(function: Callable[..., list[Why | None]], *arguments: Any) -> tuple[list[Why | None], float]:
+    """Return the function's result and the CPU time that it took in this thread, in seconds."""
     began = time.thread_time()
-    found = what(*told)
-    return found, time.thread_time() - began
+    result = function(*arguments)
+    return result, time.thread_time() - began
 
 
-async def _next(words: asyncio.Queue[Word | Exception]) -> Word:
-    word = await words.get()
-    if isinstance(word, Exception):
-        raise word
-    return word
+async def _next_message(messages: asyncio.Queue[Word | Exception]) -> Word:
+    message = await messages.get()
+    if isinstance(message, Exception):
+        raise message
+    return message
 
 
-def _ended(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        log.error("asking a partner failed", exc_info=task.exception())
+        log.error("polling a partner's gateway failed", exc_info=task.exception())
--- a/sorrelfront/sites/requests.py
+++ b/sorrelfront/sites/requests.py
@@ -1,8 +1,9 @@
-"""Requests that go on to partner sites, and those that come from them.
+"""Requests forwarded to partner sites, and requests received from them.
 
-An agent with a border serves what it can by its own servers. What its own decisions turn away, and what no
-attempt can have run of, goes over the border if a route permits it: a balancer like the agent's own picks
-among the gateways. It is called off and answered like any other, once."""
+A forwarding agent serves what it can with its own servers. A request that its own balancer refuses, and of
+which no attempt can have run, is forwarded to a partner site if a route permits it. A balancer like the
+agent's own picks among the gateways. A forwarded request is cancelled and answered once, like any other.
+"""
 
 from __future__ import annotations
 
@@ -28,26 +29,26 @@
 from sorrelfront.sites.keys import Keys
 from sorrelfront.terms import Config
 
-PATH = b"X-Sorrelfront-Path"
-PASS = b"X-Sorrelfront-Pass"
-OURS = (PATH.lower(), PASS.lower())
-KEYS_MOST = 65_536  # that are remembered for their window; the oldest goes
-LANES_MOST = 32  # balancers over gateways, one for each set of them that is in use
-# A way that is shorter than this is not worth a request: it would come too late to be served.
-LEFT_LEAST_US = 10_000
-REJECTED = (b"X-Rejected", b"1")  # proof to the one that sent it that nothing ran
+PATH_HEADER = b"X-Sorrelfront-Path"
+PASS_HEADER = b"X-Sorrelfront-Pass"
+INTERNAL_HEADERS = (PATH_HEADER.lower(), PASS_HEADER.lower())
+MAX_KEYS = 65_536  # idempotency keys remembered for their window; above it the oldest is dropped
+MAX_POOLS = 32  # balancers over gateways, one for each set of gateways in use
+# With less time left than this a request is not forwarded: it would arrive too late to be served.
+MIN_BUDGET_US = 10_000
+REJECTED_HEADER = (b"X-Rejected", b"1")  # tells the sending site that no attempt ran
 
 
-class _Passes:
-    """An upstream that shows each gateway this site's ticket there."""
+class _TicketUpstream:
+    """An upstream that adds this site's ticket for the gateway to each request."""
 
     def __init__(self, upstream: AnyUpstream) -> None:
         self._upstream = upstream
         self.tickets: dict[Address, bytes] = {}
 
-    def _with_pass(self, call: Call, address: Address) -> Call:
+    def _with_ticket(self, call: Call, address: Address) -> Call:
         payload: Payload = call.payload
-        headers = [*payload.headers, (PASS, base64.b64encode(self.tickets.get(address, b"")))]
+        headers = [*payload.headers, (PASS_HEADER, base64.b64encode(self.tickets.get(address, b"")))]
         return replace(call, payload=replace(payload, headers=headers))
 
     def begin(
@@ -58,29 +59,29 @@
         fit: Callable[[], bool],
         done: Callable[[Ended], None],
     ) -> Any:
-        return self._upstream.begin(self._with_pass(call, address), address, timeout_us, fit, done)
+        return self._upstream.begin(self._with_ticket(call, address), address, timeout_us, fit, done)
 
     async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
-        return await self._upstream.attempt(self._with_pass(call, address), address, timeout_us, fit)
+        return await self._upstream.attempt(self._with_ticket(call, address), address, timeout_us, fit)
 
     def forget(self, address: Address) -> None:
         self._upstream.forget(address)
 
     def reload(self, config: Config) -> None:
-        pass  # it is the agent's, which tells it
+        pass  # the wrapped upstream belongs to the agent, which reloads it
 
     def close(self) -> None:
         pass
 
 
-class _Gateways:
-    """A membership source whose list follows from routes."""
+class _GatewaySource:
+    """A membership source that lists the gateways of a pool's routes."""
 
     def __init__(self, on_update: Callable[[Update], None]) -> None:
         self._on_update = on_update
         self._known = Update(0, True, (), {})
 
-    def tell(self, backends: tuple[api.Backend, ...], addresses: dict[str, Address]) -> None:
+    def publish(self, backends: tuple[api.Backend, ...], addresses: dict[str, Address]) -> None:
         self._known = Update(self._known.revision + 1, True, backends, addresses)
         self._on_update(self._known)
 
@@ -94,42 +95,48 @@
         pass
 
 
-def group_of(route: Route) -> str:
-    """Who drops repeats of a key there: those that the owner names, or the gateway's own servers."""
+def dedup_group(route: Route) -> str:
+    """Return the deduplication group of a route.
+
+    That is the group that the owner names, or else the gateway's own servers.
+    """
     return route.group or f"{route.id.owner}/{route.id.gateway}"
 
 
-class _Lane:
-    """One balancer over some gateways."""
+class _GatewayPool:
+    """A balancer over one set of gateways."""
 
-    def __init__(self, config: Config, upstream: _Passes) -> None:
+    def __init__(self, config: Config, upstream: _TicketUpstream) -> None:
         self.routes: tuple[Route, ...] = ()
-        self.source: _Gateways | None = None
+        self.source: _GatewaySource | None = None
         self.agent = Agent(config, upstream, self._source)
         self.agent.start()
 
-    def _source(self, config: Config, on_update: Any, on_failure: Any) -> _Gateways:
-        self.source = _Gateways(on_update)
+    def _source(self, config: Config, on_update: Any, on_failure: Any) -> _GatewaySource:
+        self.source = _GatewaySource(on_update)
         return self.source
 
-    def go_by(self, routes: tuple[Route, ...]) -> None:
+    def use_routes(self, routes: tuple[Route, ...]) -> None:
         self.routes = routes
         backends, addresses = [], {}
         for route in routes:
             name = f"{route.partner}@{route.peer}"
             if name not in addresses:
-                # Attempts of a keyed request that may have run stay in one group, which is a zone here.
+                # Attempts of a keyed request that may have run stay in one deduplication group, here a zone.
                 backends.append(
-                    api.Backend(name, group_of(route), "gateway", 0, weight=float(route.capacity))
+                    api.Backend(name, dedup_group(route), "gateway", 0, weight=float(route.capacity))
                 )
                 addresses[name] = parse_address(route.place)
         assert self.source is not None
-        self.source.tell(tuple(backends), addresses)
+        self.source.publish(tuple(backends), addresses)
+
 
+def pool_config(config: Config) -> Config:
+    """Return the configuration of a pool.
 
-def lane_config(config: Config) -> Config:
-    """What a lane goes by: the agent's terms, its servers being gateways that are pushed, and groups that
-    drop repeats of keys being zones."""
+    It is the agent's, except that the servers are gateways pushed by the pool and that the zones are
+    deduplication groups.
+    """
     classes = tuple(
         replace(cls, scope=api.Scope.ZONE) if cls.effect is api.Effect.KEYED else cls
         for cls in config.settings.classes
@@ -138,242 +145,270 @@
     return replace(config, settings=settings, known=Update(0, True, (), {}))
 
 
-class Outward:
-    """Sends requests over the border."""
+class Forwarder:
+    """Forwards requests to the gateways of partner sites."""
 
     def __init__(self, border: Border, config: Config, upstream: AnyUpstream) -> None:
         self.border = border
         self.counts = dict.fromkeys(
             ("sent", "served", "refused", "failed", "no_way", "no_time", "no_lane"), 0
         )
-        self._config = lane_config(config)
-        self._passes = _Passes(upstream)
-        self._lanes: list[_Lane] = []
+        self._config = pool_config(config)
+        self._ticket_upstream = _TicketUpstream(upstream)
+        self._pools: list[_GatewayPool] = []
 
     def reload(self, config: Config) -> None:
-        self._config = lane_config(config)
-        for lane in self._lanes:
-            lane.agent.reload(self._config)
-
-    def changed(self) -> None:
-        """The table may be another: gateways that no route leads to any more are sent nothing new. Risk: a
-        further attempt of a request under way would go by a route that is gone."""
-        self._passes.tickets = {
+        """Apply a new configuration to all pools."""
+        self._config = pool_config(config)
+        for pool in self._pools:
+            pool.agent.reload(self._config)
+
+    def on_routes_changed(self) -> None:
+        """Take over the tickets and routes of a routing table that may have changed.
+
+        Gateways without a route are sent nothing new. Otherwise a further attempt of a request in flight
+        could use a route that no longer exists.
+        """
+        self._ticket_upstream.tickets = {
             parse_address(peer.place): peer.ticket for peer in self.border.peers.values() if peer.place
         }
         now = now_us()
-        for lane in self._lanes:
-            if lane.routes:
-                live = tuple(route for route in lane.routes if self.border.holds(route, now))
-                if live != lane.routes:
-                    lane.go_by(live)
+        for pool in self._pools:
+            if pool.routes:
+                valid = tuple(route for route in pool.routes if self.border.holds(route, now))
+                if valid != pool.routes:
+                    pool.use_routes(valid)
 
     def groups(self, cls: str, path: tuple[str, ...]) -> set[str]:
-        """Who drops repeats of a key beyond the border, by the routes that are in use."""
-        return {group_of(route) for route in self.border.ways(cls, now_us(), path)}
+        """Return the deduplication groups at partner sites that the routes in use lead to."""
+        return {dedup_group(route) for route in self.border.ways(cls, now_us(), path)}
 
     def send(
         self,
         call: Call,
         path: tuple[str, ...],
-        left_us: int,
+        remaining_us: int,
         done: Callable[[Final], None],
         group: str | None = None,
     ) -> Callable[[], None] | None:
-        """Send it on, if a route permits it and there is time. `path`: sites that it came through. `group`:
-        only to these. `done` is called once with the final answer, unless it is called off by what is
-        returned. None: nothing was sent."""
-        ways = self.border.ways(call.class_name, now_us(), path)
+        """Forward a request if a route permits it and enough time is left.
+
+        Args:
+            call: The request.
+            path: The sites that the request came through.
+            remaining_us: Time until its answer is due.
+            done: Called once with the final answer, unless the request is cancelled.
+            group: The only deduplication group to forward to, or None for any.
+
+        Returns:
+            A function that cancels the request, or None if nothing was sent.
+        """
+        routes = self.border.ways(call.class_name, now_us(), path)
         if group is not None:
-            ways = tuple(route for route in ways if group_of(route) == group)
-        if not ways or call.upload is not None:
+            routes = tuple(route for route in routes if dedup_group(route) == group)
+        if not routes or call.upload is not None:
             self.counts["no_way"] += 1
             return None
-        way_us = max(self.border.peers[route.peer].way_us for route in ways)
-        if left_us - way_us < LEFT_LEAST_US:
+        round_trip_us = max(self.border.peers[route.peer].way_us for route in routes)
+        if remaining_us - round_trip_us < MIN_BUDGET_US:
             self.counts["no_time"] += 1
             return None
-        lane = self._lane(ways)
-        if lane is None:
+        pool = self._pool_for(routes)
+        if pool is None:
             self.counts["no_lane"] += 1
             return None
         self.counts["sent"] += 1
-        return self._take(lane.agent, _on_its_way(call, (*path, self.border.site), left_us - way_us), done)
+        return self._submit(
+            pool.agent, _outgoing_call(call, (*path, self.border.site), remaining_us - round_trip_us), done
+        )
 
-    def _take(self, agent: Agent, call: Call, done: Callable[[Final], None]) -> Callable[[], None]:
+    def _submit(self, agent: Agent, call: Call, done: Callable[[Final], None]) -> Callable[[], None]:
         held = agent.take(call)
-        wanted = [True]
+        active = [True]
 
-        def told() -> None:
-            if not wanted:
+        def deliver() -> None:
+            if not active:
                 return
-            wanted.clear()
+            active.clear()
             final = held.answer.result()
             refused = isinstance(final, Refused)
             self.counts["refused" if refused else "failed" if isinstance(final, Failed) else "served"] += 1
             done(final)
 
-        def call_off() -> None:
-            wanted.clear()
+        def cancel() -> None:
+            active.clear()
             agent.abandon(held)
 
         if held.answer.done():
-            # Not within the caller's step: it has yet to note that the request is under way.
-            asyncio.get_running_loop().call_soon(told)
+            # Not within the caller's own step: the caller has yet to record that the request is in flight.
+            asyncio.get_running_loop().call_soon(deliver)
         else:
-            held.told = told
-        return call_off
-
-    def _lane(self, ways: tuple[Route, ...]) -> _Lane | None:
-        wanted = {(route.peer, route.place) for route in ways}
-        for lane in self._lanes:
-            if {(route.peer, route.place) for route in lane.routes} == wanted:
-                return lane
-        idle = next((lane for lane in self._lanes if not lane.agent.owed and not lane.agent.attempts), None)
-        if len(self._lanes) < LANES_MOST:
-            idle = _Lane(self._config, self._passes)
-            self._lanes.append(idle)
+            held.told = deliver
+        return cancel
+
+    def _pool_for(self, routes: tuple[Route, ...]) -> _GatewayPool | None:
+        wanted = {(route.peer, route.place) for route in routes}
+        for pool in self._pools:
+            if {(route.peer, route.place) for route in pool.routes} == wanted:
+                return pool
+        idle = next((pool for pool in self._pools if not pool.agent.owed and not pool.agent.attempts), None)
+        if len(self._pools) < MAX_POOLS:
+            idle = _GatewayPool(self._config, self._ticket_upstream)
+            self._pools.append(idle)
         if idle is not None:
-            idle.go_by(ways)
+            idle.use_routes(routes)
         return idle
 
     def close(self) -> None:
-        for lane in self._lanes:
-            lane.agent.close()
+        """Close the balancers of all pools."""
+        for pool in self._pools:
+            pool.agent.close()
 
 
-def _key(call: Call) -> bytes:
-    """By which servers drop repeats of it; empty if they do not."""
+def _idempotency_key(call: Call) -> bytes:
+    """Return the request's idempotency key, or b"" if it has none."""
     for name, value in call.payload.headers:
         if name.lower() == b"idempotency-key":
             return bytes(value)
     return b""
 
 
-def _on_its_way(call: Call, path: tuple[str, ...], budget_us: int) -> Call:
+def _outgoing_call(call: Call, path: tuple[str, ...], budget_us: int) -> Call:
     payload: Payload = call.payload
-    headers = [*_without(payload.headers), (PATH, ",".join(path).encode())]
+    headers = [*_without_internal(payload.headers), (PATH_HEADER, ",".join(path).encode())]
     return replace(call, budget_us=budget_us, payload=replace(payload, headers=headers))
 
 
-def _without(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    return [(name, value) for name, value in headers if name.lower() not in OURS]
+def _without_internal(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
+    return [(name, value) for name, value in headers if name.lower() not in INTERNAL_HEADERS]
+
 
+class ForwardingAgent(Agent):
+    """An agent that forwards what its own servers cannot serve.
 
-class BorderAgent(Agent):
-    """With `outward` set, what its own servers cannot serve goes over the border; without, it is an agent
-    like any other."""
+    Requests go to the gateways of partner sites through `forwarder`. While that is None, it behaves like any
+    other agent.
+    """
 
-    outward: Outward | None = None
+    forwarder: Forwarder | None = None
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
-        self._outside: dict[int, Callable[[], None]] = {}  # requests under way beyond the border
-        self.paths: dict[int, tuple[str, ...]] = {}  # of requests that came from partners
-        self._never_ran: dict[int, int] = {}  # request -> attempts of which that is proven
-        # Keys of requests that may have run -> in which group ("" for this site's servers), until when, and
-        # by which request.
-        self._keys: OrderedDict[bytes, tuple[str, float, int]] = OrderedDict()
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        self._forwarded: dict[int, Callable[[], None]] = {}  # request -> cancels it at a partner site
+        self.paths: dict[int, tuple[str, ...]] = {}  # request from a partner -> sites it came through
+        self._never_ran: dict[int, int] = {}  # request -> attempts that are proven not to have run
+        # Key of a request that may have run -> the deduplication group it may have run in ("" for this site's
+        # servers), the end of its window in loop time, and the request that used it.
+        self._dedup_keys: OrderedDict[bytes, tuple[str, float, int]] = OrderedDict()
 
     def reload(self, config: Config) -> None:
+        """Apply a new configuration to this agent and its forwarder."""
         super().reload(config)
-        if self.outward is not None:
-            self.outward.reload(config)
+        if self.forwarder is not None:
+            self.forwarder.reload(config)
 
-    def left_us(self, held: Held) -> int:
-        """Until its answer is due."""
+    def remaining_us(self, held: Held) -> int:
+        """Return the time until the request's answer is due, in microseconds; 0 if it has no timer."""
         if held.overdue is None:
             return 0
         return int((held.overdue.when() - self._loop.time()) * 1e6) - OVERDUE_US
 
     def _answer(self, request_id: int, answer: Final) -> None:
         held = self._held.get(request_id)
-        if held is not None and isinstance(answer, Refused) and self._goes_outside(held, answer):
+        if held is not None and isinstance(answer, Refused) and self._forward_refused(held, answer):
             return
         super()._answer(request_id, answer)
 
-    def _goes_outside(self, held: Held, refused: Refused) -> bool:
-        outward = self.outward
-        if outward is None or held.id in self._outside:
+    def _forward_refused(self, held: Held, refused: Refused) -> bool:
+        forwarder = self.forwarder
+        if forwarder is None or held.id in self._forwarded:
             return False
-        # Risk: an effect twice. A repeat of a key is dropped only by those that remember it, which servers
-        # beyond the border do not; a refusal of one that may have run here is no proof for there.
-        if not self._harmless_elsewhere(held):
+        # Otherwise an effect could happen twice. A repeat of a key is dropped only by servers that remember
+        # the key, and a partner's servers do not: a local refusal does not prove that a request that may
+        # have run here is safe to run there.
+        if not self._safe_elsewhere(held):
             return False
-        key = _key(held.call)
-        if key and self._keys.get(key, ("", 0.0, 0))[2] == held.id:
-            del self._keys[key]  # none of its own attempts has run
-        if key and (held.call.is_retry or self._remembered(key) is not None):
+        key = _idempotency_key(held.call)
+        if key and self._dedup_keys.get(key, ("", 0.0, 0))[2] == held.id:
+            del self._dedup_keys[key]  # none of this request's attempts has run
+        if key and (held.call.is_retry or self._group_of_key(key) is not None):
             return False
-        return self._send_outside(held, key, None, refused.retry_after_us)
+        return self._forward(held, key, None, refused.retry_after_us)
 
-    def _send_outside(self, held: Held, key: bytes, group: str | None, retry_after_us: int) -> bool:
-        outward, path = self.outward, self.paths.get(held.id, ())
-        if outward is None:
+    def _forward(self, held: Held, key: bytes, group: str | None, retry_after_us: int) -> bool:
+        forwarder, path = self.forwarder, self.paths.get(held.id, ())
+        if forwarder is None:
             return False
         if key and group is None:
-            # One group, by the key: a repeat has to come to the same one, from another agent too.
-            groups = sorted(outward.groups(held.call.class_name, path))
+            # The key selects the group, so that a repeat reaches the same group from any agent.
+            groups = sorted(forwarder.groups(held.call.class_name, path))
             group = groups[zlib.crc32(key) % len(groups)] if groups else ""
 
         def done(final: Final) -> None:
-            self._outside.pop(held.id, None)
+            self._forwarded.pop(held.id, None)
             if isinstance(final, Refused):
                 final = Refused(max(final.retry_after_us, retry_after_us))
             self._finish(held, final)
 
-        call_off = outward.send(held.call, path, self.left_us(held), done, group)
-        if call_off is None:
+        cancel = forwarder.send(held.call, path, self.remaining_us(held), done, group)
+        if cancel is None:
             return False
-        self._outside[held.id] = call_off
+        self._forwarded[held.id] = cancel
         if key and group:
-            self._remember(held, key, group)
+            self._remember_key(held, key, group)
         return True
 
-    # Keys
+    # Idempotency keys
 
-    def _remember(self, held: Held, key: bytes, group: str) -> None:
-        """An attempt of this key may run in this group. Risk: a caller that repeats it is served by others,
-        who do not know of it."""
+    def _remember_key(self, held: Held, key: bytes, group: str) -> None:
+        """Record that an attempt with this key may run in this group.
+
+        Without the record, a repeat by the caller could be served by another group, which does not know the
+        key.
+        """
         cls = self._classes.get(held.call.class_name)
         until = self._loop.time() + (0 if cls is None else cls.dedup_window_us) / 1e6
-        self._keys.setdefault(key, (group, until, held.id))
-        while len(self._keys) > KEYS_MOST:
-            self._keys.popitem(last=False)
+        self._dedup_keys.setdefault(key, (group, until, held.id))
+        while len(self._dedup_keys) > MAX_KEYS:
+            self._dedup_keys.popitem(last=False)
 
-    def _remembered(self, key: bytes) -> str | None:
+    def _group_of_key(self, key: bytes) -> str | None:
         now = self._loop.time()
-        while self._keys and next(iter(self._keys.values()))[1] <= now:
-            self._keys.popitem(last=False)
-        known = self._keys.get(key)
-        return None if known is None or known[1] <= now else known[0]
+        while self._dedup_keys and next(iter(self._dedup_keys.values()))[1] <= now:
+            self._dedup_keys.popitem(last=False)
+        entry = self._dedup_keys.get(key)
+        return None if entry is None or entry[1] <= now else entry[0]
 
     def take(self, call: Call) -> Held:
-        key = _key(call) if self.outward is not None else b""
-        group = self._remembered(key) if key else None
+        """Accept a request; a repeat of a key that was forwarded goes to the same group again."""
+        key = _idempotency_key(call) if self.forwarder is not None else b""
+        group = self._group_of_key(key) if key else None
         if not group:
             return super().take(call)
-        # It has gone over the border before, and may have run there.
+        # A request with this key was forwarded before and may have run at the partner site.
         self._count += 1
         held = Held(self._count, call, self._loop.create_future())
         self._held[held.id] = held
         self._open_ids.add(call.client_id)
-        left_us = call.budget_us - DEADLINE_MARGIN_US
-        held.overdue = self._loop.call_later((left_us + OVERDUE_US) / 1e6, self._overdue, held)
-        if not self._send_outside(held, key, group, 0):
+        remaining_us = call.budget_us - DEADLINE_MARGIN_US
+        held.overdue = self._loop.call_later((remaining_us + OVERDUE_US) / 1e6, self._overdue, held)
+        if not self._forward(held, key, group, 0):
             self._finish(held, Failed())
         return held
 
     def _send(self, action: api.Send) -> None:
         held = self._held.get(action.request_id)
-        key = _key(held.call) if held is not None and self.outward is not None else b""
+        key = _idempotency_key(held.call) if held is not None and self.forwarder is not None else b""
         if held is not None and key:
-            self._remember(held, key, "")
+            self._remember_key(held, key, "")
         super()._send(action)
 
-    def _harmless_elsewhere(self, held: Held) -> bool:
-        """Whether servers that know nothing of this one's attempts may have it: an unsafe request is refused
-        only if none can have run; of a keyed one that has to be known as well."""
+    def _safe_elsewhere(self, held: Held) -> bool:
+        """Whether servers that know nothing of earlier attempts may get this request.
+
+        An unsafe request is refused only if no attempt can have run. Of a keyed one it must be proven of
+        every attempt.
+        """
         cls = self._classes.get(held.call.class_name)
         if cls is None or cls.effect is not api.Effect.KEYED:
             return cls is not None
@@ -385,10 +420,10 @@
         super()._ended(held, key, ended, elapsed_us)
 
     def _finish(self, held: Held, answer: Final) -> bool:
-        away = held.id in self.paths or self.outward is not None
-        if away and isinstance(answer, Refused) and not self._harmless_elsewhere(held):
-            # A refusal says that a repeat does no harm. That those who have it would drop it is so in this
-            # site alone, and a repeat may come to another.
+        crosses_sites = held.id in self.paths or self.forwarder is not None
+        if crosses_sites and isinstance(answer, Refused) and not self._safe_elsewhere(held):
+            # A refusal tells the caller that a repeat is safe. Servers that have the key drop a repeat only
+            # within this site, and a repeat may reach another site.
             answer = Failed()
         return super()._finish(held, answer)
 
@@ -396,97 +431,109 @@
         self.paths.pop(held.id, None)
         self._never_ran.pop(held.id, None)
         ended = super()._end(held)
-        call_off = self._outside.pop(held.id, None)
-        if call_off is not None:
-            call_off()
+        cancel = self._forwarded.pop(held.id, None)
+        if cancel is not None:
+            cancel()
         return ended
 
     def close(self) -> None:
+        """Close this agent and its forwarder."""
         super().close()
-        if self.outward is not None:
-            self.outward.close()
+        if self.forwarder is not None:
+            self.forwarder.close()
 
 
 class Gateway:
-    """What a listener for partners' requests takes for its agent: lets in what the terms allow, and says of
-    what it turns away that nothing ran."""
+    """The agent of the listener for requests from partner sites.
+
+    It admits what the terms allow, and marks its refusals as proof that nothing ran.
+    """
 
-    def __init__(self, agent: BorderAgent, border: Border, passage: Passage, keys: Keys) -> None:
+    def __init__(self, agent: ForwardingAgent, border: Border, passage: Passage, keys: Keys) -> None:
         self._agent = agent
         self._border = border
-        self._passage = passage
+        self._admission = passage
         self._keys = keys
         self._count = 0
-        self._call_off: dict[int, Callable[[], None]] = {}  # of requests that are inside
-        self._uploads: dict[int, Held] = {}  # as the agent holds those whose bodies still come
+        self._call_off: dict[int, Callable[[], None]] = {}  # cancels an admitted request
+        self._uploads: dict[int, Held] = {}  # the agent's requests whose bodies are still arriving
         self._offers: dict[int, str] = {}
 
     @property
     def longest_deadline_us(self) -> int:
+        """The longest deadline of any request class, in microseconds."""
         return self._agent.longest_deadline_us
 
     @property
     def events(self) -> EventCounter:
+        """The event counter of the agent."""
         return self._agent.events
 
     def request_class(self, name: str) -> api.RequestClass | None:
+        """Return the request class of this name, or None if there is none."""
         return self._agent.request_class(name)
 
     def has_open(self, client_id: bytes) -> bool:
-        return False  # ids of different sites' callers may be alike
+        """Return False: callers of different sites may use the same request ids."""
+        return False
 
     def whole(self, held: Held) -> None:
+        """Tell the agent that the body of a request has arrived completely."""
         inner = self._uploads.pop(held.id, None)
         if inner is not None:
             self._agent.whole(inner)
 
     def abandon(self, held: Held) -> None:
-        call_off = self._call_off.pop(held.id, None)
-        self._left(held.id)
-        if call_off is not None:
-            call_off()
+        """Cancel a request whose answer is no longer wanted."""
+        cancel = self._call_off.pop(held.id, None)
+        self._release(held.id)
+        if cancel is not None:
+            cancel()
 
     def fail(self, held: Held) -> None:
-        call_off = self._call_off.pop(held.id, None)
+        """Answer a request as failed and cancel it at the agent."""
+        cancel = self._call_off.pop(held.id, None)
         self._finish(held, Failed())
-        if call_off is not None:
-            call_off()
+        if cancel is not None:
+            cancel()
 
     def take(self, call: Call) -> Held:
+        """Admit a request from a partner site, or refuse it."""
         self._count += 1
         outer = Held(self._count, call, asyncio.get_running_loop().create_future())
         fields = {name.lower(): value for name, value in call.payload.headers}
-        path = parse_path(fields.get(OURS[0], b"").decode("latin-1"))
+        path = parse_path(fields.get(INTERNAL_HEADERS[0], b"").decode("latin-1"))
         now = now_us()
         border = self._border
-        ways = border.ways(call.class_name, now, path) if path else ()
-        found = self._passage.judge(
-            self._partner(path, fields.get(OURS[1], b"")), path, call.class_name, border.partners,
-            border.offers(now), bool(ways) and call.upload is None, now,
+        routes = border.ways(call.class_name, now, path) if path else ()
+        decision = self._admission.judge(
+            self._partner(path, fields.get(INTERNAL_HEADERS[1], b"")), path, call.class_name, border.partners,
+            border.offers(now), bool(routes) and call.upload is None, now,
         )  # fmt: skip
-        if isinstance(found, Away):
-            outer.answer.set_result(turned_away(found))
+        if isinstance(decision, Away):
+            outer.answer.set_result(refusal_answer(decision))
             return outer
         assert path is not None
-        if found.offer is not None:
-            self._offers[outer.id] = found.offer
-        self._let_in(outer, path, found)
+        if decision.offer is not None:
+            self._offers[outer.id] = decision.offer
+        self._admit(outer, path, decision)
         return outer
 
-    def _let_in(self, outer: Held, path: tuple[str, ...], found: In) -> None:
+    def _admit(self, outer: Held, path: tuple[str, ...], decision: In) -> None:
         call, agent = outer.call, self._agent
         payload: Payload = call.payload
-        # Risk: two sites' callers that name their requests alike would be taken for one.
-        own = replace(
+        # Requests from two sites may have the same id; with a new one they are not taken for one request.
+        inner_call = replace(
             call, client_id=b"%s %d" % (path[-1].encode(), outer.id),
-            payload=replace(payload, headers=_without(payload.headers)),
+            payload=replace(payload, headers=_without_internal(payload.headers)),
         )  # fmt: skip
-        if found.offer is None:
-            self._through(outer, own, path)
+        if decision.offer is None:
+            self._pass_through(outer, inner_call, path)
             return
         number = agent.offered + 1
-        agent.paths[number] = path  # before it is decided: where it may go on depends on it
-        inner = agent.take(own)
+        # Before the agent decides: where it may forward the request depends on the path.
+        agent.paths[number] = path
+        inner = agent.take(inner_call)
         if inner.answer.done():
             agent.paths.pop(number, None)
             self._done(outer, inner.answer.result())
@@ -496,18 +543,18 @@
             self._uploads[outer.id] = inner
         inner.told = lambda: self._done(outer, inner.answer.result())
 
-    def _through(self, outer: Held, call: Call, path: tuple[str, ...]) -> None:
-        """On its way to another site: this one's servers have no part in it."""
-        outward = self._agent.outward
+    def _pass_through(self, outer: Held, call: Call, path: tuple[str, ...]) -> None:
+        """Forward a request that is in transit to another site, without this site's servers."""
+        forwarder = self._agent.forwarder
 
         def done(final: Final) -> None:
-            self._finish(outer, rejected(final.retry_after_us) if isinstance(final, Refused) else final)
+            self._finish(outer, rejection(final.retry_after_us) if isinstance(final, Refused) else final)
 
-        call_off = None if outward is None else outward.send(call, path, call.budget_us, done)
-        if call_off is None:
-            self._finish(outer, rejected(FULL_US))
+        cancel = None if forwarder is None else forwarder.send(call, path, call.budget_us, done)
+        if cancel is None:
+            self._finish(outer, rejection(FULL_US))
         else:
-            self._call_off[outer.id] = call_off
+            self._call_off[outer.id] = cancel
 
     def _partner(self, path: tuple[str, ...] | None, ticket: bytes) -> str | None:
         if not path:
@@ -518,31 +565,32 @@
             return None
         return path[-1] if self._keys.shows(path[-1], shown) else None
 
-    def _left(self, number: int) -> None:
+    def _release(self, number: int) -> None:
         self._uploads.pop(number, None)
         offer = self._offers.pop(number, None)
         if offer is not None:
-            self._passage.left(offer)
+            self._admission.left(offer)
 
     def _done(self, outer: Held, final: Final) -> None:
         if isinstance(final, Refused):
-            final = rejected(final.retry_after_us)
+            final = rejection(final.retry_after_us)
         self._finish(outer, final)
 
     def _finish(self, outer: Held, final: Final) -> None:
         self._call_off.pop(outer.id, None)
-        self._left(outer.id)
+        self._release(outer.id)
         if not outer.answer.done():
             outer.answer.set_result(final)
-            told, outer.told = outer.told, None
-            if told is not None:
-                told()
+            on_answer, outer.told = outer.told, None
+            if on_answer is not None:
+                on_answer()
 
 
-def rejected(retry_after_us: int, text: bytes = b"refused\n") -> Answer:
-    """Nothing ran, and when it is worth another try."""
-    return Answer(503, [REJECTED, (b"Retry-After", b"%.3f" % (retry_after_us / 1e6))], text)
+def rejection(retry_after_us: int, text: bytes = b"refused\n") -> Answer:
+    """Return the answer to a request of which nothing ran, with the time to wait before a retry."""
+    return Answer(503, [REJECTED_HEADER, (b"Retry-After", b"%.3f" % (retry_after_us / 1e6))], text)
 
 
-def turned_away(away: Away) -> Answer:
-    return rejected(away.retry_after_us, away.why.value.encode() + b"\n")
+def refusal_answer(refusal: Away) -> Answer:
+    """Return the answer to a request that was not admitted, with the reason as its body."""
+    return rejection(refusal.retry_after_us, refusal.why.value.encode() + b"\n")
--- a/tests/programs/test_sites.py
+++ b/tests/programs/test_sites.py
@@ -1,5 +1,8 @@
-"""Partner sites by their real command, without the lab's seams: routes as owners' terms have them, from the
-first moment on and after each change. Events in the log and answers say when."""
+"""Partner sites run by their real command, without the lab's hooks.
+
+Routes follow the owners' terms from the start and after each change. Answers, log events and the status show
+when a change has taken effect.
+"""
 
 from __future__ import annotations
 
@@ -20,15 +23,15 @@
 from tests.test_process import free_address
 
 NAMES = ("bole", "hawassa", "mekelle")
-RELATIONS = {("bole", "hawassa"): "customer", ("hawassa", "mekelle"): "customer"}  # a line
-OTHER_WAY = {"customer": "provider", "provider": "customer"}
+RELATIONS = {("bole", "hawassa"): "customer", ("hawassa", "mekelle"): "customer"}  # sites in a line
+INVERSE = {"customer": "provider", "provider": "customer"}
 OFFER = (
     '[offers.stock]\nclasses = ["look", "book", "pay"]\nto = {to}\nonward = {onward}\nlifetime_ms = 2000\n'
 )
 
 
 class Site:
-    """One site: a daemon of one instance, and its one server."""
+    """One site: a daemon with one instance, and one server."""
 
     def __init__(self, folder: Path, name: str) -> None:
         folder.mkdir()
@@ -36,13 +39,13 @@
         self.fleet = Fleet(folder, "127.0.0.1:1", instances=1)
         self.fleet.more = f'name = "{name}"\nstate_dir = "state"'
         self.public = make(folder / "site.key")
-        self.words, self.requests = free_address(), free_address()
+        self.exchange, self.gateway = free_address(), free_address()
         self.listen = free_address()
         self.offer = ""
         self._read = 0
 
     async def start(self, others: list[Site], serves: bytes | None) -> None:
-        """`serves`: what its server answers; None for a server that is not there."""
+        """Start the site; `serves` is its server's answer, or None for a server that is down."""
         self.others = others
         self.server = Backend(answer(serves or b""))
         await self.server.start()
@@ -53,45 +56,52 @@
         await self.fleet.start()
 
     def write(self) -> None:
-        text = f'[fleet]\nname = "{self.name}"\nlisten = "{_place(self.listen)}"\n[log]\nformat = "json"\n'
-        text += f'[site]\nname = "{self.name}"\nkey_file = "site.key"\nlisten = "{_place(self.words)}"\n'
-        text += f'gateway = "{_place(self.requests)}"\nrenew_ms = 200\nstale_ms = 60000\n'
+        text = (
+            f'[fleet]\nname = "{self.name}"\nlisten = "{_host_port(self.listen)}"\n[log]\nformat = "json"\n'
+        )
+        text += (
+            f'[site]\nname = "{self.name}"\nkey_file = "site.key"\nlisten = "{_host_port(self.exchange)}"\n'
+        )
+        text += f'gateway = "{_host_port(self.gateway)}"\nrenew_ms = 200\nstale_ms = 60000\n'
         for other in self.others:
             text += f'[partners.{other.name}]\nkeys = ["{other.public}"]\n'
             relation = RELATIONS.get((self.name, other.name))
-            back = RELATIONS.get((other.name, self.name))
-            if relation or back:
-                text += f'relation = "{relation or OTHER_WAY[back or ""]}"\nat = ["{_place(other.words)}"]\n'
+            inverse = RELATIONS.get((other.name, self.name))
+            if relation or inverse:
+                text += (
+                    f'relation = "{relation or INVERSE[inverse or ""]}"\n'
+                    f'at = ["{_host_port(other.exchange)}"]\n'
+                )
         self.fleet.tables = text + self.offer
         self.fleet.write()
 
-    async def lends(self, offer: str) -> None:
-        """Its file has this offer from now on, and it is told so."""
+    async def set_offer(self, offer: str) -> None:
+        """Put this offer into the site's file and reload it."""
         self.offer = offer
         self.write()
         assert (await self.fleet.ask("reload"))["ok"]
 
-    async def told(self) -> dict[str, Any]:
+    async def status(self) -> dict[str, Any]:
         found = (await self.fleet.status())["i0"]["site"]
         assert isinstance(found, dict)
         return found
 
-    async def until_paths(self, *wanted: list[str]) -> None:
-        """Wait until just these routes are used."""
+    async def wait_for_paths(self, *wanted: list[str]) -> None:
+        """Wait until exactly these routes are in use."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 with contextlib.suppress(KeyError):
-                    routes = (await self.told())["routes"]
+                    routes = (await self.status())["routes"]
                     if sorted(row["path"] for row in routes if row["state"] == "used") == sorted(wanted):
                         return
                 await asyncio.sleep(0.02)
 
-    async def until_counted(self, way: str, **wanted: int) -> None:
+    async def wait_for_counts(self, way: str, **wanted: int) -> None:
         async with asyncio.timeout(PATIENCE_S):
-            while wanted.items() - (await self.told())["requests"][way].items():
+            while wanted.items() - (await self.status())["requests"][way].items():
                 await asyncio.sleep(0.02)
 
-    async def asks(self, name: str, cls: str = "look") -> tuple[int, bytes, bytes]:
+    async def send_request(self, name: str, cls: str = "look") -> tuple[int, bytes, bytes]:
         client = await connect(self.fleet.address)
         client.send(request(name, cls))
         try:
@@ -104,11 +114,11 @@
             self.fleet.signal(signal.SIGTERM)
             assert await self.fleet.ended() == 0
 
-    def logged(self, text: str) -> bool:
+    def has_logged(self, text: str) -> bool:
         return text in self.fleet.log.read_text()
 
 
-def _place(address: tuple[str, int]) -> str:
+def _host_port(address: tuple[str, int]) -> str:
     return "{}:{}".format(*address)
 
 
@@ -117,10 +127,10 @@
 
 
 @contextlib.asynccontextmanager
-async def line(
+async def line_of_sites(
     folder: Path, offers: dict[str, str], serves: dict[str, bytes | None]
 ) -> AsyncIterator[list[Site]]:
-    """bole provides for hawassa, and hawassa for mekelle."""
+    """Run three sites in a line: bole is hawassa's provider, and hawassa mekelle's."""
     sites = [Site(folder / name, name) for name in NAMES]
     for site in sites:
         site.offer = offers.get(site.name, "")
@@ -136,76 +146,103 @@
 
 
 @looped
-async def test_what_own_servers_cannot_serve_goes_by_the_routes_that_terms_leave(tmp_path: Path) -> None:
-    async with line(tmp_path, {"mekelle": offer()}, {"mekelle": b"of mekelle"}) as (bole, hawassa, mekelle):
-        await hawassa.until_paths(["mekelle"])
-        await bole.until_paths(["hawassa", "mekelle"])
+async def test_requests_that_own_servers_cannot_serve_follow_the_routes_that_terms_allow(
+    tmp_path: Path,
+) -> None:
+    """Guards against requests sent by routes that an owner has narrowed or withdrawn, and against headers of
+    this program that reach a server."""
+    async with line_of_sites(tmp_path, {"mekelle": offer()}, {"mekelle": b"of mekelle"}) as (
+        bole,
+        hawassa,
+        mekelle,
+    ):
+        await hawassa.wait_for_paths(["mekelle"])
+        await bole.wait_for_paths(["hawassa", "mekelle"])
         for number, cls in enumerate(("look", "book", "pay")):
-            status, _, body = await bole.asks(f"a{number}", cls)
+            status, _, body = await bole.send_request(f"a{number}", cls)
             assert (status, body) == (200, b"of mekelle")
-            assert (await hawassa.asks(f"b{number}", cls))[2] == b"of mekelle"
+            assert (await hawassa.send_request(f"b{number}", cls))[2] == b"of mekelle"
         assert len(mekelle.server.seen) == 6
         assert not any(b"sorrelfront" in whole.lower() for whole in mekelle.server.seen)
-        # The one that has servers of its own goes nowhere.
-        assert (await mekelle.asks("c"))[2] == b"of mekelle"
-        assert (await mekelle.told())["requests"]["out"]["sent"] == 0
-        await hawassa.until_counted("in", through=3, own=0)
-        # Narrowed: to hawassa alone, and not to be passed on.
-        await mekelle.lends(offer('["hawassa"]', "[]"))
-        await bole.until_paths()
-        assert (await bole.asks("d"))[0] == 503 and (await hawassa.asks("e"))[0] == 200
-        await mekelle.lends("")
-        await hawassa.until_paths()
-        status, head, _ = await hawassa.asks("f", "pay")
+        # A site with servers of its own forwards nothing.
+        assert (await mekelle.send_request("c"))[2] == b"of mekelle"
+        assert (await mekelle.status())["requests"]["out"]["sent"] == 0
+        await hawassa.wait_for_counts("in", through=3, own=0)
+        # Narrowed: for hawassa alone, not to be passed on.
+        await mekelle.set_offer(offer('["hawassa"]', "[]"))
+        await bole.wait_for_paths()
+        assert (await bole.send_request("d"))[0] == 503 and (await hawassa.send_request("e"))[0] == 200
+        await mekelle.set_offer("")
+        await hawassa.wait_for_paths()
+        status, head, _ = await hawassa.send_request("f", "pay")
         assert status == 503 and b"Retry-After" in head
         assert len(mekelle.server.seen) == 8
 
 
 @looped
-async def test_a_gateway_has_the_last_word_while_a_partner_hears_nothing(tmp_path: Path) -> None:
-    async with line(tmp_path, {"mekelle": offer()}, {"mekelle": b"of mekelle"}) as (_, hawassa, mekelle):
-        await hawassa.until_paths(["mekelle"])
+async def test_a_gateway_enforces_a_withdrawal_that_a_partner_has_not_received(tmp_path: Path) -> None:
+    """Guards against serving a request under a withdrawn offer. The partner's process is stopped during the
+    withdrawal, so it still has the route when it continues."""
+    async with line_of_sites(tmp_path, {"mekelle": offer()}, {"mekelle": b"of mekelle"}) as (
+        _,
+        hawassa,
+        mekelle,
+    ):
+        await hawassa.wait_for_paths(["mekelle"])
         instance = (await hawassa.fleet.status())["i0"]["pid"]
         os.kill(instance, signal.SIGSTOP)
         try:
             client = await connect(hawassa.fleet.address)
             client.send(request("a", "pay", budget="9000m"))
-            await mekelle.lends("")
+            await mekelle.set_offer("")
         finally:
             os.kill(instance, signal.SIGCONT)
         status, _, _ = await client.answer()
-        assert status == 503 and not mekelle.server.seen  # by news, or refused there: nothing ran
+        # Nothing ran: the route went with a change notice, or the gateway refused the request.
+        assert status == 503 and not mekelle.server.seen
         client.close()
 
 
 @pytest.mark.parametrize("cls", ["pay", "book"])
 @looped
-async def test_what_may_have_run_beyond_the_border_runs_nowhere_again(tmp_path: Path, cls: str) -> None:
+async def test_a_forwarded_request_that_may_have_run_is_not_run_elsewhere(tmp_path: Path, cls: str) -> None:
+    """Guards against an effect that happens twice: a partner's server takes the request and closes the
+    connection without an answer, and another site could serve it."""
     offers = {"mekelle": offer(), "bole": offer()}
-    async with line(tmp_path, offers, {"mekelle": b"x", "bole": b"of bole"}) as (bole, hawassa, mekelle):
-        await hawassa.until_paths(["mekelle"], ["bole"])
-
-        async def breaks(whole: bytes, writer: asyncio.StreamWriter) -> None:
+    async with line_of_sites(tmp_path, offers, {"mekelle": b"x", "bole": b"of bole"}) as (
+        bole,
+        hawassa,
+        mekelle,
+    ):
+        await hawassa.wait_for_paths(["mekelle"], ["bole"])
+
+        async def abort_connection(whole: bytes, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        mekelle.server.script = breaks  # it has it, and says nothing
-        assert (await hawassa.asks("a", cls))[0] == 500
+        mekelle.server.script = abort_connection  # takes the request, and does not answer
+        assert (await hawassa.send_request("a", cls))[0] == 500
         assert mekelle.server.seen and not bole.server.seen
         assert cls == "book" or len(mekelle.server.seen) == 1
         if cls == "book":
-            # Its key is remembered: a repeat comes to those who may have run it, not to others.
+            # The key is remembered: a repeat goes to the site that may have run it, not to another.
             seen = len(mekelle.server.seen)
             mekelle.server.script = answer(b"again")
             async with asyncio.timeout(PATIENCE_S):
-                while (await hawassa.asks("a", cls))[2] != b"again":
+                while (await hawassa.send_request("a", cls))[2] != b"again":
                     assert len(mekelle.server.seen) >= seen and not bole.server.seen
 
 
 @looped
-async def test_a_restarted_gateway_without_its_disk_is_believed_again(tmp_path: Path) -> None:
-    async with line(tmp_path, {"mekelle": offer()}, {"mekelle": b"of mekelle"}) as (bole, _, mekelle):
-        await bole.until_paths(["hawassa", "mekelle"])
-        first = (await mekelle.told())["life"]
+async def test_a_gateway_restarted_without_its_disk_is_trusted_again(tmp_path: Path) -> None:
+    """Guards against a gateway that starts with an old epoch after the loss of its disk: partners would take
+    its advertisements for old ones until someone steps in."""
+    async with line_of_sites(tmp_path, {"mekelle": offer()}, {"mekelle": b"of mekelle"}) as (
+        bole,
+        _,
+        mekelle,
+    ):
+        await bole.wait_for_paths(["hawassa", "mekelle"])
+        first = (await mekelle.status())["life"]
         pids = [item["pid"] for item in (await mekelle.fleet.status()).values()]
         await mekelle.fleet.kill()
         for pid in pids:
@@ -216,15 +253,16 @@
         await mekelle.fleet.start()
         await mekelle.fleet.ready()
         async with asyncio.timeout(PATIENCE_S):
-            while (await mekelle.told())["life"] <= first:
+            while (await mekelle.status())["life"] <= first:
                 await asyncio.sleep(0.02)
-        await bole.until_paths(["hawassa", "mekelle"])
-        assert (await bole.asks("a"))[2] == b"of mekelle"
-        assert mekelle.logged("knows of life")
+        await bole.wait_for_paths(["hawassa", "mekelle"])
+        assert (await bole.send_request("a"))[2] == b"of mekelle"
+        assert mekelle.has_logged("knows of life")
 
 
 @looped
-async def test_without_site_nothing_of_it_is_there(tmp_path: Path) -> None:
+async def test_without_a_site_table_no_code_for_sites_is_loaded(tmp_path: Path) -> None:
+    """Guards against loading the code for partner sites, and its memory, in a daemon without [site]."""
     fleet = Fleet(tmp_path, "127.0.0.1:1", instances=1)
     server = await Backend(answer(b"served")).start()
     fleet.servers = [("s", server.address)]
@@ -239,12 +277,14 @@
 
 
 @looped
-async def test_a_key_that_others_may_read_ends_the_start_with_what_to_do(tmp_path: Path) -> None:
+async def test_a_key_that_others_may_read_ends_the_start_and_names_the_remedy(tmp_path: Path) -> None:
+    """Guards against a start with a private key that other users can read, and against an error that does not
+    name the remedy."""
     site = Site(tmp_path / "bole", "bole")
     (tmp_path / "bole" / "site.key").chmod(0o644)
     await site.start([], b"x")
     async with asyncio.timeout(PATIENCE_S):
-        while not (site.fleet.log.exists() and site.logged("others may read it")):
+        while not (site.fleet.log.exists() and site.has_logged("others may read it")):
             await asyncio.sleep(0.02)
     events = [json.loads(line)["event"] for line in site.fleet.log.read_text().splitlines() if line[0] == "{"]
     assert any("chmod 600" in event for event in events)
