--- a/sorrelfront/cli/main.py
+++ b/sorrelfront/cli/main.py
@@ -1,5 +1,7 @@
-"""`sorrelfront serve | check | ctl | policy | demo | storm`. Exit codes: 0 done, 1 not done or faulty,
-2 wrong use."""
+"""The commands `sorrelfront serve | check | ctl | policy | demo | storm`.
+
+Exit codes: 0 done, 1 not done or faults found, 2 wrong use.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +21,12 @@
 
 FILE = click.argument("file", type=click.Path(path_type=Path))
 JSON = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-FIGURES = {  # by heading: short enough for 80 columns with counts of six digits
+STATUS_COLUMNS = {  # figures by heading; the table fits 80 columns with six-digit counts
     "asked": "offered", "served": "served", "refused": "refused", "failed": "failed", "held": "held",
     "conns": "connections", "servers": "ready_servers",
 }  # fmt: skip
-FOLLOW_S = 0.5  # between two looks of `ctl members --follow`
-PIPE_WIDTH = 1_000  # nothing is cut off where no terminal is
+FOLLOW_INTERVAL_S = 0.5  # between two requests of `ctl members --follow`
+PIPE_WIDTH = 1_000  # columns; output that does not go to a terminal is not cut off
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -39,15 +41,15 @@
 
 @main.command()
 @FILE
-@click.option("--replace", is_flag=True, help="Take over from the daemon that runs by FILE, without a gap.")
+@click.option("--replace", is_flag=True, help="Replace FILE's running daemon, without interruption.")
 @click.option(
     "--last-good", type=click.Path(path_type=Path), metavar="DIR",
-    help="If FILE is faulty, start by the file that was in force last, as the state in DIR remembers it.",
+    help="If FILE is faulty, start with the last good file, as saved in the state folder DIR.",
 )
 def serve(file: Path, replace: bool, last_good: Path | None) -> None:
     """Run the daemon that FILE describes, in the foreground.
 
-    SIGHUP reads FILE again, SIGTERM drains and ends, SIGINT twice ends at once.
+    SIGHUP reloads FILE, SIGTERM drains and ends, a second SIGINT ends at once.
     """
     from sorrelfront.daemon import supervisor
 
@@ -58,13 +60,13 @@
 @FILE
 @JSON
 def check(file: Path, as_json: bool) -> None:
-    """Check FILE: exit code 0, or one line a fault and exit code 1."""
+    """Check FILE: exit code 0, or one line for each fault and exit code 1."""
     faults: list[dict[str, str]] = []
     lines: list[str] = []
     try:
         read(file)
     except BadDocument as bad:
-        faults = [{"table": item.table, "key": item.key, "fault": item.what} for item in bad.faults]
+        faults = [{"table": item.table, "key": item.key, "fault": item.message} for item in bad.faults]
         lines = bad.lines()
     if as_json:
         click.echo(json.dumps({"ok": not faults, "file": str(file), "faults": faults}))
@@ -78,32 +80,32 @@
 @FILE
 @click.pass_context
 def ctl(context: click.Context, file: Path) -> None:
-    """Talk to the daemon that runs by FILE."""
+    """Control the running daemon of FILE."""
     try:
         context.obj = read(file)
     except BadDocument as bad:
         raise click.ClickException("\n".join(bad.lines())) from None
 
 
-def _ask(document: Document, message: dict[str, Any]) -> dict[str, Any]:
+def _request(document: Document, message: dict[str, Any]) -> dict[str, Any]:
     try:
         return asyncio.run(control.ask(document.control, message))
     except control.NobodyThere:
-        said = f"no daemon runs by this file: {document.path} (nobody answers at {document.control})"
-        doors = len([*document.run_folder.glob("*-*.sock")])
-        if doors:
-            said += f"\nup to {doors} instances may serve without one; `sorrelfront serve` adopts them"
-        raise click.ClickException(said) from None
+        text = f"no daemon runs by this file: {document.path} (nobody answers at {document.control})"
+        sockets = len([*document.run_folder.glob("*-*.sock")])
+        if sockets:
+            text += f"\nup to {sockets} instances may serve without one; `sorrelfront serve` adopts them"
+        raise click.ClickException(text) from None
     except control.Unavailable as fault:
         raise click.ClickException(f"the daemon does not answer: {fault.told()}") from None
 
 
-def _told(answer: dict[str, Any], as_json: bool, done: str) -> None:
-    """Print what came of an operation, and exit."""
+def _print_result(answer: dict[str, Any], as_json: bool, success: str) -> None:
+    """Print the result of an operation, and exit. `success` is a format string for the answer's values."""
     if as_json:
         click.echo(json.dumps(answer))
     elif answer.get("ok"):
-        click.echo(done.format(**answer))
+        click.echo(success.format(**answer))
     else:
         for fault in answer.get("faults", ["the daemon's answer is not known here"]):
             click.echo(fault, err=True)
@@ -114,72 +116,72 @@
 @JSON
 @click.pass_obj
 def status(document: Document, as_json: bool) -> None:
-    """Show the instances and what they do."""
-    answer = _ask(document, {"op": "status"})
+    """Show the instances with their state and figures."""
+    answer = _request(document, {"op": "status"})
     if as_json or not answer.get("ok"):
-        _told(answer, as_json, "")
+        _print_result(answer, as_json, "")
     from rich.console import Console
     from rich.table import Table
 
     console = Console()
     table = Table(box=None, pad_edge=False)
-    for name in ("name", "phase", "run", "pid", *FIGURES):
+    for name in ("name", "phase", "run", "pid", *STATUS_COLUMNS):
         table.add_column(name, no_wrap=True, justify="left" if name in ("name", "phase") else "right")
     for item in answer["instances"]:
         phase = "looping" if item["crash_loop"] else item["phase"]
         pid = "-" if item["pid"] is None else str(item["pid"])
-        shown = [_count(item.get(name), console.is_terminal) for name in FIGURES.values()]
-        table.add_row(item["name"], phase, str(item["run"]), pid, *shown)
+        counts = [_format_count(item.get(name), console.is_terminal) for name in STATUS_COLUMNS.values()]
+        table.add_row(item["name"], phase, str(item["run"]), pid, *counts)
     if not console.is_terminal:
         console = Console(width=PIPE_WIDTH)
     ready = sum(item["phase"] == "ready" for item in answer["instances"])
-    doing = [word for word in ("stopping", "reloading", "replacing") if answer[word]]
+    in_progress = [word for word in ("stopping", "reloading", "replacing") if answer[word]]
     console.print(
         f"{answer['name']}, pid {answer['pid']}, up {answer['up_s']:.0f} s, file {answer['generation']}, "
-        f"{ready} of {len(answer['instances'])} ready" + "".join(f", {word}" for word in doing),
+        f"{ready} of {len(answer['instances'])} ready" + "".join(f", {word}" for word in in_progress),
         highlight=False,
     )
     if answer["adopted"]:
         console.print(f"{answer['adopted']} instances adopted at the start", highlight=False)
     state = answer["state"]
     if state is not None:
-        kept = f"written {state['written']} times" if not state["fault"] else f"not written: {state['fault']}"
-        console.print(f"state in {state['folder']}: {kept}", highlight=False, soft_wrap=True)
+        text = f"written {state['written']} times" if not state["fault"] else f"not written: {state['fault']}"
+        console.print(f"state in {state['folder']}: {text}", highlight=False, soft_wrap=True)
     console.print(table)
 
 
-def _count(cell: Any, short: bool) -> str:
-    """A figure; in a terminal one of more than six digits in thousands, millions."""
-    if not isinstance(cell, int) or not short or cell < 1_000_000:
-        return "-" if cell is None else str(cell)
+def _format_count(value: Any, short: bool) -> str:
+    """Format a count, or "-" for None. With `short`, more than six digits end in k, M or G."""
+    if not isinstance(value, int) or not short or value < 1_000_000:
+        return "-" if value is None else str(value)
     for unit in ("k", "M", "G"):
-        cell /= 1_000
-        if cell < 10_000:
-            return f"{cell:.0f}{unit}"
-    return f"{cell:.0f}G"
+        value /= 1_000
+        if value < 10_000:
+            return f"{value:.0f}{unit}"
+    return f"{value:.0f}G"
 
 
 @ctl.command()
 @JSON
 @click.pass_obj
 def reload(document: Document, as_json: bool) -> None:
-    """Have every instance take the file as it is now, or none."""
-    _told(_ask(document, {"op": "reload"}), as_json, "{instances} instances go by the new file")
+    """Apply the current file to all instances, or to none."""
+    _print_result(_request(document, {"op": "reload"}), as_json, "{instances} instances go by the new file")
 
 
 @ctl.command()
 @JSON
-@click.option("--instance", metavar="NAME", help="As this instance sees it; else as any of them does.")
-@click.option("--follow", is_flag=True, help="Go on and print each change as it is seen, until interrupted.")
+@click.option("--instance", metavar="NAME", help="Show the view of this instance; without it, of any one.")
+@click.option("--follow", is_flag=True, help="Keep running and print each change, until interrupted.")
 @click.pass_obj
 def members(document: Document, as_json: bool, instance: str | None, follow: bool) -> None:
-    """Show who is in the fleet, as this daemon's instances see it."""
-    words = {"op": "members", "instance": instance}
-    answer = _ask(document, words)
+    """Show the members of the fleet, as this daemon's instances see them."""
+    message = {"op": "members", "instance": instance}
+    answer = _request(document, message)
     if not answer.get("ok"):
-        _told(answer, as_json, "")
+        _print_result(answer, as_json, "")
     if follow:
-        _follow(document, words, answer, as_json)
+        _follow(document, message, answer, as_json)
     if as_json:
         click.echo(json.dumps({key: answer[key] for key in ("fleet", "self", "agreeing", "members")}))
         return
@@ -206,28 +208,31 @@
     console.print(table)
 
 
-def _follow(document: Document, words: dict[str, Any], answer: dict[str, Any], as_json: bool) -> None:
-    """Print events from here on. Another instance that answers has numbers of its own: they begin anew."""
-    seen, by = _latest(answer), answer["self"]
+def _follow(document: Document, message: dict[str, Any], answer: dict[str, Any], as_json: bool) -> None:
+    """Print new events until interrupted.
+
+    Each instance numbers its events itself, so another instance's answer starts from its own latest number.
+    """
+    last_number, responder = _latest_event_number(answer), answer["self"]
     while True:
-        time.sleep(FOLLOW_S)
-        answer = _ask(document, {**words, "after": seen})
+        time.sleep(FOLLOW_INTERVAL_S)
+        answer = _request(document, {**message, "after": last_number})
         if not answer.get("ok"):
-            _told(answer, as_json, "")
-        if answer["self"] != by:
-            seen, by = _latest(answer), answer["self"]
+            _print_result(answer, as_json, "")
+        if answer["self"] != responder:
+            last_number, responder = _latest_event_number(answer), answer["self"]
             continue
         for event in answer["events"]:
-            seen = event["number"]
+            last_number = event["number"]
             if as_json:
                 click.echo(json.dumps(event))
             else:
                 when = datetime.fromtimestamp(event["at"]).strftime("%H:%M:%S.%f")[:-3]
-                said = f", found by {event['by']}" if event["by"] else ""
-                click.echo(f"{when}  {event['name']}  {event['what']}{said}")
+                found_by = f", found by {event['by']}" if event["by"] else ""
+                click.echo(f"{when}  {event['name']}  {event['what']}{found_by}")
 
 
-def _latest(answer: dict[str, Any]) -> int:
+def _latest_event_number(answer: dict[str, Any]) -> int:
     return max((event["number"] for event in answer["events"]), default=0)
 
 
@@ -236,8 +241,8 @@
 @JSON
 @click.pass_obj
 def drain(document: Document, instance: str, as_json: bool) -> None:
-    """Take INSTANCE out of service: it finishes what it owes and ends."""
-    _told(_ask(document, {"op": "drain", "instance": instance}), as_json, f"{instance} drains")
+    """Take INSTANCE out of service: it finishes its requests and ends."""
+    _print_result(_request(document, {"op": "drain", "instance": instance}), as_json, f"{instance} drains")
 
 
 @ctl.command()
@@ -245,7 +250,7 @@
 @click.pass_obj
 def stop(document: Document, as_json: bool) -> None:
     """Drain all instances and end the daemon."""
-    _told(_ask(document, {"op": "stop"}), as_json, "stopping")
+    _print_result(_request(document, {"op": "stop"}), as_json, "stopping")
 
 
 @main.command()
@@ -254,18 +259,18 @@
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @click.option(
     "--membership", type=click.Choice(["registry", "zookeeper"]), default="registry", show_default=True,
-    help="Where the list of servers comes from; with zookeeper that service gets into trouble too.",
+    help="Source of the list of servers; with zookeeper, faults are injected into that service too.",
 )
 @JSON
 def demo(seconds: float, instances: int, seed: int, membership: str, as_json: bool) -> None:
-    """Play a daemon between stand-in servers in trouble; exit code 1 if a rule was broken."""
-    from sorrelfront.lab import demo as played
+    """Run a daemon against simulated servers with faults; exit code 1 if a rule was broken."""
+    from sorrelfront.lab import demo as demo_run
 
     try:
-        figures = played.play(seconds, instances, seed, as_json, membership)
-    except played.CannotRun as fault:
+        figures = demo_run.play(seconds, instances, seed, as_json, membership)
+    except demo_run.CannotRun as fault:
         raise click.ClickException(str(fault)) from None
-    broken = played.broken(figures)
+    broken = demo_run.broken(figures)
     if as_json:
         click.echo(json.dumps(figures))
     else:
--- a/sorrelfront/cli/storm.py
+++ b/sorrelfront/cli/storm.py
@@ -1,4 +1,7 @@
-"""`sorrelfront storm ...`: several daemons, faults between them, and a verdict from outside books."""
+"""The commands `sorrelfront storm ...`: fault-injection runs with several daemons.
+
+The verdict comes from records that are kept outside the daemons under test.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +26,15 @@
 
 @click.group()
 def storm() -> None:
-    """Play faults between several processes of the program. Exit codes: 0 all holds, 1 something does not, 3
-    void."""
+    """Run several processes of the program under injected faults.
+
+    Exit codes: 0 all rules hold, 1 a rule is broken, 3 the run is void.
+    """
     if importlib.util.find_spec("numpy") is None:
         raise click.ClickException("storms need numpy, which comes with the extra `lab`")
 
 
-def _read(file: str) -> Any:
+def _read_scenario(file: str) -> Any:
     from sorrelfront.lab.storm import run, scenario
 
     try:
@@ -46,16 +51,16 @@
 @KEEP
 @JSON
 def run_one(file: str, seed: int, keep: Path | None, as_json: bool) -> None:
-    """Play FILE, or the storm of that name, by one seed."""
-    _play(_read(file), seed, keep, as_json)
+    """Run FILE, or the storm of that name, with one seed."""
+    _run_scenario(_read_scenario(file), seed, keep, as_json)
 
 
-def _play(scenario: Any, seed: int, keep: Path | None, as_json: bool) -> None:
+def _run_scenario(scenario: Any, seed: int, keep: Path | None, as_json: bool) -> None:
     from sorrelfront.lab.storm import run, stage
 
-    show = (lambda _: None) if as_json else (lambda line: click.echo(line, err=True))
+    print_line = (lambda _: None) if as_json else (lambda line: click.echo(line, err=True))
     try:
-        verdict = run.play(scenario, seed, keep, show)
+        verdict = run.play(scenario, seed, keep, print_line)
     except stage.CannotPlay as fault:
         click.echo(f"void: {fault.told()}", err=True)
         raise SystemExit(run.VOID) from None
@@ -65,13 +70,13 @@
     if as_json:
         click.echo(json.dumps(verdict))
     else:
-        _tell(verdict)
+        _print_verdict(verdict)
         if verdict["result"] != "held":
             click.echo(f"again: {run.again(scenario.path, seed)}")
     raise SystemExit({"held": run.HELD, "broken": run.BROKEN, "void": run.VOID}[verdict["result"]])
 
 
-def _tell(verdict: dict[str, Any]) -> None:
+def _print_verdict(verdict: dict[str, Any]) -> None:
     for name, row in verdict["rules"].items():
         first = f"  {row['first'][0]['t']:.3f} s: {row['first'][0]['what']}" if row["first"] else ""
         click.echo(f"{name:>12}  {row['breaches'] or 'kept'}{first}")
@@ -83,34 +88,34 @@
             f"the rig: relays {rig['relay_p50_us']} us (99th {rig['relay_p99_us']}), "
             f"late by {rig['lag_p99_ms']} ms (99th), {rig['lag_max_ms']} at most"
         )
-    for why in verdict["void"]:
-        click.echo(f"void: {why}")
+    for reason in verdict["void"]:
+        click.echo(f"void: {reason}")
     click.echo(f"{verdict['storm']}, seed {verdict['seed']}: {verdict['result']}")
 
 
 @storm.command("list")
 def list_all() -> None:
-    """Name the storms that come with the program."""
+    """List the storms that come with the program."""
     from sorrelfront.lab.storm import run, scenario
 
     for path in run.listed():
-        made = scenario.read(path)
-        click.echo(f"{path.stem:>22}  {made.storm['about']}")
+        loaded = scenario.read(path)
+        click.echo(f"{path.stem:>22}  {loaded.storm['about']}")
 
 
 @storm.command()
 @click.argument("file")
 @click.option("--seeds", required=True, metavar="A..B", help="The first and the last seed.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Storms at once.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Storms in parallel.")
 @KEEP
 @JSON
 def soak(file: str, seeds: str, jobs: int, keep: Path | None, as_json: bool) -> None:
-    """Play FILE once for each seed. Of what is kept, only storms that did not hold stay."""
+    """Run FILE once for each seed. With --keep, only storms that did not hold are kept."""
     from sorrelfront.lab.storm import run
 
-    scenario = _read(file)
-    first, dots, last = seeds.partition("..")
-    if not dots or not first.isdigit() or not last.isdigit() or int(first) > int(last):
+    scenario = _read_scenario(file)
+    first, separator, last = seeds.partition("..")
+    if not separator or not first.isdigit() or not last.isdigit() or int(first) > int(last):
         raise click.UsageError("--seeds takes a range such as 1..200")
     counts = {"held": 0, "broken": 0, "void": 0}
     failed: list[dict[str, Any]] = []
@@ -120,8 +125,8 @@
             failed.append(verdict)
             if not as_json:
                 rules = [name for name, row in verdict["rules"].items() if row["breaches"]]
-                why = "; ".join(verdict["void"]) or ", ".join(rules)
-                click.echo(f"seed {verdict['seed']}: {verdict['result']}: {why}")
+                reason = "; ".join(verdict["void"]) or ", ".join(rules)
+                click.echo(f"seed {verdict['seed']}: {verdict['result']}: {reason}")
                 click.echo(f"  again: {run.again(scenario.path, verdict['seed'])}")
     if as_json:
         click.echo(json.dumps({**counts, "failed": failed}))
@@ -134,24 +139,24 @@
 @FOLDER
 @JSON
 def replay(folder: Path, as_json: bool) -> None:
-    """Play a kept storm once more: the same file, the same seed, hence the same faults."""
+    """Run a kept storm again, with the same file and seed and so the same faults."""
     from sorrelfront.lab.storm import run
 
     try:
         scenario, seed = run.replayed(folder)
     except (OSError, ValueError, BadDocument) as fault:
         raise click.ClickException(str(fault)) from None
-    _play(scenario, seed, None, as_json)
+    _run_scenario(scenario, seed, None, as_json)
 
 
 @storm.command()
 @FOLDER
 def report(folder: Path) -> None:
-    """Write a kept storm's page, report.html, with its timeline. Needs matplotlib (the extra `lab`)."""
+    """Write report.html for a kept storm, with its timeline. Needs matplotlib (the extra `lab`)."""
     try:
-        from sorrelfront.lab.storm import report as made
+        from sorrelfront.lab.storm import report as report_page
 
-        click.echo(made.write(folder))
+        click.echo(report_page.write(folder))
     except ImportError as fault:
         raise click.ClickException(f"{fault}; it comes with the extra `lab`") from None
     except (OSError, ValueError) as fault:
--- a/sorrelfront/daemon/configuration.py
+++ b/sorrelfront/daemon/configuration.py
@@ -1,8 +1,9 @@
-"""The daemon's file: TOML, checked whole. Every fault is told in one go, with its table and key.
+"""Reads and checks the daemon's TOML file. All faults are reported at once, each with table and key.
 
-A `Document` is what a good file says. `instance_table` words it for one instance in the form that
-`sorrelfront.platform.config.parse` reads, so that both programs take their terms through one door. Types and
-ranges are msgspec's; the words, the nearest key and what one key says of another are ours.
+A `Document` holds the values of a valid file. `instance_table` converts it for one instance to the form that
+`sorrelfront.platform.config.parse` reads, so that the daemon's instances and the platform's program share
+one parser. msgspec checks types and ranges; this module words the faults, finds the nearest known key and
+checks the rules between keys.
 """
 
 from __future__ import annotations
@@ -27,33 +28,34 @@
 from sorrelfront.lists import Malformed, parse_address
 from sorrelfront.messages import Address
 
-FILE_MOST = 4 * 1024 * 1024  # bytes; 10,000 servers in a fixed list take about one million
-SERVERS_MOST = 10_000  # in a fixed list
+FILE_MOST = 4 * 1024 * 1024  # bytes; a fixed list of 10,000 servers takes about one million
+MAX_SERVERS = 10_000  # in a fixed list
 INSTANCES_MOST = 256
-LISTENERS_MOST = 16
-HOSTS_MOST = 16
-VOTERS_MOST = 7  # of a fleet: more make each change slower and no fleet safer
-# Bytes. A Unix socket's address holds 107, and the doors of the instances lie below it: .d/i255-4194304.sock
-CONTROL_PATH_MOST = 84
+MAX_LISTENERS = 16
+MAX_HOSTS = 16
+MAX_VOTERS = 7  # of a fleet; more would slow down each change without making the fleet safer
+# A Unix socket's address holds 107 bytes, and the instances' sockets add a suffix: .d/i255-4194304.sock
+MAX_CONTROL_PATH_BYTES = 84
 
+# What each value of a class's `repeat` key is called in an instance's terms.
 REPEATS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that is wrong: where, and what."""
+    """One fault of a file: the table and key where it is, and a message."""
 
     table: str
     key: str
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        place = f"[{self.table}] {self.key}" if self.key else f"[{self.table}]"
-        return f"{place}: {self.what}" if self.table or self.key else self.what
+        location = f"[{self.table}] {self.key}" if self.key else f"[{self.table}]"
+        return f"{location}: {self.message}" if self.table or self.key else self.message
 
 
 class BadDocument(SorrelfrontError):
-    """A file that cannot be used, with every fault found in it."""
+    """An invalid file, with every fault found in it."""
 
     remedy = "Mend each key that is named, and try it with `sorrelfront check FILE` first."
 
@@ -63,11 +65,11 @@
         self.faults = faults
 
     def lines(self) -> list[str]:
-        """One line a fault, each with file, table and key."""
+        """Return one line for each fault, with file, table and key."""
         return [" ".join(f"{self.path}: {fault}".split()) for fault in self.faults]
 
 
-def _address(value: str) -> str | None:
+def _check_address(value: str) -> str | None:
     try:
         parse_address(value)
     except Malformed:
@@ -75,34 +77,39 @@
     return None
 
 
-def _control(value: str) -> str | None:
-    return None if len(os.fsencode(value)) <= CONTROL_PATH_MOST else "is too long for a Unix socket"
+def _check_control_path(value: str) -> str | None:
+    return None if len(os.fsencode(value)) <= MAX_CONTROL_PATH_BYTES else "is too long for a Unix socket"
 
 
-def _hosts(value: list[Any]) -> str | None:
+def _check_address_list(value: list[Any]) -> str | None:
     for host in value:
-        if not isinstance(host, str) or _address(host) is not None:
-            return f"has {_shown(host)}, which is not an IPv4 address and a port"
+        if not isinstance(host, str) or _check_address(host) is not None:
+            return f"has {_short_repr(host)}, which is not an IPv4 address and a port"
     return None
 
 
-def _node(value: str) -> str | None:
-    """Of a ZooKeeper-style service; empty for none."""
+def _check_node_path(value: str) -> str | None:
+    """Check the path of a node in a ZooKeeper-style service; it may be empty, for none."""
     parts = value.split("/")[1:]
-    whole = value.startswith("/") and "\x00" not in value
-    good = whole and all(part not in ("", ".", "..") for part in parts)
-    return None if good or not value else "is not a path, as in /services/stock"
+    absolute = value.startswith("/") and "\x00" not in value
+    valid = absolute and all(part not in ("", ".", "..") for part in parts)
+    return None if valid or not value else "is not a path, as in /services/stock"
 
 
 class Table(msgspec.Struct, kw_only=True):
-    """A table of the file: its keys, their types, ranges and defaults. `CHECKS` are for what a range cannot
-    say, each telling what is wrong, or None."""
+    """Base of the file's tables: their keys with types, ranges and defaults.
+
+    `CHECKS` has, by key, functions for rules that a range cannot express. Each returns what is wrong with a
+    value, or None.
+    """
 
     CHECKS: ClassVar[dict[str, Callable[[Any], str | None]]] = {}
 
 
 class Daemon(Table, kw_only=True):
-    CHECKS = {"control": _control}
+    """[daemon]: the supervisor, and the size and timeouts of its instances."""
+
+    CHECKS = {"control": _check_control_path}
 
     name: Annotated[str, Meta(min_length=1, max_length=64)] = "sorrelfront"
     control: Annotated[str, Meta(min_length=1)]
@@ -121,18 +128,24 @@
 
 
 class Log(Table, kw_only=True):
+    """[log]: format and level of the log."""
+
     format: Literal["auto", "text", "json"] = "text"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Listener(Table, kw_only=True):
-    CHECKS = {"address": _address}
+    """[listeners.NAME]: an address on which the instances accept clients."""
+
+    CHECKS = {"address": _check_address}
 
     address: str
     protocol: Literal["http1"] = "http1"
 
 
 class Class(Table, kw_only=True):
+    """[classes.NAME]: a class of requests, with its latency aim, deadline and rule for repeats."""
+
     repeat: Literal["safe", "keyed", "unsafe"]
     aim_ms: Annotated[float, Meta(ge=0.001, le=3_600_000)]
     deadline_ms: Annotated[float, Meta(ge=0.001, le=3_600_000)]
@@ -140,11 +153,14 @@
     scope: Literal["all", "zone", "cell"] = "all"
     worth: Annotated[float, Meta(ge=0, le=1e9)] = 1.0
     late_worth: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
-    # Of a member that is cut off from the fleet's voters: go by the policy that it has, or turn away.
+    # What a member does when it is cut off from the fleet's voters: go on with its last policy, or refuse
+    # requests of this class.
     on_isolation: Literal["go-on", "refuse"] = "go-on"
 
 
 class Limits(Table, kw_only=True):
+    """[limits]: bounds on attempts, held requests and connections of each instance."""
+
     tries: Annotated[int, Meta(ge=1, le=16)] = 3
     held: Annotated[int, Meta(ge=1, le=1_000_000)] = 1_000
     connect_timeout_ms: Annotated[float, Meta(ge=1, le=60_000)] = 250.0
@@ -154,6 +170,8 @@
 
 
 class Rules(Table, kw_only=True):
+    """[rules]: parameters of the decisions: cold servers, drains, time kept for the answer, first queries."""
+
     answer_slack_ms: Annotated[float, Meta(ge=0, le=10_000)] = 20.0
     cold_from: Annotated[float, Meta(ge=0.001, le=1)] = 0.3
     cold_ms: Annotated[float, Meta(ge=0, le=3_600_000)] = 9_000.0
@@ -164,19 +182,21 @@
 
 
 class Membership(Table, kw_only=True):
+    """[membership]: the source of the list of servers."""
+
     CHECKS = {
-        "address": lambda value: _address(value) if value else None,
-        "hosts": _hosts,
-        "path": _node,
-        "chroot": _node,
-        "fleet": _node,
+        "address": lambda value: _check_address(value) if value else None,
+        "hosts": _check_address_list,
+        "path": _check_node_path,
+        "chroot": _check_node_path,
+        "fleet": _check_node_path,
     }
 
     source: Literal["registry", "fixed", "zookeeper"] = "registry"
     address: str = ""
-    servers: Annotated[list[Any], Meta(max_length=SERVERS_MOST)] = []
-    # Of a ZooKeeper-style service.
-    hosts: Annotated[list[Any], Meta(max_length=HOSTS_MOST)] = []
+    servers: Annotated[list[Any], Meta(max_length=MAX_SERVERS)] = []
+    # With source = "zookeeper" only.
+    hosts: Annotated[list[Any], Meta(max_length=MAX_HOSTS)] = []
     path: Annotated[str, Meta(max_length=512)] = ""
     chroot: Annotated[str, Meta(max_length=512)] = ""
     fleet: Annotated[str, Meta(max_length=512)] = ""
@@ -188,12 +208,14 @@
     hole_ms: Annotated[float, Meta(ge=10, le=3_600_000)] = 10_000.0
 
 
-# Keys of [membership] that go with one source only, by what each means when it is not set.
+# Keys of [membership] that are valid with source = "zookeeper" only; each is empty when it is not set.
 ZOOKEEPER_KEYS = ("hosts", "path", "chroot", "fleet", "auth_file")
 
 
 class Server(Table, kw_only=True):
-    CHECKS = {"address": _address}
+    """An item of [membership] servers: one server of a fixed list."""
+
+    CHECKS = {"address": _check_address}
 
     id: Annotated[str, Meta(min_length=1, max_length=128)]
     address: str
@@ -204,17 +226,17 @@
 
 
 class FleetTable(Table, kw_only=True):
-    """[fleet]: who else there is, as the instances find out among themselves. Off without it."""
+    """[fleet]: membership among the instances themselves, by gossip. Off without this table."""
 
     CHECKS = {
-        "listen": _address,
-        "advertise": lambda value: _address(value) if value else None,
-        "join": _hosts,
+        "listen": _check_address,
+        "advertise": lambda value: _check_address(value) if value else None,
+        "join": _check_address_list,
     }
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
-    listen: str  # of the first instance; the others have the ports that follow
-    advertise: str = ""  # by which others reach it, if that is not `listen`
+    listen: str  # of the first instance; the others use the following ports
+    advertise: str = ""  # where other members reach it, if not at `listen`
     join: Annotated[list[Any], Meta(max_length=64)] = []
     key_file: Annotated[str, Meta(max_length=1_024)] = ""
     probe_ms: Annotated[float, Meta(ge=20, le=60_000)] = 1_000.0
@@ -223,96 +245,107 @@
     exchange_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 30_000.0
     recall_ms: Annotated[float, Meta(ge=50, le=3_600_000)] = 2_000.0
     keep_ms: Annotated[float, Meta(ge=1_000, le=86_400_000)] = 3_600_000.0
-    seats: bool = False  # slices of the servers begin where the view says
-    rest_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 5_000.0  # without a change, before one moves
-    # One policy for all: members that vote on it, the same in every file.
-    voters: Annotated[list[Any], Meta(max_length=VOTERS_MOST)] = []
+    seats: bool = False  # the view of the fleet decides where each member's slice of the servers begins
+    rest_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 5_000.0  # without a change, before a slice moves
+    # Members that vote on one policy for the whole fleet; the same list in every member's file.
+    voters: Annotated[list[Any], Meta(max_length=MAX_VOTERS)] = []
     lease_ms: Annotated[float, Meta(ge=500, le=600_000)] = 5_000.0
-    policy_header: bool = False  # answers say by which version they were decided
-    # Copies of what matters, so that one that returns knows what its neighbours know.
+    policy_header: bool = False  # answers name the version of the policy that decided them
+    # Replicate state to other members, so that a member that restarts recovers it from its peers.
     copies: bool = False
-    copies_kb_s: Annotated[float, Meta(ge=1, le=1_000_000)] = 512.0  # given to those that catch up
+    copies_kb_s: Annotated[float, Meta(ge=1, le=1_000_000)] = 512.0  # sent to members that catch up, at most
 
 
-SITE = re.compile(r"[a-z0-9][a-z0-9-]{0,63}")
+SITE_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,63}")
 PUBLIC_KEY = re.compile(r"ed25519:[A-Za-z0-9+/]{43}=")
 RELATIONS = ("customer", "peer", "provider")
-# A lifetime has at least so many times between two asks, so that an offer comes in time over five hops.
-LIFETIME_LEAST = 8
+# An offer's lifetime is at least this many renewal intervals, so that it arrives in time over five hops.
+MIN_LIFETIME_RENEWALS = 8
 
 
-def _site(value: str) -> str | None:
-    return None if SITE.fullmatch(value) else "is not a site's name: small letters, figures and dashes"
+def _check_site_name(value: str) -> str | None:
+    return None if SITE_NAME.fullmatch(value) else "is not a site's name: small letters, figures and dashes"
 
 
-def _sites(value: list[Any]) -> str | None:
-    wrong = [item for item in value if not isinstance(item, str) or _site(item) is not None]
-    return f"has {_shown(wrong[0])}, which is not a site's name" if wrong else None
+def _check_site_list(value: list[Any]) -> str | None:
+    invalid = [item for item in value if not isinstance(item, str) or _check_site_name(item) is not None]
+    return f"has {_short_repr(invalid[0])}, which is not a site's name" if invalid else None
 
 
-def _keys(value: list[Any]) -> str | None:
-    wrong = [item for item in value if not isinstance(item, str) or PUBLIC_KEY.fullmatch(item) is None]
-    if wrong:
-        return f"has {_shown(wrong[0])}, which is not ed25519: and 32 bytes in base64"
+def _check_public_keys(value: list[Any]) -> str | None:
+    invalid = [item for item in value if not isinstance(item, str) or PUBLIC_KEY.fullmatch(item) is None]
+    if invalid:
+        return f"has {_short_repr(invalid[0])}, which is not ed25519: and 32 bytes in base64"
     return None if 1 <= len(value) <= 2 else "needs one key, or two while one takes the other's place"
 
 
-def _names(value: list[Any]) -> str | None:
-    wrong = [item for item in value if not isinstance(item, str) or not 0 < len(item) <= 64]
-    return f"has {_shown(wrong[0])}, which is no name" if wrong else None
+def _check_name_list(value: list[Any]) -> str | None:
+    invalid = [item for item in value if not isinstance(item, str) or not 0 < len(item) <= 64]
+    return f"has {_short_repr(invalid[0])}, which is no name" if invalid else None
 
 
-def _moment(value: Any) -> str | None:
-    good = value is None or (isinstance(value, datetime.datetime) and value.tzinfo is not None)
-    return None if good else "is not a date and time with its zone, as in 2026-12-24T18:00:00+03:00"
+def _check_time(value: Any) -> str | None:
+    valid = value is None or (isinstance(value, datetime.datetime) and value.tzinfo is not None)
+    return None if valid else "is not a date and time with its zone, as in 2026-12-24T18:00:00+03:00"
 
 
 class SiteTable(Table, kw_only=True):
-    """[site]: this site among partners. Off without it."""
+    """[site]: this site's identity and addresses among partner sites. Off without this table."""
 
-    CHECKS = {"name": _site, "listen": _address, "gateway": _address}
+    CHECKS = {"name": _check_site_name, "listen": _check_address, "gateway": _check_address}
 
     name: str
     key_file: Annotated[str, Meta(min_length=1, max_length=1_024)]
-    listen: str  # where partners ask, of the first instance; the others have the ports that follow
-    gateway: str  # where their requests come, likewise
+    listen: str  # where partners connect to the first instance; the others use the following ports
+    gateway: str  # where the first instance accepts partners' requests; the others likewise
     renew_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1_000.0
     stale_ms: Annotated[float, Meta(ge=100, le=600_000)] = 5_000.0
 
 
 class PartnerTable(Table, kw_only=True):
-    """[partners.NAME]: a site that is known by its key, and one that is asked if it has addresses."""
+    """[partners.NAME]: a site that is known by its key. It is polled for offers if it has addresses."""
 
-    CHECKS = {"keys": _keys, "at": _hosts, "gateways": _hosts, "providers": _sites}
+    CHECKS = {
+        "keys": _check_public_keys,
+        "at": _check_address_list,
+        "gateways": _check_address_list,
+        "providers": _check_site_list,
+    }
 
     keys: Annotated[list[Any], Meta(max_length=8)]
     at: Annotated[list[Any], Meta(max_length=64)] = []  # `listen` of each of its gateways
-    # Where requests to each of these go, if not where the gateway itself says: through a tunnel.
+    # Where requests to each of them go, as through a tunnel; if empty, where the gateway itself says.
     gateways: Annotated[list[Any], Meta(max_length=64)] = []
-    relation: Literal["customer", "peer", "provider"] = "peer"  # what it is to this site
+    relation: Literal["customer", "peer", "provider"] = "peer"  # this partner's role towards this site
     cost: Annotated[int, Meta(ge=1, le=1_000_000)] = 1
-    providers: Annotated[list[Any], Meta(max_length=64)] = []  # of its own, as far as is known
+    providers: Annotated[list[Any], Meta(max_length=64)] = []  # the partner's own, as far as known
 
 
 class OfferTable(Table, kw_only=True):
-    """[offers.NAME]: what each gateway of this site lends."""
+    """[offers.NAME]: capacity that each gateway of this site lends to partners."""
 
-    CHECKS = {"to": _names, "onward": _names, "classes": _names, "until": _moment}
+    CHECKS = {
+        "to": _check_name_list,
+        "onward": _check_name_list,
+        "classes": _check_name_list,
+        "until": _check_time,
+    }
 
     classes: Annotated[list[Any], Meta(min_length=1, max_length=256)]
-    to: Annotated[list[Any], Meta(max_length=256)] = []  # sites, or "members" for all; nobody
-    onward: Annotated[list[Any], Meta(max_length=256)] = []  # who may pass it on, likewise
+    to: Annotated[list[Any], Meta(max_length=256)] = []  # sites, or "members" for all; empty for none
+    onward: Annotated[list[Any], Meta(max_length=256)] = []  # sites that may pass the offer on, likewise
     until: Any = None
-    rate: Annotated[int, Meta(ge=1, le=1_000_000)] = 1_000_000  # requests a second at most, by each gateway
+    rate: Annotated[int, Meta(ge=1, le=1_000_000)] = 1_000_000  # most requests per second, for each gateway
     cost: Annotated[int, Meta(ge=1, le=1_000_000)] = 1
-    capacity: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # requests at once, by each gateway
+    capacity: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # concurrent requests, for each gateway
     lifetime_ms: Annotated[float, Meta(ge=400, le=86_400_000)] = 15_000.0
-    group: Annotated[str, Meta(max_length=64)] = ""  # who drops repeats of a key; the gateway's own if empty
+    # The group of servers that deduplicates repeats of a key; the gateway's own if empty.
+    group: Annotated[str, Meta(max_length=64)] = ""
 
 
-MEMBERS = "members"  # all sites whose keys are known
+MEMBERS = "members"  # stands for all sites whose keys are known
 
-TOP = (
+TOP_LEVEL_KEYS = (
     "daemon", "log", "listeners", "classes", "limits", "rules", "membership", "fleet", "site", "partners",
     "offers",
 )  # fmt: skip
@@ -320,7 +353,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A good file. Tables hold checked values, with defaults filled in."""
+    """A valid file. The tables hold checked values, with defaults filled in."""
 
     path: Path
     daemon: dict[str, Any]
@@ -330,91 +363,100 @@
     limits: dict[str, Any]
     rules: dict[str, Any]
     membership: dict[str, Any]
-    fleet: dict[str, Any] | None = None  # None: the instances know of nobody
-    site: dict[str, Any] | None = None  # None: no partners either
+    fleet: dict[str, Any] | None = None  # None: the instances do not look for other members
+    site: dict[str, Any] | None = None  # None: there are no partners either
     partners: dict[str, dict[str, Any]] = dataclasses.field(default_factory=dict)
     offers: dict[str, dict[str, Any]] = dataclasses.field(default_factory=dict)
     text: bytes = b""  # the file as it was read
 
     @property
     def control(self) -> Path:
-        """The control socket; a relative path counts from the file."""
+        """The path of the control socket; a relative one starts at the file's folder."""
         return self.path.parent / str(self.daemon["control"])
 
     @property
     def run_folder(self) -> Path:
-        """Where the instances' own sockets, the journal and the lock lie."""
+        """The folder of the instances' own sockets, the journal and the lock."""
         return self.control.with_name(self.control.name + ".d")
 
     @property
     def state_folder(self) -> Path | None:
-        """Where state is kept on disk, if it is; a relative path counts from the file."""
-        told = str(self.daemon["state_dir"])
-        return self.path.parent / told if told else None
+        """The folder of persistent state, or None; a relative path starts at the file's folder."""
+        state_dir = str(self.daemon["state_dir"])
+        return self.path.parent / state_dir if state_dir else None
 
     @property
     def addresses(self) -> dict[str, Address]:
+        """The address of each listener, by the listener's name."""
         return {name: parse_address(table["address"]) for name, table in self.listeners.items()}
 
     @property
     def names(self) -> list[str]:
+        """The names of the instances: i0, i1 and so on."""
         return [f"i{number}" for number in range(self.daemon["instances"])]
 
     @property
     def longest_deadline_us(self) -> int:
-        return max(_us(table["deadline_ms"]) for table in self.classes.values())
+        """The longest deadline of all classes, in microseconds."""
+        return max(_to_us(table["deadline_ms"]) for table in self.classes.values())
 
 
 class Checker:
-    """Collects faults and goes on."""
+    """Converts and checks tables. Collects all faults instead of stopping at the first."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
-    def fault(self, table: str, key: str, what: str) -> None:
-        self.faults.append(Fault(table, key, what))
+    def fault(self, table: str, key: str, message: str) -> None:
+        """Record a fault. An empty `table` or `key` means that it concerns the whole file or table."""
+        self.faults.append(Fault(table, key, message))
 
     def unknown(self, table: str, key: str, known: Mapping[str, Any] | tuple[str, ...]) -> None:
-        near = difflib.get_close_matches(key, list(known), n=1, cutoff=0.0)
-        self.fault(table, key, f"is not a key known here; the nearest is {near[0]!r}")
+        """Record that `key` is unknown, and suggest the nearest of the `known` keys."""
+        nearest = difflib.get_close_matches(key, list(known), n=1, cutoff=0.0)
+        self.fault(table, key, f"is not a key known here; the nearest is {nearest[0]!r}")
 
     def table(self, value: Any, name: str, model: type[Table]) -> dict[str, Any]:
-        """The table's values, as good as they are: a fault leaves the default, or None, in its place. Each
-        key is converted by itself, since a whole table's conversion ends at its first fault."""
-        keys = _fields(model)
+        """Convert and check one table, and return its values.
+
+        A value with a fault is replaced by the key's default, or None. Each key is converted separately,
+        because msgspec stops at the first fault of a whole table.
+        """
+        keys = _key_fields(model)
         if not isinstance(value, dict):
             self.fault(name, "", "is not a table")
             return {key: _default(spec) for key, spec in keys.items()}
         for key in value:
             if key not in keys:
                 self.unknown(name, key, keys)
-        return {key: self.value(value, name, key, spec, model) for key, spec in keys.items()}
+        return {key: self.check_value(value, name, key, spec, model) for key, spec in keys.items()}
 
-    def value(
+    def check_value(
         self, table: dict[str, Any], name: str, key: str, spec: FieldInfo, model: type[Table]
     ) -> Any:
+        """Convert and check one key of a table, and return its value, or its default after a fault."""
         if key not in table:
             if spec.required:
                 self.fault(name, key, "is missing")
             return _default(spec)
         value = table[key]
         try:
-            made = msgspec.convert(value, type=spec.type)
+            converted = msgspec.convert(value, type=spec.type)
         except msgspec.ValidationError as fault:
-            self.fault(name, key, f"{_in_words(str(fault), spec)}: {_shown(value)}")
+            self.fault(name, key, f"{_describe_error(str(fault), spec)}: {_short_repr(value)}")
             return _default(spec)
-        if made != made:  # a number that is none passes every range
-            self.fault(name, key, f"must be at least {_least(spec):g}: {_shown(value)}")
+        if converted != converted:  # NaN passes msgspec's range checks
+            self.fault(name, key, f"must be at least {_minimum(spec):g}: {_short_repr(value)}")
             return _default(spec)
         check = model.CHECKS.get(key)
-        wrong = check(made) if check is not None else None
-        if wrong is not None:
-            self.fault(name, key, f"{wrong}: {_shown(value)}")
+        message = check(converted) if check is not None else None
+        if message is not None:
+            self.fault(name, key, f"{message}: {_short_repr(value)}")
             return _default(spec)
-        return made
+        return converted
 
     def named(self, value: Any, name: str, model: type[Table]) -> dict[str, dict[str, Any]]:
-        """A table of tables, by names that operators choose."""
+        """Convert and check a table of tables whose names operators choose."""
         if not isinstance(value, dict) or not value:
             self.fault(name, "", "needs at least one table of its own, as in [" + name + ".NAME]")
             return {}
@@ -422,7 +464,7 @@
 
 
 @cache
-def _fields(model: type[Table]) -> dict[str, FieldInfo]:
+def _key_fields(model: type[Table]) -> dict[str, FieldInfo]:
     return {item.name: item for item in msgspec.structs.fields(model)}
 
 
@@ -432,38 +474,42 @@
     return None if spec.default is NODEFAULT else spec.default
 
 
-def _least(spec: FieldInfo) -> float:
+def _minimum(spec: FieldInfo) -> float:
     meta = get_args(spec.type)[1]
     return float(meta.ge)
 
 
-KINDS = {
+TYPE_NAMES = {
     "str": "a text", "int": "a whole number", "float": "a number", "bool": "true or false", "array": "a list",
 }  # fmt: skip
-BOUNDS = {">=": "at least", "<=": "at most"}
+BOUND_WORDS = {">=": "at least", "<=": "at most"}
 
 
-def _in_words(said: str, spec: FieldInfo) -> str:
-    """What msgspec says of a value, for whoever wrote the file."""
-    if found := re.match(r"Expected `(\w+)`(?: of length)? (>=|<=) ([-+.\w]+)", said):
-        return f"must be {BOUNDS[found[2]]} {float(found[3]):g}"
-    if found := re.match(r"Expected `(\w+)`, got", said):
-        return f"is not {KINDS.get(found[1], found[1])}"
-    if said.startswith("Invalid enum value"):
+def _describe_error(error: str, spec: FieldInfo) -> str:
+    """Turn msgspec's message about a value into one for the author of the file."""
+    if found := re.match(r"Expected `(\w+)`(?: of length)? (>=|<=) ([-+.\w]+)", error):
+        return f"must be {BOUND_WORDS[found[2]]} {float(found[3]):g}"
+    if found := re.match(r"Expected `(\w+)`, got", error):
+        return f"is not {TYPE_NAMES.get(found[1], found[1])}"
+    if error.startswith("Invalid enum value"):
         return f"must be one of {', '.join(get_args(spec.type))}"
-    return said
+    return error
 
 
-def _shown(value: Any) -> str:
+def _short_repr(value: Any) -> str:
     return repr(value)[:80]
 
 
-def _us(ms: float) -> int:
+def _to_us(ms: float) -> int:
     return int(ms * 1000)
 
 
 def read(path: Path) -> Document:
-    """Read and check a file. Raises BadDocument."""
+    """Read and check a file.
+
+    Raises:
+        BadDocument: the file cannot be read, or has faults.
+    """
     try:
         with path.open("rb") as file:
             data = file.read(FILE_MOST + 1)
@@ -473,7 +519,11 @@
 
 
 def parse(data: bytes, path: Path) -> Document:
-    """Check a file's bytes. Raises BadDocument, and nothing else whatever the bytes are."""
+    """Parse and check a file's bytes. `path` names the file in faults and resolves relative paths.
+
+    Raises:
+        BadDocument: the bytes have faults. No bytes raise anything else.
+    """
     if len(data) > FILE_MOST:
         raise BadDocument(path, [Fault("", "", f"is longer than {FILE_MOST} bytes")])
     try:
@@ -486,11 +536,15 @@
 
 
 def check(top: dict[str, Any], path: Path) -> Document:
-    """Check what a file says. Raises BadDocument."""
+    """Check a file's parsed TOML tables.
+
+    Raises:
+        BadDocument: there are faults.
+    """
     checker = Checker()
     for key in top:
-        if key not in TOP:
-            checker.unknown("", key, TOP)
+        if key not in TOP_LEVEL_KEYS:
+            checker.unknown("", key, TOP_LEVEL_KEYS)
     document = Document(
         path=path,
         daemon=checker.table(top.get("daemon", {}), "daemon", Daemon),
@@ -505,16 +559,16 @@
         partners=checker.named(top["partners"], "partners", PartnerTable) if "partners" in top else {},
         offers=checker.named(top["offers"], "offers", OfferTable) if "offers" in top else {},
     )
-    _cross(document, checker)
+    _check_document(document, checker)
     if checker.faults:
         raise BadDocument(path, checker.faults)
     return document
 
 
-def _cross(document: Document, checker: Checker) -> None:
-    """What one key says of another."""
-    if len(document.listeners) > LISTENERS_MOST:
-        checker.fault("listeners", "", f"has more than {LISTENERS_MOST} tables")
+def _check_document(document: Document, checker: Checker) -> None:
+    """Check the rules between keys of the whole document."""
+    if len(document.listeners) > MAX_LISTENERS:
+        checker.fault("listeners", "", f"has more than {MAX_LISTENERS} tables")
     seen: dict[str, str] = {}
     for name, listener in document.listeners.items():
         other = seen.setdefault(listener["address"] or name, name)
@@ -524,13 +578,13 @@
     daemon = document.daemon
     if daemon["restart_first_ms"] > daemon["restart_longest_ms"]:
         checker.fault("daemon", "restart_first_ms", "must not be above restart_longest_ms")
-    _cross_membership(document.membership, checker)
+    _check_membership_table(document.membership, checker)
     if document.fleet is not None and document.fleet["listen"]:
-        _cross_fleet(document.fleet, document, checker)
-    _cross_site(document, checker)
+        _check_fleet_table(document.fleet, document, checker)
+    _check_site_table(document, checker)
 
 
-def _cross_site(document: Document, checker: Checker) -> None:
+def _check_site_table(document: Document, checker: Checker) -> None:
     site = document.site
     if site is None:
         for name in ("partners", "offers"):
@@ -548,25 +602,25 @@
         if port + count - 1 > 65_535:
             checker.fault("site", key, f"has no {count} ports from {port} on, one for each instance")
         if not host.startswith("127."):
-            # Risk: words between sites are signed, and requests are not hidden from who reads the line.
+            # Messages between sites are signed, but requests are not encrypted: others could read them.
             checker.fault("site", key, "is no loopback address: between machines, lead it through a tunnel")
         for number in range(count):
             other = taken.setdefault(f"{host}:{port + number}", f"site.{key}")
             if other != f"site.{key}":
                 checker.fault("site", key, f"with the ports that follow is that of {other} too")
-    _cross_partners(document, site, checker)
-    _cross_offers(document, site, checker)
+    _check_partner_tables(document, site, checker)
+    _check_offer_tables(document, site, checker)
 
 
-def _cross_partners(document: Document, site: dict[str, Any], checker: Checker) -> None:
+def _check_partner_tables(document: Document, site: dict[str, Any], checker: Checker) -> None:
     from sorrelfront.decisions.sites.offers import circle
 
     partners = document.partners
     owners: dict[str, str] = {}
     for name, table in partners.items():
         where = f"partners.{name}"
-        if _site(name) is not None:
-            checker.fault(where, "", f"{_site(name)}: {_shown(name)}")
+        if _check_site_name(name) is not None:
+            checker.fault(where, "", f"{_check_site_name(name)}: {_short_repr(name)}")
         if name == site["name"]:
             checker.fault(where, "", "is this site itself")
         if table["gateways"] and len(table["gateways"]) != len(table["at"]):
@@ -580,29 +634,32 @@
         if table["relation"] == "customer" and site["name"]:
             providers[name] |= {site["name"]}
     own = frozenset(name for name, table in partners.items() if table["relation"] == "provider")
-    found = circle({**providers, site["name"]: own}) if site["name"] else []
-    if found:
-        way = " -> ".join((*found, found[0]))
-        checker.fault("partners", "relation", f"makes a circle in which each lends to the next: {way}")
+    cycle = circle({**providers, site["name"]: own}) if site["name"] else []
+    if cycle:
+        chain = " -> ".join((*cycle, cycle[0]))
+        checker.fault("partners", "relation", f"makes a circle in which each lends to the next: {chain}")
 
 
-def _cross_offers(document: Document, site: dict[str, Any], checker: Checker) -> None:
+def _check_offer_tables(document: Document, site: dict[str, Any], checker: Checker) -> None:
     for name, table in document.offers.items():
         where = f"offers.{name}"
         for cls in table["classes"] or ():
             if cls not in document.classes:
-                checker.fault(where, "classes", f"has {_shown(cls)}, which is not in [classes]")
+                checker.fault(where, "classes", f"has {_short_repr(cls)}, which is not in [classes]")
         for key in ("to", "onward"):
             for other in table[key] or ():
                 if other != MEMBERS and other not in document.partners:
-                    checker.fault(where, key, f"has {_shown(other)}, which is not in [partners]")
-        if table["lifetime_ms"] < LIFETIME_LEAST * site["renew_ms"]:
-            checker.fault(where, "lifetime_ms", f"must be at least {LIFETIME_LEAST} times [site] renew_ms")
+                    checker.fault(where, key, f"has {_short_repr(other)}, which is not in [partners]")
+        if table["lifetime_ms"] < MIN_LIFETIME_RENEWALS * site["renew_ms"]:
+            checker.fault(
+                where, "lifetime_ms", f"must be at least {MIN_LIFETIME_RENEWALS} times [site] renew_ms"
+            )
         if len(name) > 64:
             checker.fault(where, "", "has a name of more than 64 characters")
 
 
 def cross_classes(classes: dict[str, dict[str, Any]], checker: Checker) -> None:
+    """Check the rules between keys of each class."""
     for name, cls in classes.items():
         where = f"classes.{name}"
         if cls["repeat"] == "keyed" and not cls["window_ms"]:
@@ -613,29 +670,29 @@
             checker.fault(where, "aim_ms", "must not be above deadline_ms")
 
 
-def _cross_fleet(fleet: dict[str, Any], document: Document, checker: Checker) -> None:
+def _check_fleet_table(fleet: dict[str, Any], document: Document, checker: Checker) -> None:
     count = document.daemon["instances"]
     fleet["advertise"] = fleet["advertise"] or fleet["listen"]
     for key in ("listen", "advertise"):
         port = parse_address(fleet[key])[1]
         if port + count - 1 > 65_535:
             checker.fault("fleet", key, f"has no {count} ports from {port} on, one for each instance")
-    _cross_voters(fleet["voters"], document, checker)
+    _check_voters(fleet["voters"], document, checker)
     loopback = all(parse_address(fleet[key])[0].startswith("127.") for key in ("listen", "advertise"))
     if not fleet["key_file"] and not loopback:
-        # Risk: whoever reaches the port would be believed.
+        # Without a key, messages are not authenticated: anyone who reaches the port could forge them.
         checker.fault("fleet", "key_file", "is missing: without one only loopback addresses will do")
     if fleet["seats"] and document.membership["fleet"]:
         checker.fault("fleet", "seats", "does not go with [membership] fleet, which says the same")
     if fleet["answer_ms"] >= fleet["probe_ms"]:
         checker.fault("fleet", "answer_ms", "must be below probe_ms: others are asked in the time between")
-    listen, ours = parse_address(fleet["listen"]), document.listeners.values()
+    listen, listeners = parse_address(fleet["listen"]), document.listeners.values()
     taken = {(listen[0], listen[1] + number) for number in range(count)}
-    if any(item["address"] and parse_address(item["address"]) in taken for item in ours):
+    if any(item["address"] and parse_address(item["address"]) in taken for item in listeners):
         checker.fault("fleet", "listen", "with the ports that follow is that of a listener too")
 
 
-def _cross_voters(voters: list[Any], document: Document, checker: Checker) -> None:
+def _check_voters(voters: list[Any], document: Document, checker: Checker) -> None:
     if not voters:
         return
     if not all(isinstance(name, str) and 0 < len(name) <= 128 for name in voters):
@@ -643,11 +700,11 @@
     elif len(set(voters)) != len(voters) or len(voters) % 2 == 0:
         checker.fault("fleet", "voters", "must be 1, 3, 5 or 7 members, none of them twice")
     elif not document.daemon["state_dir"]:
-        # Risk: a voter that forgets its votes at each start is none.
+        # A voter that loses its votes at a restart could vote twice, which breaks the quorum's guarantee.
         checker.fault("daemon", "state_dir", "is missing: [fleet] voters needs it")
 
 
-def _cross_membership(membership: dict[str, Any], checker: Checker) -> None:
+def _check_membership_table(membership: dict[str, Any], checker: Checker) -> None:
     if membership["source"] != "zookeeper":
         for key in ZOOKEEPER_KEYS:
             if membership[key]:
@@ -677,28 +734,30 @@
         where = f"membership.servers.{number}"
         table = checker.table(server, where, Server)
         if table["id"] in ids:
-            checker.fault(where, "id", f"is there twice: {_shown(table['id'])}")
+            checker.fault(where, "id", f"is there twice: {_short_repr(table['id'])}")
         ids.add(table["id"])
         servers.append(table)
     membership["servers"] = servers
 
 
 def instance_table(document: Document, number: int, known: Any = None) -> dict[str, Any]:
-    """The terms of one instance, in the form that `sorrelfront.platform.config.parse` reads. `known`: the
-    list of servers, if it has been worded before."""
+    """Return the terms of one instance, in the form that `sorrelfront.platform.config.parse` reads.
+
+    `known` is the list of servers in that form, if the caller has built it before.
+    """
     daemon, membership = document.daemon, document.membership
     fixed = membership["source"] == "fixed"
     if known is None:
-        known = {"revision": 0, "complete": True, "members": [*map(_member, membership["servers"])]}
+        known = {"revision": 0, "complete": True, "members": [*map(_member_entry, membership["servers"])]}
     first = next(iter(document.listeners.values()))
     return {
         "name": f"{daemon['name']}-i{number}",
         "listen": first["address"],
-        # A fixed list is never watched; the agent's terms want an address all the same.
+        # The agent's terms require an address even for a fixed list, which is never watched.
         "discovery": membership["address"] or "127.0.0.1:9",
         "source": membership["source"],
-        "zookeeper": _zookeeper(document),
-        "fleet": _fleet(document, number),
+        "zookeeper": _zookeeper_terms(document),
+        "fleet": _fleet_terms(document, number),
         "site": _site_terms(document, number),
         "seed": f"{(daemon['seed'] * INSTANCES_MOST + number) & (2**64 - 1):x}",
         "limits": {"memory_mb": daemon["memory_mb"], "sockets": daemon["sockets"]},
@@ -715,73 +774,73 @@
 def how_to_decide(
     classes: dict[str, dict[str, Any]], limits: dict[str, Any], rules: dict[str, Any]
 ) -> dict[str, Any]:
-    """What of an instance's terms says how it decides, and may be one policy for a whole fleet."""
+    """Return the terms that govern an instance's decisions; a policy for the whole fleet may replace them."""
     return {
-        "grades": [_grade(name, cls) for name, cls in classes.items()],
+        "grades": [_class_terms(name, cls) for name, cls in classes.items()],
         "limits": {
             "mostTries": limits["tries"],
             "mayCancel": limits["cancel"],
-            "maxRetryAfterUs": _us(limits["retry_after_most_ms"]),
-            "connectTimeoutUs": _us(limits["connect_timeout_ms"]),
-            "connIdleUs": _us(limits["idle_ms"]),
+            "maxRetryAfterUs": _to_us(limits["retry_after_most_ms"]),
+            "connectTimeoutUs": _to_us(limits["connect_timeout_ms"]),
+            "connIdleUs": _to_us(limits["idle_ms"]),
             "mostHeld": limits["held"],
         },
         "rules": {
-            "answerSlackUs": _us(rules["answer_slack_ms"]),
-            "askWithinUs": _us(rules["ask_within_ms"]),
+            "answerSlackUs": _to_us(rules["answer_slack_ms"]),
+            "askWithinUs": _to_us(rules["ask_within_ms"]),
             "coldFrom": rules["cold_from"],
-            "coldUs": _us(rules["cold_ms"]),
+            "coldUs": _to_us(rules["cold_ms"]),
             "overloadFactor": rules["cold_multiple"],
-            "stopSendingWithinUs": _us(rules["drain_grace_ms"]),
-            "tipAfterUs": _us(rules["cold_span_ms"]),
+            "stopSendingWithinUs": _to_us(rules["drain_grace_ms"]),
+            "tipAfterUs": _to_us(rules["cold_span_ms"]),
         },
     }
 
 
-def _fleet(document: Document, number: int) -> dict[str, Any] | None:
-    """What one instance goes by as a member: `listen` and `advertise` with its own port, and its record."""
+def _fleet_terms(document: Document, number: int) -> dict[str, Any] | None:
+    """Return one instance's terms as a fleet member, with its own ports and the paths of its records."""
     fleet = document.fleet
     if fleet is None:
         return None
-    own = dict(fleet)
+    terms = dict(fleet)
     for key in ("listen", "advertise"):
         host, port = parse_address(fleet[key])
-        own[key] = f"{host}:{port + number}"
-    own["member"] = f"{document.daemon['name']}/i{number}"
-    own["key_file"] = str(document.path.parent.absolute() / fleet["key_file"]) if fleet["key_file"] else ""
+        terms[key] = f"{host}:{port + number}"
+    terms["member"] = f"{document.daemon['name']}/i{number}"
+    terms["key_file"] = str(document.path.parent.absolute() / fleet["key_file"]) if fleet["key_file"] else ""
     state = document.state_folder
     for key, name in (
         ("record", "view"), ("vote_record", "vote"), ("held_record", "held"), ("copies_record", "copies"),
     ):  # fmt: skip
-        own[key] = str(state.absolute() / f"{name}-i{number}") if state is not None else ""
+        terms[key] = str(state.absolute() / f"{name}-i{number}") if state is not None else ""
     if fleet["voters"]:
-        own["policy"] = {"classes": document.classes, "limits": document.limits, "rules": document.rules}
-    own["isolation"] = {name: cls["on_isolation"] for name, cls in document.classes.items()}
-    return own
+        terms["policy"] = {"classes": document.classes, "limits": document.limits, "rules": document.rules}
+    terms["isolation"] = {name: cls["on_isolation"] for name, cls in document.classes.items()}
+    return terms
 
 
 def _site_terms(document: Document, number: int) -> dict[str, Any] | None:
-    """What one instance goes by as a gateway of its site: addresses with its own ports."""
+    """Return one instance's terms as a gateway of its site, with its own ports and the path of its record."""
     site = document.site
     if site is None:
         return None
-    own = dict(site)
+    terms = dict(site)
     for key in ("listen", "gateway"):
         host, port = parse_address(site[key])
-        own[key] = f"{host}:{port + number}"
-    own["member"] = f"{document.daemon['name']}/i{number}"
-    own["key_file"] = str(document.path.parent.absolute() / site["key_file"])
+        terms[key] = f"{host}:{port + number}"
+    terms["member"] = f"{document.daemon['name']}/i{number}"
+    terms["key_file"] = str(document.path.parent.absolute() / site["key_file"])
     state = document.state_folder
-    own["record"] = str(state.absolute() / f"site-i{number}") if state is not None else ""
-    own["partners"] = document.partners
-    own["offers"] = {
+    terms["record"] = str(state.absolute() / f"site-i{number}") if state is not None else ""
+    terms["partners"] = document.partners
+    terms["offers"] = {
         name: table | {"until": None if table["until"] is None else table["until"].timestamp()}
         for name, table in document.offers.items()
     }
-    return own
+    return terms
 
 
-def _zookeeper(document: Document) -> dict[str, Any] | None:
+def _zookeeper_terms(document: Document) -> dict[str, Any] | None:
     membership = document.membership
     if membership["source"] != "zookeeper":
         return None
@@ -789,24 +848,24 @@
         "hosts", "path", "chroot", "fleet", "session_ms", "suspect_ms", "confirm_ms", "doubt_ms", "hole_ms",
     )  # fmt: skip
     auth_file = membership["auth_file"]
-    told = {key: membership[key] for key in keys}
-    return told | {"auth_file": str(document.path.parent.absolute() / auth_file) if auth_file else ""}
+    terms = {key: membership[key] for key in keys}
+    return terms | {"auth_file": str(document.path.parent.absolute() / auth_file) if auth_file else ""}
 
 
-def _member(server: dict[str, Any]) -> dict[str, Any]:
+def _member_entry(server: dict[str, Any]) -> dict[str, Any]:
     return {
         "id": server["id"], "host_port": server["address"], "locality": server["zone"],
         "flavor": server["kind"], "cell": server["cell"], "size": server["size"], "phase": "ready",
     }  # fmt: skip
 
 
-def _grade(name: str, cls: dict[str, Any]) -> dict[str, Any]:
+def _class_terms(name: str, cls: dict[str, Any]) -> dict[str, Any]:
     return {
         "name": name,
         "repeat": REPEATS[cls["repeat"]],
-        "aimUs": _us(cls["aim_ms"]),
-        "giveUpUs": _us(cls["deadline_ms"]),
-        "windowUs": _us(cls["window_ms"]),
+        "aimUs": _to_us(cls["aim_ms"]),
+        "giveUpUs": _to_us(cls["deadline_ms"]),
+        "windowUs": _to_us(cls["window_ms"]),
         "dedupScope": cls["scope"],
         "credit": cls["worth"],
         "lateWorth": cls["late_worth"],
--- a/tests/daemon/test_configuration.py
+++ b/tests/daemon/test_configuration.py
@@ -1,4 +1,4 @@
-"""The daemon's file: every fault is told, and whatever the bytes are, a fault is all that comes of them."""
+"""Tests of the daemon's file: every fault is reported, and no input raises anything but `BadDocument`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sorrelfront.daemon.channel import MESSAGE_MOST, pair, receive, send
 from sorrelfront.daemon.configuration import (
     FILE_MOST,
-    SERVERS_MOST,
+    MAX_SERVERS,
     BadDocument,
     Document,
     check,
@@ -47,7 +47,7 @@
     return caught.value.lines()
 
 
-def test_the_shipped_file_is_good_and_its_terms_are_an_instances() -> None:
+def test_the_shipped_file_is_valid_and_an_instance_accepts_its_terms() -> None:
     document = read(SHIPPED)
     for number in range(document.daemon["instances"]):
         terms = config.parse(instance_table(document, number))
@@ -58,13 +58,13 @@
     assert len(seeds) == 2
 
 
-def test_a_fixed_list_is_what_the_instance_knows() -> None:
+def test_a_fixed_list_becomes_the_instances_known_servers() -> None:
     terms = config.parse(instance_table(parse(GOOD.encode(), PATH), 0))
     assert [backend.id for backend in terms.known.backends] == ["a"]
     assert terms.known.addresses == {"a": ("127.0.0.1", 9001)} and not terms.settings.subscribe
 
 
-def test_every_fault_is_told_in_one_go_with_file_table_and_key() -> None:
+def test_all_faults_are_reported_at_once_with_file_table_and_key() -> None:
     text = """
     [daemon]
     contol = 1
@@ -77,7 +77,7 @@
     deadline_ms = 1
     [limts]
     """
-    said = faults(text)
+    lines = faults(text)
     for part in (
         "[] limts: is not a key known here; the nearest is 'limits'",
         "[daemon] contol: is not a key known here; the nearest is 'control'",
@@ -88,11 +88,11 @@
         "[classes.a] aim_ms: must not be above deadline_ms",
         "[membership] address: is missing",
     ):
-        assert any(line.startswith(f"{PATH}: ") and part in line for line in said), (part, said)
+        assert any(line.startswith(f"{PATH}: ") and part in line for line in lines), (part, lines)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "fault"),
     [
         ('control = "c.sock"', 'control = "c.sock"\nseed = true', "[daemon] seed: is not a whole number"),
         ('control = "c.sock"', f'control = "{"c" * 200}"', "[daemon] control: is too long"),
@@ -105,34 +105,37 @@
         ('source = "fixed"', "", "goes with source = 'fixed' only"),
     ],
 )
-def test_a_key_is_checked_for_type_range_and_against_others(old: str, new: str, said: str) -> None:
+def test_a_key_is_checked_for_type_range_and_against_other_keys(old: str, new: str, fault: str) -> None:
     assert old in GOOD
-    assert any(said in line for line in faults(GOOD.replace(old, new, 1)))
+    assert any(fault in line for line in faults(GOOD.replace(old, new, 1)))
 
 
-def test_the_longest_file_and_the_most_servers_go_to_an_instance_whole() -> None:
-    """What the pages state: 10,000 servers, 4 MiB of file, and terms that one message holds."""
+def test_the_largest_file_and_list_reach_an_instance_complete() -> None:
+    """Guards the documented limits: 10,000 servers, a file of 4 MiB, and terms that fit one message.
+
+    Terms that exceed the size of a message could not be sent to an instance.
+    """
 
     def text(count: int, length: int) -> bytes:
         name = "n" * length
         rows = ",\n".join(
-            f'{{ id = "{at:05d}{name}", address = "127.0.0.1:{1024 + at}" }}' for at in range(count)
+            f'{{ id = "{n:05d}{name}", address = "127.0.0.1:{1024 + n}" }}' for n in range(count)
         )
         return GOOD.replace('{ id = "a", address = "127.0.0.1:9001" }', rows).encode()
 
-    longest = 123  # of an id's 128 characters, behind five figures
-    while len(text(SERVERS_MOST, longest)) > FILE_MOST:
+    longest = 123  # of an id's 128 characters, after five digits
+    while len(text(MAX_SERVERS, longest)) > FILE_MOST:
         longest -= 1
-    document = parse(text(SERVERS_MOST, longest), PATH)
+    document = parse(text(MAX_SERVERS, longest), PATH)
     terms = Terms(document)
     assert terms.size < MESSAGE_MOST
-    ours, theirs = pair()
-    with ours, theirs:
-        assert send(ours, terms.message("start", "i0", 1))
-        got = receive(theirs)
-        assert got is not None
-        assert len(config.parse(got[0]["table"]).known.backends) == SERVERS_MOST
-    assert any("must be at most 10000" in line for line in faults(text(SERVERS_MOST + 1, 0).decode()))
+    sender, receiver = pair()
+    with sender, receiver:
+        assert send(sender, terms.message("start", "i0", 1))
+        message = receive(receiver)
+        assert message is not None
+        assert len(config.parse(message[0]["table"]).known.backends) == MAX_SERVERS
+    assert any("must be at most 10000" in line for line in faults(text(MAX_SERVERS + 1, 0).decode()))
     assert any("is longer than" in line for line in faults("#" * (FILE_MOST + 1)))
 
 
@@ -150,41 +153,41 @@
         lines = bad.lines()
         assert lines and all(line.startswith(f"{PATH}: ") and "\n" not in line for line in lines)
         return lines
-    for number in range(2):  # a good file has terms that an instance takes
+    for number in range(2):  # an instance must accept the terms of a valid file
         config.parse(instance_table(document, min(number, document.daemon["instances"] - 1)))
     return document
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.binary(max_size=400))
-def test_bytes_end_in_faults(data: bytes) -> None:
+def test_arbitrary_bytes_are_reported_as_faults(data: bytes) -> None:
     outcome(data)
 
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(st.data())
-def test_a_good_file_with_something_changed_ends_in_faults_or_in_terms(data: st.DataObject) -> None:
+def test_a_mutated_valid_file_gives_faults_or_valid_terms(data: st.DataObject) -> None:
     text = SHIPPED.read_text()
     lines = text.split("\n")
     for _ in range(data.draw(st.integers(1, 4))):
-        at = data.draw(st.integers(0, len(lines) - 1))
-        what = data.draw(st.sampled_from(["drop", "twice", "value", "noise"]))
-        if what == "drop":
-            del lines[at]
-        elif what == "twice":
-            lines.insert(at, lines[at])
-        elif what == "value" and "=" in lines[at]:
+        index = data.draw(st.integers(0, len(lines) - 1))
+        mutation = data.draw(st.sampled_from(["drop", "twice", "value", "noise"]))
+        if mutation == "drop":
+            del lines[index]
+        elif mutation == "twice":
+            lines.insert(index, lines[index])
+        elif mutation == "value" and "=" in lines[index]:
             odd = ["-1", "0", "1e400", "nan", "true", '""', "[]", "{}", "9" * 30]
             value = data.draw(st.sampled_from(odd))
-            lines[at] = f"{lines[at].split('=')[0]}= {value}"
+            lines[index] = f"{lines[index].split('=')[0]}= {value}"
         else:
-            lines[at] = data.draw(st.text(max_size=20))
+            lines[index] = data.draw(st.text(max_size=20))
     outcome("\n".join(lines).encode("utf-8", "surrogatepass"))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.sampled_from(["daemon", "listeners", "classes", "limits", "rules", "membership"]), VALUES)
-def test_any_value_in_a_tables_place_is_a_fault(table: str, value: Any) -> None:
+def test_any_value_in_place_of_a_table_raises_only_bad_document(table: str, value: Any) -> None:
     top = tomllib.loads(GOOD)
     top[table] = value
     try:
@@ -201,18 +204,18 @@
 """
 
 
-def test_a_fleets_members_have_ports_names_and_records_of_their_own() -> None:
-    more = 'control = "c.sock"\ninstances = 3\nstate_dir = "s"\nname = "a"'
-    text = GOOD.replace('control = "c.sock"', more)
+def test_fleet_members_have_their_own_ports_names_and_records() -> None:
+    daemon_keys = 'control = "c.sock"\ninstances = 3\nstate_dir = "s"\nname = "a"'
+    text = GOOD.replace('control = "c.sock"', daemon_keys)
     document = parse((text + FLEET + 'advertise = "127.9.0.1:100"\nkey_file = "k"\n').encode(), PATH)
-    told = [instance_table(document, number)["fleet"] for number in range(3)]
-    assert [item["member"] for item in told] == ["a/i0", "a/i1", "a/i2"]
-    assert [item["listen"] for item in told] == ["127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"]
-    assert [item["advertise"] for item in told] == ["127.9.0.1:100", "127.9.0.1:101", "127.9.0.1:102"]
-    assert told[1]["record"] == "/etc/s/view-i1" and told[1]["key_file"] == "/etc/k"
+    fleet_terms = [instance_table(document, number)["fleet"] for number in range(3)]
+    assert [item["member"] for item in fleet_terms] == ["a/i0", "a/i1", "a/i2"]
+    assert [item["listen"] for item in fleet_terms] == ["127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"]
+    assert [item["advertise"] for item in fleet_terms] == ["127.9.0.1:100", "127.9.0.1:101", "127.9.0.1:102"]
+    assert fleet_terms[1]["record"] == "/etc/s/view-i1" and fleet_terms[1]["key_file"] == "/etc/k"
     assert instance_table(parse(GOOD.encode(), PATH), 0)["fleet"] is None
-    same = parse((GOOD + FLEET).encode(), PATH)
-    assert same.fleet is not None and same.fleet["advertise"] == same.fleet["listen"]
+    plain = parse((GOOD + FLEET).encode(), PATH)
+    assert plain.fleet is not None and plain.fleet["advertise"] == plain.fleet["listen"]
 
 
 @pytest.mark.parametrize(
@@ -227,7 +230,7 @@
         ('listen = "127.0.0.1:7946"\nport = 3', "[fleet] port: is not a key known here"),
     ],
 )
-def test_a_fleet_that_cannot_be(changed: str, fault: str) -> None:
-    said = faults(GOOD + FLEET.replace('listen = "127.0.0.1:7946"', changed))
-    assert any(fault in line for line in said), said
+def test_an_invalid_fleet_table_is_reported(changed: str, fault: str) -> None:
+    lines = faults(GOOD + FLEET.replace('listen = "127.0.0.1:7946"', changed))
+    assert any(fault in line for line in lines), lines
     assert faults(GOOD + FLEET.replace('"127.0.0.2:7946"', '"here"'))[0].count("[fleet] join: has 'here'")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""Checks that the Python example in the README runs without changes."""
 
 import re
 from pathlib import Path
