--- a/sorrelfront/daemon/configuration.py
+++ b/sorrelfront/daemon/configuration.py
@@ -170,7 +170,7 @@
 
 
 class Rules(Table, kw_only=True):
-    """[rules]: parameters of the decisions: cold servers, drains, time kept for the answer, first queries."""
+    """[rules]: parameters of the decisions: cold servers, drains, time kept for the answer, list requests."""
 
     answer_slack_ms: Annotated[float, Meta(ge=0, le=10_000)] = 20.0
     cold_from: Annotated[float, Meta(ge=0.001, le=1)] = 0.3
@@ -339,7 +339,7 @@
     cost: Annotated[int, Meta(ge=1, le=1_000_000)] = 1
     capacity: Annotated[int, Meta(ge=1, le=1_000_000)] = 64  # concurrent requests, for each gateway
     lifetime_ms: Annotated[float, Meta(ge=400, le=86_400_000)] = 15_000.0
-    # The group of servers that deduplicates repeats of a key; the gateway's own if empty.
+    # The group that deduplicates repeats of a key; the gateway's own if empty.
     group: Annotated[str, Meta(max_length=64)] = ""
 
 
