--- a/sorrelfront/daemon/ephemeral.py
+++ b/sorrelfront/daemon/ephemeral.py
@@ -1,4 +1,4 @@
-"""What an instance's table says of a ZooKeeper-style service, and the source made from it."""
+"""Create the ZooKeeper membership source that an instance's table describes."""
 
 from __future__ import annotations
 
@@ -15,36 +15,43 @@
 from sorrelfront.sources.zookeeper import Ephemeral, Terms
 from sorrelfront.terms import Config
 
-AUTH_MOST = 512  # bytes of user and password
-# An instance goes by its seat for so many session time-outs after its service fell silent.
-KEEP_SESSIONS = 2.5
+MAX_AUTH_BYTES = 512  # of user and password
+# An instance keeps using its seat for this many session timeouts after its service stopped answering.
+SEAT_RETENTION_SESSIONS = 2.5
 
 
-def secret(path: str) -> str:
-    """`user:password` from a file of its own, so that it stands in no journal and no log. Raises
-    BadConfig."""
+def read_credentials(path: str) -> str:
+    """Read `user:password` from its own file, so that it appears in no journal and no log.
+
+    Raises:
+        BadConfig: The file cannot be read, or is not one line of user:password.
+    """
     if not path:
         return ""
     try:
         with Path(path).open("rb") as file:
-            text = file.read(AUTH_MOST + 1).decode().strip()
+            text = file.read(MAX_AUTH_BYTES + 1).decode().strip()
     except (OSError, UnicodeDecodeError) as fault:
         raise BadConfig(f"membership.auth_file: {path}: {fault}") from None
     user, colon, password = text.partition(":")
-    if not user or not colon or not password or len(text) > AUTH_MOST or "\n" in text:
+    if not user or not colon or not password or len(text) > MAX_AUTH_BYTES or "\n" in text:
         raise BadConfig(f"membership.auth_file: {path}: not one line of user:password")
     return text
 
 
-def terms(table: dict[str, Any]) -> Terms:
-    """Raises BadConfig if the file with the secret cannot be read."""
+def source_settings(table: dict[str, Any]) -> Terms:
+    """Return the source's settings from an instance's table.
+
+    Raises:
+        BadConfig: The file with the credentials cannot be read.
+    """
     session_us = int(table["session_ms"] * 1000)
     return Terms(
         session=net.Terms(
             hosts=tuple(parse_address(host) for host in table["hosts"]),
             timeout_s=session_us / 1e6,
             chroot=table["chroot"],
-            auth=secret(table["auth_file"]),
+            auth=read_credentials(table["auth_file"]),
         ),
         path=table["path"],
         fleet=table["fleet"],
@@ -54,16 +61,20 @@
             doubt_us=int(table["doubt_ms"] * 1000),
         ),
         seats=places.Terms(
-            hole_us=int(table["hole_ms"] * 1000), keep_us=int(KEEP_SESSIONS * session_us)
+            hole_us=int(table["hole_ms"] * 1000), keep_us=int(SEAT_RETENTION_SESSIONS * session_us)
         ),
     )
 
 
-def made(
-    by: Terms,
+def create_source(
+    settings: Terms,
     config: Config,
     evidence: membership.Evidence,
     on_update: Callable[[Update], None],
-    sit: Callable[[int | None], None],
+    set_seat: Callable[[int | None], None],
 ) -> Ephemeral:
-    return Ephemeral(by, config.seed, config.name, Clock(), evidence, on_update, sit)
+    """Return a source of ephemeral nodes.
+
+    `evidence` tells what attempts show of a server, `set_seat` is called with the instance's seat.
+    """
+    return Ephemeral(settings, config.seed, config.name, Clock(), evidence, on_update, set_seat)
--- a/sorrelfront/daemon/fleet.py
+++ b/sorrelfront/daemon/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet's processes and listening sockets: started, adopted, told, asked, and seen to end.
+"""Manage the instances' processes and their listening sockets.
 
-Carries out what `decisions.supervision` decides and decides nothing itself. A process is held by a descriptor
-that never names another one (pidfd), whether it is this program's child or was adopted.
+Executes the actions of `decisions.supervision` and makes no decisions itself. Each process, whether a child
+of this program or adopted, is referred to by a pidfd, which can never refer to another process.
 """
 
 from __future__ import annotations
@@ -35,17 +35,18 @@
 log = logging.getLogger("sorrelfront.daemon")
 
 INSTANCE = [sys.executable, "-m", "sorrelfront.daemon.instance"]  # the command, before its arguments
-STOP_MORE_S = 1.0  # past the longest deadline and the listener's own time: a busy core, and the last steps
+# Added to the longest deadline and the listener's own close time, for a busy core and the final steps.
+STOP_MARGIN_S = 1.0
 
 
 class CannotStart(SorrelfrontError):
-    """A start that cannot be made, in one line."""
+    """The daemon cannot start; the message is one line."""
 
     remedy = "Mend what is named, an address in use or a folder that cannot be written, and start again."
 
 
 class Unanswered(SorrelfrontError):
-    """An instance did not say in time; or it ended, if `ended`."""
+    """An instance did not answer in time or, if `ended`, its process ended."""
 
     remedy = "Look at the instance's log and at the load of this machine; it is started again by itself."
 
@@ -56,27 +57,39 @@
 
 @dataclass(slots=True)
 class Run:
-    """One process of an instance."""
+    """One process of an instance.
+
+    Attributes:
+        number: The number of this run of the instance.
+        generation: The generation of the document whose configuration it uses; -1 while it is not known.
+        ticks: The process's start time in clock ticks, which tells it from a later process with the same pid.
+        child: The process handle, None if the process was adopted.
+        figures: The status of the latest heartbeat.
+        pending: Requests without an answer so far, by id.
+    """
 
     number: int
     pid: int
     pidfd: int
     channel: socket.socket
-    generation: int  # of the document that it goes by
+    generation: int
     ticks: int | None = None
-    child: subprocess.Popen[bytes] | None = None  # None: adopted
+    child: subprocess.Popen[bytes] | None = None
     figures: dict[str, Any] = field(default_factory=dict)
-    asked: dict[int, asyncio.Future[Message]] = field(default_factory=dict)
+    pending: dict[int, asyncio.Future[Message]] = field(default_factory=dict)
 
     def kill(self) -> None:
+        """Send SIGKILL to the process."""
         send_signal(self.pidfd, signal.SIGKILL)
 
 
 def now_us() -> int:
+    """Return the monotonic time in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-def policy_of(document: Document) -> Policy:
+def supervision_policy(document: Document) -> Policy:
+    """Return the supervision policy that the document's [daemon] table describes."""
     daemon = document.daemon
     return Policy(
         start_within_us=daemon["start_within_ms"] * 1000,
@@ -86,8 +99,12 @@
     )
 
 
-def listen(address: Address, name: str) -> socket.socket:
-    """Raises CannotStart."""
+def bind_listener(address: Address, name: str) -> socket.socket:
+    """Return a non-blocking socket that listens on `address`.
+
+    Raises:
+        CannotStart: The address cannot be bound.
+    """
     try:
         sock = socket.create_server(address, backlog=BACKLOG)
     except OSError as fault:
@@ -97,88 +114,102 @@
     return sock
 
 
-class Terms:
-    """What a document has an instance do; the list of servers, which may be long, is worded once for all."""
+class InstanceConfig:
+    """The configuration that a document gives to instances.
+
+    The list of servers, which may be long, is encoded once for all instances.
+    """
 
     def __init__(self, document: Document) -> None:
         self.document = document
         table = instance_table(document, 0)
-        self._known = msgspec.Raw(msgspec.json.encode(table["known"]))
-        whole = msgspec.json.encode([table, document.daemon["orphan_ms"], document.log], order="sorted")
-        self.size = len(whole)  # bytes, as good as
-        self.digest = hashlib.blake2b(whole, digest_size=16).hexdigest()
+        self._encoded_known = msgspec.Raw(msgspec.json.encode(table["known"]))
+        encoded = msgspec.json.encode([table, document.daemon["orphan_ms"], document.log], order="sorted")
+        self.size = len(encoded)  # bytes, approximately those of a message
+        self.digest = hashlib.blake2b(encoded, digest_size=16).hexdigest()
 
     def message(self, op: str, name: str, generation: int) -> Message:
-        """Everything but the listening sockets, which travel beside it."""
+        """Return the message that configures one instance; its sockets are passed as descriptors."""
         number = self.document.names.index(name)
         return {
-            "op": op, "table": instance_table(self.document, number, self._known), "generation": generation,
-            "digest": self.digest, "orphan_ms": self.document.daemon["orphan_ms"], "log": self.document.log,
+            "op": op, "table": instance_table(self.document, number, self._encoded_known),
+            "generation": generation, "digest": self.digest,
+            "orphan_ms": self.document.daemon["orphan_ms"], "log": self.document.log,
         }  # fmt: skip
 
 
 class Fleet:
-    """Sockets and processes of one daemon.
+    """The sockets and processes of one daemon.
 
-    `changed` is called whenever what supervision decided has been carried out, `spawned` when the set of
-    processes is another one.
+    `changed` is called after the actions of supervision have been executed, `spawned` after the set of
+    processes has changed.
     """
 
     def __init__(self, document: Document, folder: Path) -> None:
-        self.terms = Terms(document)
+        self.terms = InstanceConfig(document)
         self.folder = folder
         self.generation = 0
-        self.provisional = False  # another program is still in charge of the sockets
-        self.handed_over = False  # another program accepts from here on
-        self.learnt: dict[str, str] = {}  # by instance, for its next start; "" is for any
+        self.provisional = False  # the program to be replaced still controls the sockets
+        self.handed_over = False  # a replacement accepts connections from now on
+        self.learnt: dict[str, str] = {}  # estimates by instance, for its next start; "" is any
         self.sockets: dict[Address, socket.socket] = {}
         self.runs: dict[str, Run] = {}
-        self.decide = Supervisor(document.names, policy_of(document), document.daemon["seed"], now_us())
+        self.decide = Supervisor(
+            document.names, supervision_policy(document), document.daemon["seed"], now_us()
+        )
         self.changed: Callable[[], None] = lambda: None
         self.spawned: Callable[[], None] = lambda: None
         self._timer: asyncio.TimerHandle | None = None
-        self._count = 0
+        self._last_request_id = 0
 
     @property
     def document(self) -> Document:
+        """The document in force."""
         return self.terms.document
 
     @property
     def all_ready(self) -> bool:
+        """Whether every instance of the document in force is ready."""
         return len(set(self.decide.ready) & set(self.document.names)) == len(self.document.names)
 
     @property
     def stop_within_us(self) -> int:
-        more_s = GOING_AWAY_S + GOING_AWAY_MORE_S + STOP_MORE_S
-        return self.document.longest_deadline_us + int(more_s * 1e6)
+        """The time in microseconds within which an instance that was told to stop has to end."""
+        margin_s = GOING_AWAY_S + GOING_AWAY_MORE_S + STOP_MARGIN_S
+        return self.document.longest_deadline_us + int(margin_s * 1e6)
 
     # Sockets
 
     def open(self, passed: list[tuple[str, socket.socket]]) -> None:
-        """The sockets of all listeners that are not held yet, those that the service manager has passed
-        first. Raises CannotStart."""
+        """Open the sockets of all listeners that are not open yet.
+
+        Sockets that the service manager passed are used first; those that no listener needs are closed.
+
+        Raises:
+            CannotStart: An address cannot be bound; all sockets are closed then.
+        """
         wanted = self.document.addresses
         for name, sock in passed:
             address = wanted.get(name)
-            held = sock.getsockname()
-            if address is None and held in wanted.values():
-                address = held
+            bound_to = sock.getsockname()
+            if address is None and bound_to in wanted.values():
+                address = bound_to
             if address is not None and address not in self.sockets:
                 self.sockets[address] = sock
                 continue
             if address is None:
-                log.warning("the service manager passed a socket that no listener names: %s:%d", *held)
+                log.warning("the service manager passed a socket that no listener names: %s:%d", *bound_to)
             sock.close()
         try:
             for name, address in wanted.items():
                 if address not in self.sockets:
-                    self.sockets[address] = listen(address, name)
+                    self.sockets[address] = bind_listener(address, name)
         except CannotStart:
             self.close_sockets(list(self.sockets))
             raise
 
     def take_socket(self, sock: socket.socket) -> None:
-        """One that another process listens on too; it is this program's from here on, or closed."""
+        """Use a socket received from another process that listens on it too, or close it if not needed."""
         address = sock.getsockname()
         if address in self.document.addresses.values() and address not in self.sockets:
             sock.setblocking(False)
@@ -187,25 +218,27 @@
             sock.close()
 
     def close_sockets(self, addresses: list[Address]) -> None:
+        """Close the listening sockets of these addresses. Raises KeyError if one is not open."""
         for address in addresses:
             self.sockets.pop(address).close()
 
-    # Deciding and doing
+    # Supervision
 
     def do(self, actions: list[supervision.Action]) -> None:
+        """Execute these actions and set the timer for the next decision."""
         for action in actions:
             match action:
                 case Start(name, number):
                     self._start(name, number)
                 case Stop(name, number):
-                    run = self.run_of(name, number)
+                    run = self.find_run(name, number)
                     if run is not None:
                         others = self.handed_over or not self.decide.stopping
-                        # Whoever is replaced does not leave the fleet: another goes by its name at once.
+                        # A replaced instance does not leave the fleet: its successor has the same name.
                         leave = not self.handed_over
                         send(run.channel, {"op": "stop", "others": others, "leave": leave})
                 case Kill(name, number, _):
-                    run = self.run_of(name, number)
+                    run = self.find_run(name, number)
                     if run is not None:
                         run.kill()
                 case Report(name, what):
@@ -224,7 +257,8 @@
                 delay, lambda: self.do(self.decide.on_time(now_us()))
             )
 
-    def run_of(self, name: str, number: int) -> Run | None:
+    def find_run(self, name: str, number: int) -> Run | None:
+        """Return the instance's process if it is this run, else None."""
         run = self.runs.get(name)
         return run if run is not None and run.number == number else None
 
@@ -247,35 +281,38 @@
             return
         finally:
             theirs.close()
-        pidfd = os.pidfd_open(child.pid)  # not reaped yet, so it is this one
+        pidfd = os.pidfd_open(child.pid)  # not reaped yet, so the pid is still its own
         run = Run(number, child.pid, pidfd, ours, self.generation, start_ticks(child.pid), child)
-        self._attend(name, run)
+        self._watch_process(name, run)
         message = self.terms.message("start", name, self.generation)
         message["provisional"] = self.provisional
         learnt = self.learnt.get(name) or self.learnt.get("")
         if learnt:
             message["learnt"] = learnt
-        started = self._request(run, message, [sock.fileno() for sock in self._listed()])
+        started = self._request(run, message, [sock.fileno() for sock in self._listening_sockets()])
         started.add_done_callback(lambda done: self._on_started(name, run, done))
 
-    def _listed(self) -> list[socket.socket]:
+    def _listening_sockets(self) -> list[socket.socket]:
         return [self.sockets[item] for item in self.document.addresses.values() if item in self.sockets]
 
-    def _attend(self, name: str, run: Run) -> None:
-        """Listen to this process, and for its end."""
+    def _watch_process(self, name: str, run: Run) -> None:
+        """Record this process, and watch its channel and its end."""
         self.runs[name] = run
         loop = asyncio.get_running_loop()
         loop.add_reader(run.pidfd, self._on_end, name, run)
-        loop.add_reader(run.channel.fileno(), self._heard, name, run)
+        loop.add_reader(run.channel.fileno(), self._on_readable, name, run)
         self.spawned()
 
     def adopt(self, name: str, run: Run, ready: bool) -> None:
-        """A process that an earlier supervisor started; it has taken `run.channel` as its own. Raises
-        ValueError if the instance has a process already."""
+        """Take charge of a process that an earlier supervisor started and that uses `run.channel` already.
+
+        Raises:
+            ValueError: The instance has a process already.
+        """
         self.decide.on_adopted(name, run.number, ready, now_us())
-        self._attend(name, run)
+        self._watch_process(name, run)
         if run.number and not ready:
-            # It has its terms, and tells when it has them in force by its first sign of life.
+            # Its configuration was sent already; its first heartbeat shows that it is in force.
             run.generation = -1
 
     def _on_started(self, name: str, run: Run, done: asyncio.Future[Message]) -> None:
@@ -283,39 +320,43 @@
             return
         fault = done.result().get("fault")
         if fault is not None:
-            log.warning("%s cannot take its terms: %s", name, fault, extra={"instance": name})
+            log.warning("%s rejected its configuration: %s", name, fault, extra={"instance": name})
             run.kill()
             return
         self.do(self.decide.on_ready(name, run.number, now_us()))
         if run.generation != self.generation and name in self.document.names:
-            # It was started by a file that has been replaced meanwhile.
+            # The file that it was started with has been replaced meanwhile.
             self.retake(name, run)
 
     def retake(self, name: str, run: Run) -> None:
-        """Have it go by the file in force, without waiting for it."""
+        """Send it the configuration in force and commit it, without waiting for the answer."""
         run.generation = self.generation
-        future = self._request(run, *self._reload_words(name, self.terms, self.generation, self.sockets))
+        future = self._request(run, *self._reload_message(name, self.terms, self.generation, self.sockets))
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
         send(run.channel, {"op": "commit"})
 
-    # Asking
+    # Requests to instances
 
     def _request(
         self, run: Run, message: Message, descriptors: list[int] | None = None
     ) -> asyncio.Future[Message]:
-        """Say it, and have the answer in a future, which is cancelled at the process's end."""
-        self._count += 1
+        """Send a request. The returned future holds the answer and is cancelled when the process ends."""
+        self._last_request_id += 1
         answer: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        run.asked[self._count] = answer
-        if not send(run.channel, {**message, "id": self._count}, descriptors):
-            del run.asked[self._count]
+        run.pending[self._last_request_id] = answer
+        if not send(run.channel, {**message, "id": self._last_request_id}, descriptors):
+            del run.pending[self._last_request_id]
             answer.set_exception(Unanswered(ended=False))
         return answer
 
     async def ask(
         self, run: Run, message: Message, within_s: float, descriptors: list[int] | None = None
     ) -> Message:
-        """Raises Unanswered."""
+        """Send a request and return its answer.
+
+        Raises:
+            Unanswered: There was no answer within `within_s` seconds, or the process ended.
+        """
         answer = self._request(run, message, descriptors)
         try:
             async with asyncio.timeout(within_s):
@@ -327,54 +368,64 @@
                 raise Unanswered(ended=True) from None
             raise
         finally:
-            for number in [number for number, item in run.asked.items() if item is answer]:
-                del run.asked[number]
+            for number in [number for number, item in run.pending.items() if item is answer]:
+                del run.pending[number]
 
-    def _reload_words(
-        self, name: str, terms: Terms, generation: int, sockets: dict[Address, socket.socket]
+    def _reload_message(
+        self, name: str, config: InstanceConfig, generation: int, sockets: dict[Address, socket.socket]
     ) -> tuple[Message, list[int]]:
-        listed = [sockets[item] for item in terms.document.addresses.values() if item in sockets]
-        return terms.message("reload", name, generation), [sock.fileno() for sock in listed]
-
-    async def give(
-        self, run: Run, name: str, terms: Terms, generation: int, sockets: dict[Address, socket.socket]
+        listed = [sockets[item] for item in config.document.addresses.values() if item in sockets]
+        return config.message("reload", name, generation), [sock.fileno() for sock in listed]
+
+    async def send_config(
+        self,
+        run: Run,
+        name: str,
+        config: InstanceConfig,
+        generation: int,
+        sockets: dict[Address, socket.socket],
     ) -> str | None:
-        """Have one instance take a file; the fault if it cannot. One that ends meanwhile has none: what comes
-        in its place starts by the file in force."""
-        words = self._reload_words(name, terms, generation, sockets)
+        """Have one instance apply a configuration, and return the fault if it cannot.
+
+        An instance that ends meanwhile has no fault: its next process starts with the file in force.
+
+        Raises:
+            asyncio.CancelledError: The instance ended because the daemon is stopping.
+        """
+        request = self._reload_message(name, config, generation, sockets)
         try:
             within_s = self.document.daemon["reload_within_ms"] / 1e3
-            fault = (await self.ask(run, words[0], within_s, words[1])).get("fault")
+            fault = (await self.ask(run, request[0], within_s, request[1])).get("fault")
             return None if fault is None else str(fault)
-        except Unanswered as silent:
-            if not silent.ended:
+        except Unanswered as unanswered:
+            if not unanswered.ended:
                 return "it did not take the file in time"
             if self.decide.stopping:
                 raise asyncio.CancelledError from None
             return None
 
-    def _heard(self, name: str, run: Run) -> None:
+    def _on_readable(self, name: str, run: Run) -> None:
         try:
-            got = receive(run.channel)
+            received = receive(run.channel)
         except BlockingIOError:
             return
         except BadMessage as fault:
             log.warning("%s: %s", name, fault, extra={"instance": name})
             return
-        if got is None:
+        if received is None:
             asyncio.get_running_loop().remove_reader(run.channel.fileno())
             return
-        message, descriptors = got
+        message, descriptors = received
         for descriptor in descriptors:
             os.close(descriptor)
         if message.get("op") == "beat" and isinstance(message.get("figures"), dict):
             run.figures = message["figures"]
-            if run.generation < 0:  # adopted while it started
+            if run.generation < 0:  # it was adopted while it started
                 run.generation = self.generation
                 self.do(self.decide.on_ready(name, run.number, now_us()))
             self.do(self.decide.on_beat(name, run.number, now_us()))
         else:
-            answer = run.asked.pop(message.get("id", 0), None)
+            answer = run.pending.pop(message.get("id", 0), None)
             if answer is not None and not answer.done():
                 answer.set_result(message)
 
@@ -385,33 +436,35 @@
         os.close(run.pidfd)
         loop.remove_reader(run.channel.fileno())
         run.channel.close()
-        for answer in run.asked.values():
+        for answer in run.pending.values():
             answer.cancel()
         if self.runs.get(name) is run:
             del self.runs[name]
         with contextlib.suppress(OSError):
             (self.folder / f"{name.partition('@')[0]}-{run.pid}.sock").unlink(missing_ok=True)
-        how = "" if code is None else f" with {code}"
-        log.info("%s ended%s", name, how, extra={"instance": name, "run": run.number})
+        suffix = "" if code is None else f" with {code}"
+        log.info("%s ended%s", name, suffix, extra={"instance": name, "run": run.number})
         self.spawned()
         self.do(self.decide.on_end(name, run.number, now_us()))
 
-    # All of them
+    # All instances
 
     def tell_all(self, message: Message) -> None:
+        """Send a message to every process."""
         for run in self.runs.values():
             send(run.channel, message)
 
     def kill_all(self) -> None:
+        """Send SIGKILL to every process."""
         for run in self.runs.values():
             run.kill()
 
     def instances(self) -> list[dict[str, Any]]:
-        """For status."""
-        told = []
+        """Return one row for each instance, as `ctl status` shows it."""
+        rows = []
         for item in self.decide.standings():
             run = self.runs.get(item.name)
-            told.append(
+            rows.append(
                 {
                     "name": item.name, "phase": item.phase.value, "run": item.run, "failures": item.failures,
                     "crash_loop": item.looping, "pid": run.pid if run else None,
@@ -419,10 +472,10 @@
                     **(run.figures if run and item.phase is not Phase.STARTING else {}),
                 }
             )  # fmt: skip
-        return told
+        return rows
 
 
 def adopted_run(pid: int, ticks: int, channel: socket.socket, number: int, generation: int) -> Run | None:
-    """A handle on a process that another supervisor started; None if it is gone by now."""
+    """Return a handle on a process that another supervisor started, or None if the process has ended."""
     pidfd = open_process(pid, ticks)
     return None if pidfd is None else Run(number, pid, pidfd, channel, generation, ticks)
--- a/sorrelfront/daemon/instance.py
+++ b/sorrelfront/daemon/instance.py
@@ -1,10 +1,11 @@
-"""One instance: a process with one balancer, told by its supervisor over a channel what to do.
-
-`python -m sorrelfront.daemon.instance FD NAME RUN FOLDER FORMAT LEVEL`, started by the supervisor alone.
-When the channel ends, the supervisor is gone: the instance serves on by the terms that it has, for
-`orphan_ms`, and can be found at its door (`door.py`) by the supervisor that comes next. Nobody having come,
-it finishes what it owes and ends. Risk: an orphan serves on by old terms; hence the bound. An instance
-without terms, or one whose supervisor was not in charge yet (a replacement under way), ends at once.
+"""One instance: a process with one balancer, controlled by its supervisor over a channel.
+
+`python -m sorrelfront.daemon.instance FD NAME RUN FOLDER FORMAT LEVEL`, started by the supervisor only.
+The end of the channel means that the supervisor has ended. The instance then goes on serving with its current
+configuration for `orphan_ms`, and the next supervisor can adopt it through its own socket (`door.py`). If
+none does, it completes its requests in flight and ends: the time is bounded because an orphan serves with an
+old configuration. An instance without a configuration, or whose supervisor was not in charge yet (during a
+replacement), drains and ends without this wait.
 """
 
 from __future__ import annotations
@@ -49,34 +50,41 @@
 
 log = logging.getLogger("sorrelfront.instance")
 
-BEAT_S = 0.25  # between signs of life, each with the figures for status
-FLUSH_S = 0.3  # for answers to leave, when all that is owed has been failed
+HEARTBEAT_INTERVAL_S = 0.25  # between heartbeats, each with the figures for status
+FLUSH_DELAY_S = 0.3  # for the answers to be sent after all requests in flight were failed
 
 
 class FixedList:
-    """A membership source whose list never changes but by a reload."""
+    """A membership source whose list changes only by a reload."""
 
     def __init__(self, config: Config, on_update: Any) -> None:
         self._known = config.known
         self._on_update = on_update
 
     def subscribe(self) -> None:
+        """Deliver the list."""
         self._on_update(self._known)
 
     def reload(self, config: Config) -> None:
+        """Deliver the list of the new configuration if it differs."""
         if config.known != self._known:
             self._known = config.known
             self._on_update(self._known)
 
     def close(self) -> None:
+        """Do nothing: the source holds no resources."""
         pass
 
 
 class Instance:
-    """The parts of one instance, and what its supervisor may have it do."""
+    """The components of one instance and the operations that its supervisor can request."""
 
     def __init__(self, channel: socket.socket, name: str, run: int, folder: Path) -> None:
-        """Raises OSError if its door cannot be opened."""
+        """Open the adoption socket.
+
+        Raises:
+            OSError: That socket cannot be opened.
+        """
         self._channel: socket.socket | None = channel
         self._name = name
         self._run = run
@@ -85,34 +93,37 @@
         self._provisional = True  # the supervisor is not in charge yet
         self._orphan_s = 0.0
         self._orphan_timer: asyncio.TimerHandle | None = None
-        self._door = Door(folder, name, self._hello, self._adopted, self._others_come)
+        self._adoption_socket = Door(
+            folder, name, self._hello_message, self._accept_supervisor, self._on_sockets_taken
+        )
         self._agent: Agent | None = None
         self._table: Message = {}
         self._config: Config | None = None
         self._listeners: dict[Address, Listener] = {}
-        self._wanted: set[Address] = set()
-        self._learnt: object = None  # a snapshot that waits for the list
-        self._leaving: set[asyncio.Task[None]] = set()  # listeners that were moved away, while they end
-        self._bodies: BodyBudget | None = None
-        self._ephemeral: Ephemeral | None = None  # the source, if it is one of ephemeral nodes
-        self._registry: registry.Discovery | None = None  # the same, if it is a watch
-        self._tell_list: Callable[[Update], None] = lambda update: None  # to the agent
-        self._seat: int | None = None  # among the instances, if the service says
-        self._fellow: Fellow | None = None  # among the members of its fleet, if the file has one
-        self._governed: Governed | None = None  # by the fleet's policy, if it has voters
-        self._frontier: Frontier | None = None  # with partner sites, if the file has [site]
-        self._answering_policy: set[asyncio.Task[None]] = set()
-        self._leave = False  # the fleet is told that it goes for good
-        self.going_away = asyncio.Event()
-        self.at_once = False
-        self.others = False
+        self._current_addresses: set[Address] = set()
+        self._pending_estimates: object = None  # a snapshot to be adopted once the list is known
+        self._closing_listeners: set[asyncio.Task[None]] = set()  # of listeners that a reload removed
+        self._body_budget: BodyBudget | None = None
+        self._zookeeper_source: Ephemeral | None = None  # the membership source, if it is ZooKeeper
+        self._registry_source: registry.Discovery | None = None  # the same, if it is the registry
+        self._update_agent: Callable[[Update], None] = lambda update: None  # delivers to the agent
+        self._seat: int | None = None  # among the instances, if ZooKeeper assigns it
+        self._fleet_member: Fellow | None = None  # if the file has [fleet]
+        self._policy_overlay: Governed | None = None  # if the fleet has voters
+        self._partner_sites: Frontier | None = None  # if the file has [site]
+        self._policy_tasks: set[asyncio.Task[None]] = set()
+        self._leave_fleet = False  # whether to tell the fleet that this member leaves
+        self.stop_requested = asyncio.Event()
+        self.abort_requested = False
+        self.others_accept = False
 
     def watch(self) -> None:
+        """Watch the channel for messages of the supervisor."""
         assert self._channel is not None
-        asyncio.get_running_loop().add_reader(self._channel.fileno(), self._heard)
+        asyncio.get_running_loop().add_reader(self._channel.fileno(), self._on_readable)
 
-    def say(self, message: Message) -> None:
-        """To the supervisor, if there is one."""
+    def send_to_supervisor(self, message: Message) -> None:
+        """Send a message to the supervisor, if there is one."""
         if self._channel is not None:
             send(self._channel, message)
 
@@ -120,35 +131,36 @@
 
     @property
     def life(self) -> Life:
-        if self.going_away.is_set():
+        """Whether the instance is starting, ready or leaving."""
+        if self.stop_requested.is_set():
             return Life.LEAVING
         return Life.STARTING if self._agent is None else Life.READY
 
-    def _orphaned(self) -> None:
-        """The channel has ended."""
+    def _on_supervisor_lost(self) -> None:
+        """Serve on for a bounded time, or drain, after the channel has ended."""
         channel, self._channel = self._channel, None
         assert channel is not None
         asyncio.get_running_loop().remove_reader(channel.fileno())
         channel.close()
-        if self.going_away.is_set():
+        if self.stop_requested.is_set():
             return
         if self._agent is None or self._provisional or self._orphan_s <= 0:
-            log.warning("the supervisor is gone; draining")
-            self.others = self._provisional  # those of the program before go on accepting
-            self.going_away.set()
+            log.warning("the supervisor has ended; draining")
+            self.others_accept = self._provisional  # the running program's instances go on accepting
+            self.stop_requested.set()
             return
-        log.warning("the supervisor is gone; serving on for %g s", self._orphan_s)
-        self._orphan_timer = asyncio.get_running_loop().call_later(self._orphan_s, self._nobody_came)
+        log.warning("the supervisor has ended; serving on for %g s", self._orphan_s)
+        self._orphan_timer = asyncio.get_running_loop().call_later(self._orphan_s, self._on_orphan_timeout)
 
-    def _nobody_came(self) -> None:
+    def _on_orphan_timeout(self) -> None:
         log.warning("no supervisor came; draining")
-        self._leave = True
-        self.going_away.set()
+        self._leave_fleet = True
+        self.stop_requested.set()
 
-    def _hello(self) -> tuple[Message, list[int]]:
-        """What a supervisor asks of one that it does not know."""
+    def _hello_message(self) -> tuple[Message, list[int]]:
+        """Return what a new supervisor needs to know of this instance, and its listening sockets."""
         if self._channel is not None:
-            self._heard()  # its end may be known to the kernel only
+            self._on_readable()  # the channel may have ended, unread so far
         listeners = [*self._listeners.values()]
         message = {
             "op": "hello", "protocol": PROTOCOL, "name": self._name, "pid": os.getpid(), "run": self._run,
@@ -157,260 +169,277 @@
         }  # fmt: skip
         return message, [item.fileno() for item in listeners if item.fileno() >= 0]
 
-    def _others_come(self) -> None:
-        """A supervisor has taken the listening sockets; if this one is leaving, it leaves the queue to it."""
-        if self.going_away.is_set():
-            self.others = True
+    def _on_sockets_taken(self) -> None:
+        """If this instance is stopping, leave queued connections to the new owner of the sockets."""
+        if self.stop_requested.is_set():
+            self.others_accept = True
             for listener in self._listeners.values():
                 listener.hand_over()
 
-    def _adopted(self, message: Message, channel: socket.socket) -> str | None:
-        """Take this connection as the channel, or tell why not."""
+    def _accept_supervisor(self, message: Message, channel: socket.socket) -> str | None:
+        """Use this connection as the channel, or return why not."""
         if self._channel is not None:
-            self._heard()
+            self._on_readable()
         if self._channel is not None:
             return "it has a supervisor"
-        if self.going_away.is_set():
+        if self.stop_requested.is_set():
             return "it is leaving already"
         if self._orphan_timer is not None:
             self._orphan_timer.cancel()
             self._orphan_timer = None
         self._channel = channel
         self._provisional = False
-        asyncio.get_running_loop().call_soon(self.watch)  # once the door has let go of it
+        asyncio.get_running_loop().call_soon(self.watch)  # once the adoption socket no longer watches it
         log.info("another supervisor has taken over")
         return None
 
-    # Told by the supervisor
+    # Messages of the supervisor
 
-    def _heard(self) -> None:
+    def _on_readable(self) -> None:
         while self._channel is not None:
             try:
-                got = receive(self._channel)
+                received = receive(self._channel)
             except BlockingIOError:
                 return
             except BadMessage as fault:
                 log.warning("%s", fault)
                 continue
-            if got is None:
-                self._orphaned()
+            if received is None:
+                self._on_supervisor_lost()
                 return
-            self._told(*got)
+            self._handle_message(*received)
 
-    def _told(self, message: Message, descriptors: list[int]) -> None:
+    def _handle_message(self, message: Message, descriptors: list[int]) -> None:
         sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
         match message.get("op"):
-            case "start" | "reload" | "commit" if self.going_away.is_set():
-                # Risk: listeners that are being closed would be closed again, or opened.
+            case "start" | "reload" | "commit" if self.stop_requested.is_set():
+                # Otherwise listeners that are being closed would be closed again, or opened.
                 for sock in sockets:
                     sock.close()
             case "start" | "reload":
-                self._take(message, sockets)
+                self._apply_config(message, sockets)
             case "commit":
-                self._settle()
+                self._commit()
             case "charge":
                 self._provisional = False
             case "learnt":
-                self._tell_learnt(message.get("id"))
+                self._send_estimates(message.get("id"))
             case "members":
                 after = message.get("after")
-                told = self._fellow.told(after if isinstance(after, int) else 0) if self._fellow else {}
-                self.say({"op": "members", "id": message.get("id"), **told})
+                reply = (
+                    self._fleet_member.told(after if isinstance(after, int) else 0)
+                    if self._fleet_member
+                    else {}
+                )
+                self.send_to_supervisor({"op": "members", "id": message.get("id"), **reply})
             case "policy":
-                task = asyncio.get_running_loop().create_task(self._policy(message))
-                self._answering_policy.add(task)
-                task.add_done_callback(self._answering_policy.discard)
+                task = asyncio.get_running_loop().create_task(self._answer_policy_command(message))
+                self._policy_tasks.add(task)
+                task.add_done_callback(self._policy_tasks.discard)
             case "stop":
-                self._leave = bool(message.get("leave"))
-                self.others = bool(message.get("others"))
-                self.going_away.set()
+                self._leave_fleet = bool(message.get("leave"))
+                self.others_accept = bool(message.get("others"))
+                self.stop_requested.set()
             case "abort":
-                self.at_once = True
-                self.going_away.set()
+                self.abort_requested = True
+                self.stop_requested.set()
             case other:
-                log.warning("the supervisor said what is not known here: %s", other)
+                log.warning("unknown message from the supervisor: %s", other)
 
-    def _take(self, message: Message, sockets: list[socket.socket]) -> None:
-        """Go by these terms, or tell why not; then the ones before stay."""
+    def _apply_config(self, message: Message, sockets: list[socket.socket]) -> None:
+        """Apply a configuration, or report why not and keep the one before."""
         fault = None
         before = (self._config, self._table) if self._config is not None else None
         try:
-            governed = self._governed
+            governed = self._policy_overlay
             config = parse(message["table"] if governed is None else governed.terms(message["table"]))
             if self._agent is None:
-                self._learnt = message.get("learnt")
+                self._pending_estimates = message.get("learnt")
                 self._provisional = bool(message.get("provisional"))
-                self._begin(config, message["table"])
+                self._start_agent(config, message["table"])
             else:
-                self._change(config, message["table"])
-            self._listen(config, sockets)
+                self._reconfigure(config, message["table"])
+            self._update_listeners(config, sockets)
             self._generation, self._digest = int(message["generation"]), str(message["digest"])
             self._orphan_s = float(message["orphan_ms"]) / 1e3
-            self._log_by(message["log"])
+            self._configure_logging(message["log"])
         except BadConfig as bad:
             fault = str(bad)
         except Exception as failed:
-            log.exception("taking new terms failed")
+            log.exception("applying a new configuration failed")
             fault = f"{type(failed).__name__}: {failed}"
         finally:
             if fault is not None and before is not None and self._agent is not None:
                 self._config, self._table = before
                 if self._config is not None:
                     self._agent.reload(self._config)
-                    self._sit(self._seat)
+                    self._set_seat(self._seat)
             for sock in sockets:
                 if fault is not None or not any(item.owns(sock) for item in self._listeners.values()):
                     sock.close()
-        self.say({"op": "taken", "id": message.get("id"), "fault": fault})
+        self.send_to_supervisor({"op": "taken", "id": message.get("id"), "fault": fault})
 
-    def _log_by(self, told: dict[str, str]) -> None:
+    def _configure_logging(self, settings: dict[str, str]) -> None:
         logs.configure(
-            told["format"], told["level"], instance=self._name, run=self._run, generation=self._generation
+            settings["format"],
+            settings["level"],
+            instance=self._name,
+            run=self._run,
+            generation=self._generation,
         )
 
-    def _begin(self, config: Config, table: Message) -> None:
+    def _start_agent(self, config: Config, table: Message) -> None:
         descriptors = Descriptors(config.sockets)
         upstream = Upstream(descriptors.backends, config.idle_us, config.settings.connect_timeout_us)
-        self._bodies = BodyBudget(config.memory_bytes)
-        self._table = table  # says which source it is
+        self._body_budget = BodyBudget(config.memory_bytes)
+        self._table = table  # its `source` selects the membership source
         governed = table.get("fleet") is not None and table["fleet"]["voters"]
         if table.get("site") is not None:
             from sorrelfront.daemon.border import Frontier
 
-            self._frontier = Frontier(table["site"])
-            self._agent = self._frontier.agent(config, upstream, self._source, governed)
+            self._partner_sites = Frontier(table["site"])
+            self._agent = self._partner_sites.agent(config, upstream, self._create_source, governed)
         elif governed:
-            self._agent = self._gated(config, upstream)
+            self._agent = self._create_gated_agent(config, upstream)
         else:
-            self._agent = Agent(config, upstream, self._source)
+            self._agent = Agent(config, upstream, self._create_source)
         self._config = config
         self._agent.start()
         if table.get("fleet") is not None:
-            self._fellow = Fellow(table["fleet"])
+            self._fleet_member = Fellow(table["fleet"])
             if table["fleet"]["copies"]:
-                self._fellow.copy(table["source"] == "registry", self._tell_list)
+                self._fleet_member.copy(table["source"] == "registry", self._update_agent)
             if governed:
-                self._govern(table)
-        if self._frontier is not None:
-            self._frontier.open(config, self._bodies)
-            if self._fellow is not None and self._fellow.copier is not None:
-                self._frontier.share(self._fellow.copier)
+                self._enable_policy(table)
+        if self._partner_sites is not None:
+            self._partner_sites.open(config, self._body_budget)
+            if self._fleet_member is not None and self._fleet_member.copier is not None:
+                self._partner_sites.share(self._fleet_member.copier)
         if config.known.backends:
-            learnt, self._learnt = self._learnt, None
-            self._take_up(learnt)
-        asyncio.get_running_loop().call_soon(self._beat)
+            learnt, self._pending_estimates = self._pending_estimates, None
+            self._adopt_estimates(learnt)
+        asyncio.get_running_loop().call_soon(self._send_heartbeat)
 
     # Policy
 
-    def _gated(self, config: Config, upstream: Upstream) -> Agent:
+    def _create_gated_agent(self, config: Config, upstream: Upstream) -> Agent:
         from sorrelfront.daemon.gate import GatedAgent
 
-        return GatedAgent(config, upstream, self._source)
+        return GatedAgent(config, upstream, self._create_source)
 
-    def _govern(self, table: Message) -> None:
-        """Go by the fleet's policy, and ask before anything is decided."""
+    def _enable_policy(self, table: Message) -> None:
+        """Apply the fleet's policy, and ask for permission before the agent decides anything."""
         from sorrelfront.daemon.gate import GatedAgent
         from sorrelfront.daemon.policies import Governed
 
-        agent, fellow = self._agent, self._fellow
-        assert isinstance(agent, GatedAgent) and fellow is not None
-        self._governed = Governed(table, self._apply)
+        agent, member = self._agent, self._fleet_member
+        assert isinstance(agent, GatedAgent) and member is not None
+        self._policy_overlay = Governed(table, self._apply_policy)
         agent.header = bool(table["fleet"]["policy_header"])
         agent.isolation = table["fleet"]["isolation"]
-        fellow.govern(agent, self._governed)
+        member.govern(agent, self._policy_overlay)
 
-    def _apply(self, terms: Message, policy: Policy | None) -> None:
-        """Decide by these terms from now on. Raises BadConfig."""
+    def _apply_policy(self, table: Message, policy: Policy | None) -> None:
+        """Balance with this configuration and policy from now on. Raises BadConfig."""
         from sorrelfront.daemon.gate import GatedAgent
 
         agent = self._agent
         assert isinstance(agent, GatedAgent)
-        config = parse(terms)
+        config = parse(table)
         agent.reload(config)
         agent.put_out(() if policy is None else policy.out)
-        agent.isolation = terms["fleet"]["isolation"] if policy is None else policy.isolation
+        agent.isolation = table["fleet"]["isolation"] if policy is None else policy.isolation
         self._config = config
-        self._sit(self._seat)
+        self._set_seat(self._seat)
 
-    async def _policy(self, message: Message) -> None:
-        council = self._fellow.council if self._fellow is not None else None
-        told: Message = {"policy_ok": False, "fault": "this instance has no part in a policy"}
-        if council is not None:
+    async def _answer_policy_command(self, message: Message) -> None:
+        policy_member = self._fleet_member.council if self._fleet_member is not None else None
+        reply: Message = {"policy_ok": False, "fault": "this instance has no part in a policy"}
+        if policy_member is not None:
             from sorrelfront.daemon.policies import answer
 
             try:
-                told = await answer(council, message)
+                reply = await answer(policy_member, message)
             except (KeyError, TypeError, ValueError) as fault:
-                told = {"policy_ok": False, "fault": f"it is not understood: {fault}"}
-        self.say({"op": "policy", "id": message.get("id"), **told})
+                reply = {"policy_ok": False, "fault": f"it is not understood: {fault}"}
+        self.send_to_supervisor({"op": "policy", "id": message.get("id"), **reply})
+
+    def _adopt_estimates(self, text: object) -> None:
+        """Adopt the estimates of another program's instance.
 
-    def _take_up(self, text: object) -> None:
-        """What another program's instance has learnt, once the list is known: from the instance's terms, or
-        with the first word of the membership source."""
+        Called once the list of servers is known: from the configuration, or with the first update of the
+        membership source.
+        """
         agent = self._agent
         if agent is None or not isinstance(text, str):
             return
         try:
-            # Estimates fade with `recent_us`; of a long pause, no more than that counts.
+            # Estimates decay over `recent_us`, so of a longer pause only that much counts.
             count = adopt(
                 agent.balancer, text, agent.now(), time.time_ns() // 1000,
                 KEPT_MOST_US, int(agent.balancer.recent_us),
             )  # fmt: skip
         except Unusable as why:
-            log.warning("what was learnt before is not taken up: %s", why)
+            log.warning("earlier estimates are not used: %s", why)
             return
         log.info("estimates of %d servers are taken up", count)
 
-    def _tell_learnt(self, number: object) -> None:
+    def _send_estimates(self, number: object) -> None:
         agent = self._agent
         text = "" if agent is None else snapshot(agent.balancer, agent.now(), time.time_ns() // 1000)
-        self.say({"op": "learnt", "id": number, "text": text})
+        self.send_to_supervisor({"op": "learnt", "id": number, "text": text})
 
-    def _source(self, config: Config, on_update: Any, on_failure: Any) -> Source:
-        def tell(heard: Update) -> None:
-            on_update(heard)
-            learnt, self._learnt = self._learnt, None
-            if learnt is not None:  # a list is known now, so its servers can be told from others
-                self._take_up(learnt)
+    def _create_source(self, config: Config, on_update: Any, on_failure: Any) -> Source:
+        def deliver(received: Update) -> None:
+            on_update(received)
+            learnt, self._pending_estimates = self._pending_estimates, None
+            if learnt is not None:  # the list is known now, so estimates of other servers can be recognised
+                self._adopt_estimates(learnt)
 
-        def update(heard: Update) -> None:
-            copier = self._fellow.copier if self._fellow is not None else None
-            tell(heard if copier is None else copier.heard(heard))
+        def update(received: Update) -> None:
+            copier = self._fleet_member.copier if self._fleet_member is not None else None
+            deliver(received if copier is None else copier.heard(received))
 
-        self._tell_list = tell
+        self._update_agent = deliver
 
         if self._table.get("source") == "fixed":
             return FixedList(config, update)
         if self._table.get("source") == "zookeeper":
             from sorrelfront.daemon import ephemeral
 
-            terms = ephemeral.terms(self._table["zookeeper"])
-            self._ephemeral = ephemeral.made(terms, config, self._answering, update, self._sit)
-            return self._ephemeral
-        self._registry = registry.watch(config, update, on_failure)
-        return self._registry
+            settings = ephemeral.source_settings(self._table["zookeeper"])
+            self._zookeeper_source = ephemeral.create_source(
+                settings, config, self._evidence, update, self._set_seat
+            )
+            return self._zookeeper_source
+        self._registry_source = registry.watch(config, update, on_failure)
+        return self._registry_source
 
-    def _change(self, config: Config, table: Message) -> None:
+    def _reconfigure(self, config: Config, table: Message) -> None:
         assert self._agent is not None
         if table.get("source") != self._table.get("source"):
             raise BadConfig("membership.source takes a restart")
-        if self._ephemeral is not None:
+        if self._zookeeper_source is not None:
             from sorrelfront.daemon import ephemeral
 
-            self._ephemeral.change(ephemeral.terms(table["zookeeper"]))
-        if self._fellow is not None and table.get("fleet") is not None:
-            self._fellow.change(table["fleet"])
-        if self._frontier is not None and table.get("site") is not None:
-            self._frontier.change(table["site"], config)
+            self._zookeeper_source.change(ephemeral.source_settings(table["zookeeper"]))
+        if self._fleet_member is not None and table.get("fleet") is not None:
+            self._fleet_member.change(table["fleet"])
+        if self._partner_sites is not None and table.get("site") is not None:
+            self._partner_sites.change(table["site"], config)
         self._agent.reload(config)
         self._table, self._config = table, config
-        if self._governed is not None and self._fellow is not None and self._fellow.council is not None:
-            self._governed.table = table
-            self._fellow.council.again()
-        self._sit(self._seat)
-
-    def _sit(self, seat: int | None) -> None:
-        """Take this place among the instances; None: the one that the file says."""
+        if (
+            self._policy_overlay is not None
+            and self._fleet_member is not None
+            and self._fleet_member.council is not None
+        ):
+            self._policy_overlay.table = table
+            self._fleet_member.council.again()
+        self._set_seat(self._seat)
+
+    def _set_seat(self, seat: int | None) -> None:
+        """Use this seat among the instances; None is the number that the file gives."""
         self._seat = seat
         if self._agent is None or self._config is None:
             return
@@ -420,8 +449,8 @@
         else:
             self._agent.place(places.point(seat), places.POINTS)
 
-    def _answering(self, server: str, since: int) -> Answering:
-        """What attempts show of a server since then."""
+    def _evidence(self, server: str, since: int) -> Answering:
+        """Return what attempts since `since` (agent time, us) show about a server."""
         known = self._agent.balancer.servers.get(server) if self._agent is not None else None
         if known is None:
             return Answering.UNKNOWN
@@ -429,12 +458,15 @@
             return Answering.NO
         return Answering.YES if known.heard_at >= since else Answering.UNKNOWN
 
-    def _listen(self, config: Config, sockets: list[socket.socket]) -> None:
-        """Listen on these sockets too; those listened on already are told the new limits. What is not among
-        them is listened on until all instances have taken the terms, so that they can go back."""
-        assert self._agent is not None and self._bodies is not None
+    def _update_listeners(self, config: Config, sockets: list[socket.socket]) -> None:
+        """Listen on these sockets too, and resize the limits of existing listeners.
+
+        Listeners whose socket is not among them stay until the commit, when all instances have applied the
+        configuration, so that a rollback is possible.
+        """
+        assert self._agent is not None and self._body_budget is not None
         wanted: dict[Address, socket.socket] = {sock.getsockname(): sock for sock in sockets}
-        self._wanted = set(wanted)
+        self._current_addresses = set(wanted)
         descriptors = Descriptors(config.sockets)
         share = max(1, len(wanted))
         descriptors.clients //= share
@@ -443,16 +475,16 @@
             if address in self._listeners:
                 self._listeners[address].resize(descriptors, config.memory_bytes)
             else:
-                self._listeners[address] = Listener(self._agent, sock, descriptors, self._bodies)
+                self._listeners[address] = Listener(self._agent, sock, descriptors, self._body_budget)
 
-    def _settle(self) -> None:
-        """The terms taken last hold for good: leave the listeners that they do not name, as at a stop."""
-        for address in [address for address in self._listeners if address not in self._wanted]:
+    def _commit(self) -> None:
+        """Commit the last configuration: drain and close the listeners that it does not name."""
+        for address in [address for address in self._listeners if address not in self._current_addresses]:
             task = asyncio.create_task(self._listeners.pop(address).close())
-            self._leaving.add(task)
-            task.add_done_callback(self._leaving.discard)
+            self._closing_listeners.add(task)
+            task.add_done_callback(self._closing_listeners.discard)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         agent = self._agent
         assert agent is not None
         figures: dict[str, Any] = {
@@ -461,79 +493,85 @@
             "connections": sum(listener.connections for listener in self._listeners.values()),
             "servers": len(agent.balancer.servers), "ready_servers": len(agent.balancer.ready),
         }  # fmt: skip
-        if self._ephemeral is not None:
-            figures |= self._ephemeral.figures()
-        if self._fellow is not None:
-            self._beat_copies(self._fellow)
-            figures["fleet"] = self._fellow.figures()
-            if self._governed is not None:
-                figures["fleet"]["requests"] = self._gate_figures()
-            if self._frontier is not None:
-                figures["site"] = self._frontier.figures()
-            point = self._fellow.seat()
+        if self._zookeeper_source is not None:
+            figures |= self._zookeeper_source.figures()
+        if self._fleet_member is not None:
+            self._update_replication(self._fleet_member)
+            figures["fleet"] = self._fleet_member.figures()
+            if self._policy_overlay is not None:
+                figures["fleet"]["requests"] = self._admission_figures()
+            if self._partner_sites is not None:
+                figures["site"] = self._partner_sites.figures()
+            point = self._fleet_member.seat()
             if point is not None:
                 agent.place(point, places.POINTS)
-        self.say({"op": "beat", "figures": figures})
-        asyncio.get_running_loop().call_later(BEAT_S, self._beat)
+        self.send_to_supervisor({"op": "beat", "figures": figures})
+        asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
-    def _beat_copies(self, fellow: Fellow) -> None:
-        if fellow.copier is None:
+    def _update_replication(self, member: Fellow) -> None:
+        if member.copier is None:
             return
-        age_us = self._registry.clock.age_us(registry.now_us()) if self._registry is not None else None
+        age_us = (
+            self._registry_source.clock.age_us(registry.now_us())
+            if self._registry_source is not None
+            else None
+        )
         if age_us is not None and age_us <= SILENCE_US:
-            fellow.copier.current()
-        fellow.copier.beat()
+            member.copier.current()
+        member.copier.beat()
 
-    def _gate_figures(self) -> dict[str, int]:
+    def _admission_figures(self) -> dict[str, int]:
         from sorrelfront.daemon.gate import GatedAgent
 
         return asdict(self._agent.gate) if isinstance(self._agent, GatedAgent) else {}
 
     async def close(self) -> None:
-        """Finish what is owed, or fail it at once."""
+        """Complete the requests in flight, or fail them at once after an abort."""
         agent = self._agent
-        if self._fellow is not None:
-            # At once: the one that takes this name may be waiting for the address.
-            self._fellow.close(self._leave)
+        if self._fleet_member is not None:
+            # First, because the successor with this name may be waiting for the address.
+            self._fleet_member.close(self._leave_fleet)
         if self._orphan_timer is not None:
             self._orphan_timer.cancel()
         if agent is None:
             return
-        if not self.at_once:
-            ends = [item.close(self.others) for item in self._listeners.values()]
-            if self._frontier is not None:
-                ends.append(self._frontier.close())
-            closing = {*map(asyncio.create_task, ends), *self._leaving}
-            while closing and not self.at_once:
+        if not self.abort_requested:
+            ends = [item.close(self.others_accept) for item in self._listeners.values()]
+            if self._partner_sites is not None:
+                ends.append(self._partner_sites.close())
+            closing = {*map(asyncio.create_task, ends), *self._closing_listeners}
+            while closing and not self.abort_requested:
                 _, closing = await asyncio.wait(closing, timeout=0.05)
             for task in closing:
                 task.cancel()
-        if self.at_once:
+        if self.abort_requested:
             agent.fail_all()
-            await asyncio.sleep(FLUSH_S)
-        if self._frontier is not None:
-            await self._frontier.end()
+            await asyncio.sleep(FLUSH_DELAY_S)
+        if self._partner_sites is not None:
+            await self._partner_sites.end()
         agent.close()
 
-    def shut(self) -> None:
-        """The last step: nobody finds it any more."""
-        self._door.close()
+    def close_adoption_socket(self) -> None:
+        """Close the adoption socket, the last step."""
+        self._adoption_socket.close()
 
 
 async def run(channel: socket.socket, name: str, number: int, folder: Path) -> None:
+    """Run one instance until it is told to stop. Raises OSError if its adoption socket cannot be opened."""
     instance = Instance(channel, name, number, folder)
-    on_signal(signal.SIGTERM, instance.going_away.set)
+    on_signal(signal.SIGTERM, instance.stop_requested.set)
     instance.watch()
-    await instance.going_away.wait()
+    await instance.stop_requested.wait()
     try:
         await instance.close()
     finally:
-        instance.shut()
+        instance.close_adoption_socket()
     ignore_from_here(signal.SIGTERM)
 
 
 def main() -> int:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal sends it to all; the supervisor decides
+    """Run the instance that the command line describes and return its exit status."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal signals the whole group; the supervisor decides
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logs.configure(sys.argv[5], sys.argv[6], instance=sys.argv[2], run=int(sys.argv[3]))
     gc.freeze()
--- a/sorrelfront/daemon/logs.py
+++ b/sorrelfront/daemon/logs.py
@@ -1,7 +1,7 @@
-"""The daemon's log: one event a line, as JSON or as aligned text, with what it is about as fields of its own.
+"""Structured log: one event per line, as JSON or as aligned text, with the event's context as fields.
 
-Everything is logged through the standard library, by this package's parts and by libraries alike; structlog
-words it. A call such as `log.warning("...", extra={"server": "b1"})` makes `server` a field.
+This package and its libraries log through the standard library; python-json-logger formats the records. A
+call such as `log.warning("...", extra={"server": "b1"})` makes `server` a field.
 """
 
 from __future__ import annotations
@@ -16,41 +16,45 @@
 
 from sorrelfront.log_limits import RateLimit
 
-FIELDS = ("instance", "run", "generation", "server", "class", "call")  # shown in this order
+LEADING_FIELDS = ("instance", "run", "generation", "server", "class", "call")  # written first, in this order
 
 
-class Json(MsgspecFormatter):
-    """One JSON object an event: when, level, logger, event, and its fields."""
+class JsonFormatter(MsgspecFormatter):
+    """Formats each event as one JSON object: time, level, event, logger and its fields."""
 
-    def __init__(self, bound: dict[str, object]) -> None:
+    def __init__(self, static_fields: dict[str, object]) -> None:
         super().__init__(
             ["levelname", "name", "message", "exc_info"],
             rename_fields={"levelname": "level", "name": "logger", "message": "event", "exc_info": "trace"},
-            static_fields=bound, timestamp="at",
+            static_fields=static_fields, timestamp="at",
         )  # fmt: skip
 
     def process_log_record(self, log_data: dict[str, Any]) -> dict[str, Any]:
-        """In the order in which they are read, each on the one line. Risk: what a peer sent, or a traceback,
-        breaks the line and looks like an event of its own."""
+        """Order the fields and escape their values.
+
+        Escaping keeps each event on one line: text from a peer, or a traceback, could otherwise break the
+        line and look like a separate event.
+        """
         data = super().process_log_record(log_data)
         data["level"] = str(data.get("level", "")).lower()
-        first = [key for key in ("at", "level", "event", "logger", *FIELDS) if key in data]
+        first = [key for key in ("at", "level", "event", "logger", *LEADING_FIELDS) if key in data]
         rest = [key for key in data if key not in first]
-        return {key: _shown(data[key]) for key in first + rest if data[key] is not None}
+        return {key: _printable(data[key]) for key in first + rest if data[key] is not None}
 
 
-class Text(Json):
-    """The same, aligned for eyes: `when LEVEL event  key=value ...`."""
+class TextFormatter(JsonFormatter):
+    """Formats the same fields as aligned text: `time level event  key=value ...`."""
 
     def jsonify_log_record(self, log_data: dict[str, Any]) -> str:
+        """Return the event as one line of text."""
         data = dict(log_data)
         head = f"{data.pop('at')} {data.pop('level'):<8}{data.pop('event', '')}"
-        fields = " ".join(f"{key}={_word(value)}" for key, value in data.items())
+        fields = " ".join(f"{key}={_quoted(value)}" for key, value in data.items())
         return f"{head}  {fields}"
 
 
-def _shown(value: Any) -> Any:
-    """A text on one line, without what a terminal would obey; numbers as they are."""
+def _printable(value: Any) -> Any:
+    """Return numbers unchanged, and anything else as one line of text without terminal control sequences."""
     if isinstance(value, (bool, int, float)):
         return value
     if isinstance(value, datetime):
@@ -59,21 +63,25 @@
     return text if text.isprintable() else text.encode("unicode_escape").decode()
 
 
-def _word(value: Any) -> str:
+def _quoted(value: Any) -> str:
     text = str(value)
     return text if text and " " not in text and '"' not in text else msgspec.json.encode(text).decode()
 
 
-def configure(form: str, level: str, stream: TextIO | None = None, **bound: object) -> None:
-    """Have all logging of this process go to `stream` (standard error) in this form: `json`, `text`, or
-    `auto`, which is text for a terminal and JSON otherwise. `bound` are fields of every event. Called
-    again, it takes the place of what was."""
+def configure(log_format: str, level: str, stream: TextIO | None = None, **static_fields: object) -> None:
+    """Send all logging of this process to `stream`, by default standard error.
+
+    `log_format` is `json`, `text` or `auto`, which is text for a terminal and JSON otherwise. `static_fields`
+    are fields of every event. A further call replaces the earlier configuration.
+    """
     out = stream or sys.stderr
-    if form == "auto":
-        form = "text" if out.isatty() else "json"
+    if log_format == "auto":
+        log_format = "text" if out.isatty() else "json"
     handler = logging.StreamHandler(out)
     handler.addFilter(RateLimit())
-    handler.setFormatter(Text(bound) if form == "text" else Json(bound))
+    handler.setFormatter(
+        TextFormatter(static_fields) if log_format == "text" else JsonFormatter(static_fields)
+    )
     root = logging.getLogger()
     for old in [*root.handlers]:
         root.removeHandler(old)
--- a/sorrelfront/daemon/reload.py
+++ b/sorrelfront/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reload: another file at every instance or at none, while all of them serve."""
+"""Reload: apply a new file at every instance or at none, while all of them serve."""
 
 from __future__ import annotations
 
@@ -12,60 +12,72 @@
 
 from sorrelfront.daemon.channel import MESSAGE_MOST, Message, send
 from sorrelfront.daemon.configuration import BadDocument, Document, read
-from sorrelfront.daemon.fleet import CannotStart, Fleet, Terms, listen, now_us, policy_of
+from sorrelfront.daemon.fleet import (
+    CannotStart,
+    Fleet,
+    InstanceConfig,
+    bind_listener,
+    now_us,
+    supervision_policy,
+)
 from sorrelfront.daemon.notify import notify
 from sorrelfront.messages import Address
 
 log = logging.getLogger("sorrelfront.daemon")
 
-FIXED = (("daemon", "control"), ("daemon", "state_dir"), ("membership", "source"))  # these take a restart
+# A change of one of these takes a restart.
+RESTART_KEYS = (("daemon", "control"), ("daemon", "state_dir"), ("membership", "source"))
 
 
 class Reloading:
-    """One reload at a time; one more may wait. `may` tells why there can be none now, `committed` is called
-    once the new file is in force."""
+    """Runs one reload at a time; one more may wait.
+
+    `may` returns why no reload is possible now, or None. `committed` is called once the new file is in force.
+    """
 
     def __init__(
         self, path: Path, fleet: Fleet, may: Callable[[], str | None], committed: Callable[[], None]
     ) -> None:
         self._path = path
         self._fleet = fleet
-        self._may = may
+        self._refusal_reason = may
         self._committed = committed
         self._lock = asyncio.Lock()
-        self._waits = False
+        self._queued = False
         self._task: asyncio.Task[Message] | None = None
-        self._signals: set[asyncio.Task[Message]] = set()
+        self._signal_tasks: set[asyncio.Task[Message]] = set()
 
     @property
     def busy(self) -> bool:
+        """Whether a reload is running."""
         return self._lock.locked()
 
     def cancel(self) -> None:
-        """The daemon stops: what has not been committed is not."""
+        """Cancel the running reload, because the daemon stops; what was not committed is not applied."""
         if self._task is not None:
             self._task.cancel()
 
     def by_signal(self) -> None:
-        if self._waits:
+        """Start a reload in the background, unless one waits already."""
+        if self._queued:
             return
         task = asyncio.create_task(self.reload())
-        self._signals.add(task)
-        task.add_done_callback(self._signals.discard)
+        self._signal_tasks.add(task)
+        task.add_done_callback(self._signal_tasks.discard)
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
 
     async def reload(self) -> Message:
-        """Put the file in force, at every instance or at none."""
-        why = self._may()
+        """Apply the file at every instance or at none, and return the answer of the `reload` operation."""
+        why = self._refusal_reason()
         if why is not None:
             return {"ok": False, "faults": [why]}
-        if self._waits:
+        if self._queued:
             return {"ok": False, "faults": ["another reload waits already"]}
-        self._waits = True
+        self._queued = True
         try:
             await self._lock.acquire()
         finally:
-            self._waits = False
+            self._queued = False
         try:
             notify(os.environ, "RELOADING=1", f"MONOTONIC_USEC={now_us()}")
             self._task = asyncio.create_task(self._reload())
@@ -84,10 +96,10 @@
         finally:
             self._lock.release()
 
-    def _refused(self, document: Document) -> str | None:
-        """Why this good file cannot be taken without a restart."""
+    def _restart_reason(self, document: Document) -> str | None:
+        """Return why this valid file cannot be applied without a restart, or None."""
         now = self._fleet.document
-        for table, key in FIXED:
+        for table, key in RESTART_KEYS:
             if getattr(document, table)[key] != getattr(now, table)[key]:
                 return f"[{table}] {key}: takes a restart"
         for table, keys in (
@@ -109,11 +121,11 @@
             document = await asyncio.to_thread(read, self._path)
         except BadDocument as bad:
             return {"ok": False, "faults": bad.lines()}
-        refused = self._refused(document)
+        refused = self._restart_reason(document)
         if refused is not None:
             return {"ok": False, "faults": [f"{self._path}: {refused}"]}
-        terms = await asyncio.to_thread(Terms, document)
-        if terms.size > MESSAGE_MOST:
+        config = await asyncio.to_thread(InstanceConfig, document)
+        if config.size > MESSAGE_MOST:
             return {"ok": False, "faults": [f"{self._path}: is too long for an instance to take"]}
         generation = fleet.generation + 1
         opened: dict[Address, socket.socket] = {}
@@ -122,49 +134,49 @@
         try:
             for name, address in document.addresses.items():
                 if address not in fleet.sockets:
-                    opened[address] = listen(address, name)
+                    opened[address] = bind_listener(address, name)
             sockets = {**fleet.sockets, **opened}
             for name in [name for name in fleet.decide.ready if name in document.names]:
                 run = fleet.runs.get(name)
                 if run is None:
                     continue
-                done.append(name)  # from here on it may have taken the file
-                fault = await fleet.give(run, name, terms, generation, sockets)
+                done.append(name)  # from now on it may have applied the file
+                fault = await fleet.send_config(run, name, config, generation, sockets)
                 if fault is not None:
                     return {"ok": False, "faults": [f"{self._path}: {name}: {fault}"]}
             committed = True
-        except CannotStart as taken:
-            return {"ok": False, "faults": [f"{self._path}: {taken}"]}
+        except CannotStart as error:
+            return {"ok": False, "faults": [f"{self._path}: {error}"]}
         finally:
             if not committed:
-                self._go_back(done)
+                self._roll_back(done)
                 for sock in opened.values():
                     sock.close()
-        self._commit(terms, generation, sockets, done)
+        self._commit(config, generation, sockets, done)
         return {"ok": True, "instances": len(done), "seconds": round(time.monotonic() - began, 6)}
 
-    def _go_back(self, names: list[str]) -> None:
+    def _roll_back(self, names: list[str]) -> None:
         fleet = self._fleet
         if fleet.decide.stopping:
-            return  # the sockets are closed by now, and the instances drain by whichever file they have
+            return  # the sockets are closed already, and the instances drain with either file
         for name in names:
             run = fleet.runs.get(name)
             if run is not None:
                 fleet.retake(name, run)
 
     def _commit(
-        self, terms: Terms, generation: int, sockets: dict[Address, socket.socket], done: list[str]
+        self, config: InstanceConfig, generation: int, sockets: dict[Address, socket.socket], done: list[str]
     ) -> None:
         fleet = self._fleet
-        fleet.terms = terms
+        fleet.terms = config
         fleet.generation = generation
         fleet.sockets = sockets
         for name in done:
             if name in fleet.runs:
                 fleet.runs[name].generation = generation
                 send(fleet.runs[name].channel, {"op": "commit"})
-        wanted = set(terms.document.addresses.values())
+        wanted = set(config.document.addresses.values())
         fleet.close_sockets([address for address in fleet.sockets if address not in wanted])
-        fleet.decide.on_policy(policy_of(terms.document), now_us())
+        fleet.decide.on_policy(supervision_policy(config.document), now_us())
         self._committed()
-        fleet.do(fleet.decide.on_names(terms.document.names, now_us(), fleet.stop_within_us))
+        fleet.do(fleet.decide.on_names(config.document.names, now_us(), fleet.stop_within_us))
--- a/sorrelfront/daemon/replacement.py
+++ b/sorrelfront/daemon/replacement.py
@@ -1,4 +1,4 @@
-"""Replacement: the running program's side of a take-over (`takeover.Bequest`), until it is done or off."""
+"""Replacement: the running program's side of a takeover by a new program, until its success or end."""
 
 from __future__ import annotations
 
@@ -12,21 +12,24 @@
 
 log = logging.getLogger("sorrelfront.daemon")
 
-TAKEOVER_WITHIN_S = 60.0  # for a new program to be ready; its own limit is shorter as a rule
-LEARNT_WITHIN_S = 1.0  # for an instance to tell what it has learnt
+TAKEOVER_TIMEOUT_S = 60.0  # for the new program to be ready; its own limit is usually shorter
+ESTIMATES_TIMEOUT_S = 1.0  # for an instance to send its estimates
 
 
 async def learnt_of(fleet: Fleet, run: Run) -> str:
-    """What this instance has learnt; empty if it does not say so in time."""
+    """Return a snapshot of the instance's estimates, empty if it does not answer in time."""
     try:
-        return str((await fleet.ask(run, {"op": "learnt"}, LEARNT_WITHIN_S)).get("text", ""))
+        return str((await fleet.ask(run, {"op": "learnt"}, ESTIMATES_TIMEOUT_S)).get("text", ""))
     except Unanswered:
         return ""
 
 
 class Replacing:
-    """At most one at a time. `may` tells why there can be none now, `release` lets go of what the new program
-    needs, before it is told so, and `drain` has this one end."""
+    """Runs at most one replacement at a time.
+
+    `may` returns why no replacement is possible now, or None. `release` releases what the new program needs
+    and is called before the new program is told. `drain` makes this program drain and end.
+    """
 
     def __init__(
         self,
@@ -36,47 +39,57 @@
         drain: Callable[[], None],
     ) -> None:
         self._fleet = fleet
-        self._may = may
+        self._refusal_reason = may
         self._release = release
         self._drain = drain
-        self._bequest: Bequest | None = None
+        self._handover: Bequest | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def busy(self) -> bool:
-        return self._bequest is not None
+        """Whether a replacement is under way."""
+        return self._handover is not None
 
     def begin(self, to: str) -> Message:
-        """Send what there is to the program that listens there, then wait for its word."""
-        if self._bequest is not None:
+        """Start to send sockets and estimates to the program that listens at `to`.
+
+        Once that program is ready, this one drains. Returns the answer of the `replace` operation.
+        """
+        if self._handover is not None:
             return {"ok": False, "faults": ["another replacement is under way"]}
-        why = self._may()
+        why = self._refusal_reason()
         if why is not None:
             return {"ok": False, "faults": [why]}
         try:
-            bequest = self._bequest = Bequest(to)
+            handover = self._handover = Bequest(to)
         except OSError as fault:
             return {"ok": False, "faults": [f"the new program's socket: {fault.strerror}"]}
-        self._spawn(self._give_all(bequest))
+        self._spawn(self._send_state(handover))
         return {"ok": True}
 
     def call_off(self, why: str) -> None:
-        """Risk: told to stop in the middle of a replacement, the new program would go on in its place."""
-        if self._bequest is not None:
-            send(self._bequest.sock, {"op": "off", "why": why})
-            self.drop()
+        """Cancel the replacement and tell the new program.
+
+        Without this, when the running program is told to stop during a replacement, the new one would go on
+        in its place.
+        """
+        if self._handover is not None:
+            send(self._handover.sock, {"op": "off", "why": why})
+            self.disconnect()
 
     def close(self) -> None:
+        """Cancel all tasks and close the connection to the new program."""
         for task in self._tasks:
             task.cancel()
-        self.drop()
-
-    def drop(self) -> None:
-        bequest, self._bequest = self._bequest, None
-        if bequest is not None:
-            asyncio.get_running_loop().remove_reader(bequest.sock.fileno())
-            bequest.close()
+        self.disconnect()
+
+    def disconnect(self) -> None:
+        """Close the connection to the new program, if there is one; this program goes on serving."""
+        handover, self._handover = self._handover, None
+        if handover is not None:
+            asyncio.get_running_loop().remove_reader(handover.sock.fileno())
+            handover.close()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -86,38 +99,38 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _give_all(self, bequest: Bequest) -> None:
+    async def _send_state(self, handover: Bequest) -> None:
         runs = {name: run for name, run in self._fleet.runs.items() if name in self._fleet.document.names}
         texts = await asyncio.gather(*(learnt_of(self._fleet, run) for run in runs.values()))
         learnt = dict(zip(runs, texts, strict=True))
-        if self._bequest is not bequest:
+        if self._handover is not handover:
             return
-        if not bequest.give(self._fleet.sockets, {name: text for name, text in learnt.items() if text}):
-            self.drop()
+        if not handover.give(self._fleet.sockets, {name: text for name, text in learnt.items() if text}):
+            self.disconnect()
             return
         loop = asyncio.get_running_loop()
-        loop.add_reader(bequest.sock.fileno(), self._heard)
-        self._timer = loop.call_later(TAKEOVER_WITHIN_S, self.drop)
+        loop.add_reader(handover.sock.fileno(), self._on_readable)
+        self._timer = loop.call_later(TAKEOVER_TIMEOUT_S, self.disconnect)
 
-    def _heard(self) -> None:
-        bequest = self._bequest
-        if bequest is None:
+    def _on_readable(self) -> None:
+        handover = self._handover
+        if handover is None:
             return
         try:
-            word = bequest.heard()
+            message = handover.heard()
         except BlockingIOError:
             return
-        if word is None:
+        if message is None:
             log.warning("the replacement ended before it was ready; nothing has changed")
-            self.drop()
-        elif word.get("op") == "ready" and not self._fleet.decide.stopping:
-            self._spawn(self._let_go(bequest))
+            self.disconnect()
+        elif message.get("op") == "ready" and not self._fleet.decide.stopping:
+            self._spawn(self._hand_over(handover))
 
-    async def _let_go(self, bequest: Bequest) -> None:
-        """The new program accepts: let go of what it needs, and drain."""
+    async def _hand_over(self, handover: Bequest) -> None:
+        """Release what the new program needs, now that it accepts connections, and drain."""
         self._fleet.handed_over = True
         await self._release()
-        send(bequest.sock, {"op": "released"})
-        self.drop()
+        send(handover.sock, {"op": "released"})
+        self.disconnect()
         log.info("replaced by another program; draining")
         self._drain()
--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -1,4 +1,4 @@
-"""The control socket: whatever comes ends in an answer or a closed connection, and others are served."""
+"""Control socket: any input ends in an answer or a closed connection, and other peers are still served."""
 
 from __future__ import annotations
 
@@ -15,18 +15,25 @@
 from sorrelfront.daemon import control
 from sorrelfront.daemon.channel import Message
 from sorrelfront.daemon.configuration import INSTANCES_MOST
-from sorrelfront.daemon.control import FRAME_MOST, HEAD, PEERS_MOST, Control, Unavailable, ask
+from sorrelfront.daemon.control import (
+    LENGTH_PREFIX,
+    MAX_CONNECTIONS,
+    MAX_FRAME_BYTES,
+    Control,
+    Unavailable,
+    ask,
+)
 from sorrelfront.lab.http1 import PATIENCE_S
 
 NOISE = st.one_of(
     st.binary(max_size=200),
-    st.binary(max_size=200).map(lambda data: HEAD.pack(len(data)) + data),
-    st.integers(0, 2**32 - 1).map(HEAD.pack),
+    st.binary(max_size=200).map(lambda data: LENGTH_PREFIX.pack(len(data)) + data),
+    st.integers(0, 2**32 - 1).map(LENGTH_PREFIX.pack),
     st.recursive(
         st.one_of(st.none(), st.booleans(), st.integers(), st.text(max_size=8)),
         lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=8), inner, max_size=3),
         max_leaves=6,
-    ).map(lambda value: HEAD.pack(len(json.dumps(value))) + json.dumps(value).encode()),
+    ).map(lambda value: LENGTH_PREFIX.pack(len(json.dumps(value))) + json.dumps(value).encode()),
 )
 
 
@@ -34,8 +41,8 @@
     return {"ok": True, "heard": message}
 
 
-def played(test: Any) -> None:
-    """Run with a control socket in a folder of its own."""
+def run_with_control(test: Any) -> None:
+    """Run a test with a control socket in its own temporary folder, and check that no task failed."""
 
     async def play() -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -56,43 +63,50 @@
 @settings(derandomize=True, deadline=None, max_examples=25)
 @given(st.lists(NOISE, min_size=1, max_size=8))
 def test_noise_ends_in_an_answer_or_a_closed_connection(pieces: list[bytes]) -> None:
+    """Malformed frames from one peer must neither crash the server nor affect later requests."""
+
     async def test(path: Path) -> None:
         for piece in pieces:
             reader, writer = await asyncio.open_unix_connection(path)
             writer.write(piece)
             writer.write_eof()
-            said = await asyncio.wait_for(reader.read(), PATIENCE_S)
-            if said:
-                (length,) = HEAD.unpack(said[:4])
-                assert json.loads(said[4 : 4 + length])["ok"]
+            data = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            if data:
+                (length,) = LENGTH_PREFIX.unpack(data[:4])
+                assert json.loads(data[4 : 4 + length])["ok"]
             writer.close()
         assert (await ask(path, {"op": "x"}))["heard"] == {"op": "x"}
 
-    played(test)
+    run_with_control(test)
 
 
 def test_peers_are_bounded_and_a_silent_one_has_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "SPEAK_S", 0.3)
+    """Peers that connect and send nothing must not occupy all connections for ever."""
+    monkeypatch.setattr(control, "EXCHANGE_TIMEOUT_S", 0.3)
 
     async def test(path: Path) -> None:
-        silent = [await asyncio.open_unix_connection(path) for _ in range(PEERS_MOST + 4)]
+        silent = [await asyncio.open_unix_connection(path) for _ in range(MAX_CONNECTIONS + 4)]
         for reader, writer in silent:
             assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
             writer.close()
         assert (await ask(path, {}))["ok"]
 
-    played(test)
+    run_with_control(test)
 
 
 def test_an_answer_that_is_too_long_is_said_to_be() -> None:
+    """An answer above the frame limit that cannot be split is replaced by an error."""
+
     async def test(path: Path) -> None:
-        answered = await ask(path, {"x": "y" * (FRAME_MOST - 20)})
+        answered = await ask(path, {"x": "y" * (MAX_FRAME_BYTES - 20)})
         assert not answered["ok"] and answered["fault"] == "the answer is too long"
 
-    played(test)
+    run_with_control(test)
+
 
+def test_a_second_daemon_is_refused_and_a_stale_socket_is_replaced(tmp_path: Path) -> None:
+    """A socket in use must not be taken from a running daemon; one left by a killed daemon must not block."""
 
-def test_a_second_daemon_finds_the_place_taken_and_one_left_behind_is_taken_up(tmp_path: Path) -> None:
     async def play() -> None:
         path = tmp_path / "c.sock"
         first = Control(path, echo)
@@ -100,7 +114,7 @@
         with pytest.raises(OSError, match="in use"):
             Control(path, echo)
         assert (await ask(path, {}))["ok"]
-        first._path = tmp_path / "elsewhere"  # as one that was killed leaves it
+        first._path = tmp_path / "elsewhere"  # leaves the file behind, as a killed daemon does
         await first.close()
         assert path.exists()
         second = Control(path, echo)
@@ -114,6 +128,7 @@
 
 
 def test_a_status_of_the_largest_fleet_comes_whole() -> None:
+    """A list that is split over several frames must arrive complete and in order."""
     rows = [{"name": f"i{at}", "phase": "ready", "figures": "f" * (at * 4)} for at in range(INSTANCES_MOST)]
 
     async def answer(message: Message) -> Message:
--- a/tests/daemon/test_ephemeral.py
+++ b/tests/daemon/test_ephemeral.py
@@ -119,12 +119,12 @@
     document = parse((FILE + GOOD + 'auth_file = "zk.secret"').encode(), tmp_path / "f.toml")
     table = instance_table(document, 0)["zookeeper"]
     with pytest.raises(BadConfig):
-        ephemeral.terms(table)
+        ephemeral.source_settings(table)
     for bad in ("", "nobody", ":x", "a:", "a:b\nc", "a:" + "x" * 600):
         (tmp_path / "zk.secret").write_text(bad)
         with pytest.raises(BadConfig):
-            ephemeral.terms(table)
+            ephemeral.source_settings(table)
     (tmp_path / "zk.secret").write_text("me:word\n")
-    terms = ephemeral.terms(table)
+    terms = ephemeral.source_settings(table)
     assert terms.session.auth == "me:word" and "word" not in str(table)
     assert terms.session.hosts == (("127.0.0.1", 2181),) and terms.path == "/services/stock"
