--- a/sorrelfront/daemon/fleet.py
+++ b/sorrelfront/daemon/fleet.py
@@ -114,7 +114,7 @@
     return sock
 
 
-class InstanceConfig:
+class Terms:
     """The configuration that a document gives to instances.
 
     The list of servers, which may be long, is encoded once for all instances.
@@ -146,7 +146,7 @@
     """
 
     def __init__(self, document: Document, folder: Path) -> None:
-        self.terms = InstanceConfig(document)
+        self.terms = Terms(document)
         self.folder = folder
         self.generation = 0
         self.provisional = False  # the program to be replaced still controls the sockets
@@ -372,7 +372,7 @@
                 del run.pending[number]
 
     def _reload_message(
-        self, name: str, config: InstanceConfig, generation: int, sockets: dict[Address, socket.socket]
+        self, name: str, config: Terms, generation: int, sockets: dict[Address, socket.socket]
     ) -> tuple[Message, list[int]]:
         listed = [sockets[item] for item in config.document.addresses.values() if item in sockets]
         return config.message("reload", name, generation), [sock.fileno() for sock in listed]
@@ -381,7 +381,7 @@
         self,
         run: Run,
         name: str,
-        config: InstanceConfig,
+        config: Terms,
         generation: int,
         sockets: dict[Address, socket.socket],
     ) -> str | None:
--- a/sorrelfront/daemon/reload.py
+++ b/sorrelfront/daemon/reload.py
@@ -15,7 +15,7 @@
 from sorrelfront.daemon.fleet import (
     CannotStart,
     Fleet,
-    InstanceConfig,
+    Terms,
     bind_listener,
     now_us,
     supervision_policy,
@@ -32,15 +32,20 @@
 class Reloading:
     """Runs one reload at a time; one more may wait.
 
-    `may` returns why no reload is possible now, or None. `committed` is called once the new file is in force.
+    `refusal_reason` returns why no reload is possible now, or None. `committed` is called once
+    the new file is in force.
     """
 
     def __init__(
-        self, path: Path, fleet: Fleet, may: Callable[[], str | None], committed: Callable[[], None]
+        self,
+        path: Path,
+        fleet: Fleet,
+        refusal_reason: Callable[[], str | None],
+        committed: Callable[[], None],
     ) -> None:
         self._path = path
         self._fleet = fleet
-        self._refusal_reason = may
+        self._refusal_reason = refusal_reason
         self._committed = committed
         self._lock = asyncio.Lock()
         self._queued = False
@@ -124,7 +129,7 @@
         refused = self._restart_reason(document)
         if refused is not None:
             return {"ok": False, "faults": [f"{self._path}: {refused}"]}
-        config = await asyncio.to_thread(InstanceConfig, document)
+        config = await asyncio.to_thread(Terms, document)
         if config.size > MESSAGE_MOST:
             return {"ok": False, "faults": [f"{self._path}: is too long for an instance to take"]}
         generation = fleet.generation + 1
@@ -165,7 +170,7 @@
                 fleet.retake(name, run)
 
     def _commit(
-        self, config: InstanceConfig, generation: int, sockets: dict[Address, socket.socket], done: list[str]
+        self, config: Terms, generation: int, sockets: dict[Address, socket.socket], done: list[str]
     ) -> None:
         fleet = self._fleet
         fleet.terms = config
--- a/sorrelfront/daemon/replacement.py
+++ b/sorrelfront/daemon/replacement.py
@@ -27,19 +27,19 @@
 class Replacing:
     """Runs at most one replacement at a time.
 
-    `may` returns why no replacement is possible now, or None. `release` releases what the new program needs
-    and is called before the new program is told. `drain` makes this program drain and end.
+    `refusal_reason` returns why no replacement is possible now, or None. `release` releases what the new
+    program needs and is called before the new program is told. `drain` makes this program drain and end.
     """
 
     def __init__(
         self,
         fleet: Fleet,
-        may: Callable[[], str | None],
+        refusal_reason: Callable[[], str | None],
         release: Callable[[], Awaitable[None]],
         drain: Callable[[], None],
     ) -> None:
         self._fleet = fleet
-        self._refusal_reason = may
+        self._refusal_reason = refusal_reason
         self._release = release
         self._drain = drain
         self._handover: Bequest | None = None
--- a/tests/daemon/fleet.py
+++ b/tests/daemon/fleet.py
@@ -1,4 +1,4 @@
-"""A daemon as it is started, with stand-ins around it."""
+"""Start a daemon as a process, with a registry and backends of the test around it."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from tests.test_process import ROOT, free_address
 
 OK = answer(b"served")
-DEADLINE_MS = 25_000  # of held requests, while programs start on a busy machine; below `PATIENCE_S`
+DEADLINE_MS = 25_000  # for requests held while programs start on a busy machine; below `PATIENCE_S`
 
 
-def hello(door: Path) -> dict[str, object]:
-    """What an instance says of itself at its door."""
+def hello(path: Path) -> dict[str, object]:
+    """Return the `hello` answer that an instance gives on its adoption socket."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.settimeout(PATIENCE_S)
-        sock.connect(str(door))
+        sock.connect(str(path))
         assert send(sock, {"op": "hello"})
         data, descriptors, _, _ = socket.recv_fds(sock, 65_536, 40)
         for descriptor in descriptors:
             os.close(descriptor)
-    said = json.loads(data)
-    assert isinstance(said, dict)
-    return said
+    reply = json.loads(data)
+    assert isinstance(reply, dict)
+    return reply
 
 
 class Fleet:
-    """The daemon's process, its file and its control socket."""
+    """A daemon's process, configuration file and control socket."""
 
     def __init__(self, folder: Path, registry: str, instances: int = 2) -> None:
         self.folder = folder
@@ -47,15 +47,15 @@
         self.registry = registry
         self.log = folder / "log"
         self.environ: dict[str, str] = {}
-        self.orphan_ms = 0  # a test that ends early leaves no process behind
-        self.more = ""  # further keys of [daemon]
+        self.orphan_ms = 0  # so that a test that ends early leaves no process behind
+        self.more = ""  # further lines of [daemon]
         self.tables = ""  # further tables
-        self.servers: list[tuple[str, str]] = []  # a fixed list, in place of the registry
+        self.servers: list[tuple[str, str]] = []  # a fixed list, instead of the registry
         self.tell_registry: Callable[..., None] = print
         self.write()
 
     def text(self, **changes: Any) -> str:
-        """The file, with some of it otherwise."""
+        """Return the configuration file's text, with these changes."""
         address = changes.get("address", self.address)
         classes = changes.get("classes", ("look", "book", "pay"))
         repeats = {"look": "safe", "book": "keyed", "pay": "unsafe"}
@@ -87,12 +87,13 @@
 """
 
     def write(self, **changes: Any) -> None:
+        """Replace the configuration file atomically."""
         fresh = self.path.with_suffix(".new")
         fresh.write_text(self.text(**changes))
         fresh.replace(self.path)
 
     async def start(self, before: str = "", more: tuple[str, ...] = ()) -> None:
-        """`before`: a statement that the program runs first, for a fault that only it can have."""
+        """Start the process. `before` is a statement that it runs first, to inject a fault into it."""
         words = ["-m", "sorrelfront.cli.main"]
         if before:
             words = ["-c", f"{before}\nfrom sorrelfront.cli.main import main\nmain()"]
@@ -103,15 +104,17 @@
             )  # fmt: skip
 
     async def ask(self, op: str, **more: Any) -> dict[str, Any]:
+        """Send one operation to the control socket and return the answer."""
         return await control.ask(self.folder / "c.sock", {"op": op, **more}, PATIENCE_S)
 
     async def status(self) -> dict[str, dict[str, Any]]:
-        """By instance."""
+        """Return the rows of `status` by instance name."""
         return {item["name"]: item for item in (await self.ask("status"))["instances"]}
 
     async def ready(
         self, count: int | None = None, within_s: float = PATIENCE_S
     ) -> dict[str, dict[str, Any]]:
+        """Wait until `count` instances are ready and each knows a ready server; return their status."""
         async with asyncio.timeout(within_s):
             while True:
                 with contextlib.suppress(control.Unavailable):
@@ -123,42 +126,44 @@
                 await asyncio.sleep(0.02)
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the supervisor, if it still runs."""
         with contextlib.suppress(ProcessLookupError):
             os.kill(self.process.pid, number)
 
     def orphans(self) -> list[int]:
-        """Process numbers of the doors that lie in the run folder."""
+        """Return the pids of the instances whose adoption sockets exist in the run folder."""
         numbers = [path.stem.rpartition("-")[2] for path in self.folder.glob("c.sock.d/*-*.sock")]
         return [int(number) for number in numbers if number.isdigit()]
 
     async def kill(self) -> None:
-        """The supervisor alone, without a last word."""
+        """Kill the supervisor alone, so that it cannot tell its instances."""
         self.process.kill()
         await self.process.wait()
 
     async def ended(self) -> int:
+        """Wait for the supervisor to end and return its exit status."""
         return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
 
 
 @contextlib.asynccontextmanager
 async def fleet(folder: Path, *backends: Backend, instances: int = 2) -> AsyncIterator[Fleet]:
-    """A started daemon that knows these servers."""
+    """Run a daemon that knows these servers; check at the end that it stopped cleanly."""
     registry = await Registry().start()
-    made = Fleet(folder, registry.address, instances)
-    made.tell_registry = registry.change
+    daemon = Fleet(folder, registry.address, instances)
+    daemon.tell_registry = registry.change
     registry.known = [member(f"b{at}", backend.address) for at, backend in enumerate(backends)]
-    await made.start()
+    await daemon.start()
     try:
-        await made.ready()
-        yield made
-        made.signal(signal.SIGTERM)
-        assert await made.ended() == 0, made.log.read_text()
-        assert "Traceback" not in made.log.read_text(), made.log.read_text()
+        await daemon.ready()
+        yield daemon
+        daemon.signal(signal.SIGTERM)
+        assert await daemon.ended() == 0, daemon.log.read_text()
+        assert "Traceback" not in daemon.log.read_text(), daemon.log.read_text()
     finally:
-        if made.process.returncode is None:
-            made.process.kill()
-            await made.process.wait()
-        for pid in made.orphans():
+        if daemon.process.returncode is None:
+            daemon.process.kill()
+            await daemon.process.wait()
+        for pid in daemon.orphans():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(pid, signal.SIGKILL)
         registry.stop()
--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -44,20 +44,20 @@
 def run_with_control(test: Any) -> None:
     """Run a test with a control socket in its own temporary folder, and check that no task failed."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "c.sock"
-            made = Control(path, echo)
-            await made.start()
+            server = Control(path, echo)
+            await server.start()
             faults: list[Any] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
             try:
                 await test(path)
             finally:
-                await made.close()
+                await server.close()
             assert not faults and not path.exists()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @settings(derandomize=True, deadline=None, max_examples=25)
@@ -81,7 +81,7 @@
 
 
 def test_peers_are_bounded_and_a_silent_one_has_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Peers that connect and send nothing must not occupy all connections for ever."""
+    """Peers that connect and send nothing must not occupy all connections forever."""
     monkeypatch.setattr(control, "EXCHANGE_TIMEOUT_S", 0.3)
 
     async def test(path: Path) -> None:
@@ -107,7 +107,7 @@
 def test_a_second_daemon_is_refused_and_a_stale_socket_is_replaced(tmp_path: Path) -> None:
     """A socket in use must not be taken from a running daemon; one left by a killed daemon must not block."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         path = tmp_path / "c.sock"
         first = Control(path, echo)
         await first.start()
@@ -124,7 +124,7 @@
         with pytest.raises(Unavailable):
             await ask(path, {})
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_status_of_the_largest_fleet_comes_whole() -> None:
--- a/tests/daemon/test_ephemeral.py
+++ b/tests/daemon/test_ephemeral.py
@@ -1,4 +1,4 @@
-"""A daemon whose list of servers, and whose instances' seats, are ephemeral nodes."""
+"""A daemon whose servers and instance seats are ephemeral ZooKeeper nodes."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def test_a_demo_in_which_the_service_stalls_loses_a_member_and_expires_everybody() -> None:
+    """Requests must be served while ZooKeeper stalls, loses an ensemble member and expires all sessions."""
     figures = demo.play(8.0, 2, 1, True, "zookeeper")
     assert demo.broken(figures) == [] and figures["daemon_exit"] == 0, figures
     assert figures["served"] > 0.95 * figures["offered"] > 0, figures
@@ -26,56 +27,56 @@
 
 @looped
 async def test_status_tells_of_the_service_the_seats_and_the_list(tmp_path: Path) -> None:
+    """`status` shows the connection to ZooKeeper and a distinct seat for each instance."""
     listing = EphemeralListing(members=1)
     await listing.start()
     server = await Server("b0", Book(4.0)).start()
     await listing.add("b0", server.address)
-    made = Fleet(tmp_path, "", instances=2)
-    text = made.path.read_text().partition("[membership]")[0]
-    made.path.write_text(f"{text}[membership]\n{listing.toml()}\n")
-    await made.start()
+    daemon = Fleet(tmp_path, "", instances=2)
+    text = daemon.path.read_text().partition("[membership]")[0]
+    daemon.path.write_text(f"{text}[membership]\n{listing.toml()}\n")
+    await daemon.start()
     try:
-        await made.ready()
+        await daemon.ready()
         async with asyncio.timeout(PATIENCE_S):
-            while {item.get("seat") for item in (await made.status()).values()} != {0, 1}:
+            while {item.get("seat") for item in (await daemon.status()).values()} != {0, 1}:
                 await asyncio.sleep(0.02)
-        shown = [*(await made.status()).values()]
+        shown = [*(await daemon.status()).values()]
         assert all(item["service"] == "connected" and item["suspects"] == 0 for item in shown)
         async with asyncio.timeout(PATIENCE_S):
-            while any(item["seats"] != 2 for item in (await made.status()).values()):
+            while any(item["seats"] != 2 for item in (await daemon.status()).values()):
                 await asyncio.sleep(0.02)
-        assert (await made.ask("stop"))["ok"] and await made.ended() == 0
-        assert "Traceback" not in made.log.read_text()
+        assert (await daemon.ask("stop"))["ok"] and await daemon.ended() == 0
+        assert "Traceback" not in daemon.log.read_text()
     finally:
-        if made.process.returncode is None:
-            made.process.kill()
-            await made.process.wait()
+        if daemon.process.returncode is None:
+            daemon.process.kill()
+            await daemon.process.wait()
         server.stop()
         await listing.stop()
 
 
-
-
 @looped
 async def test_a_fixed_list_that_has_another_server_after_a_reload(tmp_path: Path) -> None:
+    """A server added to a fixed list is used after a reload."""
     one, two = await Backend(OK).start(), await Backend(OK).start()
-    made = Fleet(tmp_path, "", instances=1)
-    made.servers = [("b0", one.address)]
-    made.write()
-    await made.start()
+    daemon = Fleet(tmp_path, "", instances=1)
+    daemon.servers = [("b0", one.address)]
+    daemon.write()
+    await daemon.start()
     try:
-        await made.ready()
-        made.servers.append(("b1", two.address))
-        made.write()
-        assert (await made.ask("reload"))["ok"]
+        await daemon.ready()
+        daemon.servers.append(("b1", two.address))
+        daemon.write()
+        assert (await daemon.ask("reload"))["ok"]
         async with asyncio.timeout(PATIENCE_S):
-            while (await made.status())["i0"].get("ready_servers") != 2:
+            while (await daemon.status())["i0"].get("ready_servers") != 2:
                 await asyncio.sleep(0.02)
-        assert (await made.ask("stop"))["ok"] and await made.ended() == 0
+        assert (await daemon.ask("stop"))["ok"] and await daemon.ended() == 0
     finally:
-        if made.process.returncode is None:
-            made.process.kill()
-            await made.process.wait()
+        if daemon.process.returncode is None:
+            daemon.process.kill()
+            await daemon.process.wait()
         one.stop()
         two.stop()
 
@@ -94,6 +95,7 @@
 
 
 def faults(membership: str) -> set[str]:
+    """Return the keys that the configuration file's errors name."""
     try:
         parse((FILE + membership).encode(), Path("f.toml"))
     except BadDocument as bad:
@@ -105,6 +107,7 @@
 
 
 def test_the_file_says_what_is_wrong_with_its_service() -> None:
+    """Each invalid key of [membership] must be reported by its name."""
     assert faults(GOOD) == set()
     assert faults('source = "zookeeper"') == {"hosts", "path"}
     assert faults(GOOD + 'address = "127.0.0.1:1"') == {"address"}
@@ -116,6 +119,7 @@
 
 
 def test_the_secret_stands_in_a_file_of_its_own(tmp_path: Path) -> None:
+    """Credentials are read from their own file only, and an invalid file is rejected."""
     document = parse((FILE + GOOD + 'auth_file = "zk.secret"').encode(), tmp_path / "f.toml")
     table = instance_table(document, 0)["zookeeper"]
     with pytest.raises(BadConfig):
@@ -125,6 +129,6 @@
         with pytest.raises(BadConfig):
             ephemeral.source_settings(table)
     (tmp_path / "zk.secret").write_text("me:word\n")
-    terms = ephemeral.source_settings(table)
-    assert terms.session.auth == "me:word" and "word" not in str(table)
-    assert terms.session.hosts == (("127.0.0.1", 2181),) and terms.path == "/services/stock"
+    settings = ephemeral.source_settings(table)
+    assert settings.session.auth == "me:word" and "word" not in str(table)
+    assert settings.session.hosts == (("127.0.0.1", 2181),) and settings.path == "/services/stock"
--- a/tests/daemon/test_logs.py
+++ b/tests/daemon/test_logs.py
@@ -1,4 +1,4 @@
-"""One event a line whatever is in it, with fields, and a bound on what one place in the code may say."""
+"""Log format: one event per line whatever it contains, with fields, and a rate limit for each call site."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 
 @pytest.fixture(autouse=True)
-def as_before() -> Iterator[None]:
+def restored_logging() -> Iterator[None]:
+    """Restore the root logger after each test."""
     root = logging.getLogger()
     before, level = [*root.handlers], root.level
     yield
@@ -27,9 +28,10 @@
     root.setLevel(level)
 
 
-def lines(form: str, level: str = "info") -> list[str]:
+def lines(log_format: str, level: str = "info") -> list[str]:
+    """Log an event, one with hostile text and one with a traceback; return the lines written."""
     out = io.StringIO()
-    configure(form, level, out, instance="i0", run=3)
+    configure(log_format, level, out, instance="i0", run=3)
     log.info("well")
     fields = {"server": "b1", "class": "pay", "call": "c\n9"}
     log.warning("from %s", "a peer\nERROR forged\x1b[31m", extra=fields)
@@ -41,6 +43,7 @@
 
 
 def test_as_json_each_event_is_an_object_with_its_fields() -> None:
+    """Line breaks and terminal sequences in an event must not forge another event."""
     well, warned, failed = map(json.loads, lines("json"))
     assert well["event"] == "well" and well["level"] == "info"
     assert well["instance"] == "i0" and well["run"] == 3
@@ -51,6 +54,7 @@
 
 
 def test_as_text_each_event_is_a_line_with_its_fields() -> None:
+    """The text format must escape the same characters, and show every field."""
     well, warned, failed = lines("text")
     assert "info    well  " in well and "instance=i0" in well and "run=3" in well
     assert "warning from a peer" in warned and "server=b1" in warned and "\x1b" not in warned
@@ -58,11 +62,13 @@
 
 
 def test_auto_is_json_where_no_terminal_is_and_the_level_holds() -> None:
+    """`auto` writes JSON to a stream that is no terminal; events below the level are dropped."""
     assert all(line.startswith("{") for line in lines("auto"))
     assert len(lines("json", "error")) == 1
 
 
 def test_one_place_is_bounded_others_are_not_and_what_was_left_out_is_counted() -> None:
+    """One noisy call site must not suppress others; suppressed events are counted and memory is bounded."""
     now = 0.0
     filtered = RateLimit(lambda: now)
 
@@ -76,6 +82,6 @@
     later = record(1)
     assert filtered.filter(later) and later.__dict__["left_out"] == 30
     assert "left_out" not in record(2).__dict__
-    for line in range(10 * MAX_KINDS):  # a bound on what is counted, too
+    for line in range(10 * MAX_KINDS):  # the number of call sites that are counted is bounded, too
         filtered.filter(record(line))
     assert len(filtered._kinds) <= MAX_KINDS + 1
