--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -431,7 +431,7 @@
             client.send(request("r", "pay", LONG, budget="300m"))
             assert (await client.answer())[0] == 500
             assert server.bodies == [LONG]
-            assert "by its deadline" not in caplog.text  # the timeout of the attempt ended it, not the fallback
+            assert "by its deadline" not in caplog.text  # the attempt timed out, not the fallback
 
     asyncio.run(scenario())
 
