--- a/sorrelfront/daemon/__init__.py
+++ b/sorrelfront/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One long-lived process that runs a fleet of instances."""
+"""The daemon: one long-lived process that supervises a fleet of instances."""
--- a/sorrelfront/daemon/adopting.py
+++ b/sorrelfront/daemon/adopting.py
@@ -1,5 +1,7 @@
-"""Finds what an earlier supervisor has left running, has `decisions.adoption` judge it, and carries that
-out."""
+"""Finds the processes of an earlier supervisor, and adopts, drains or kills them.
+
+`decisions.adoption` decides what is done with each.
+"""
 
 from __future__ import annotations
 
@@ -13,30 +15,39 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from sorrelfront.daemon.channel import BadMessage, Message, is_owner, peer, prepare, receive, send
+from sorrelfront.daemon.channel import (
+    BadMessage,
+    Message,
+    configure_socket,
+    is_owner,
+    peer_credentials,
+    receive,
+    send,
+)
 from sorrelfront.daemon.fleet import Fleet, adopted_run, now_us
 from sorrelfront.daemon.journal import Journal, RunFolder
 from sorrelfront.daemon.processes import boot_id, open_process, send_signal, start_ticks
-from sorrelfront.decisions.adoption import Adopt, Drain, End, Found, Leave, Life, judge
+from sorrelfront.decisions.adoption import Adopt, Drain, FoundProcess, Kill, Leave, Life, decide_each
 
 log = logging.getLogger("sorrelfront.daemon")
 
-ADOPT_WITHIN_S = 2.0  # for one that has just said who it is
-STEP_S = 0.1  # of a wait: the most that is counted of a time in which this program stood still
-SOCKETS_MOST = 40  # listening sockets that one instance may hand over
+ADOPT_TIMEOUT_S = 2.0  # for an answer to `adopt`, from a process that has just identified itself
+MAX_WAIT_STEP_S = 0.1  # step of a wait: at most so much of a pause of this program counts towards the timeout
+MAX_SOCKETS = 40  # listening sockets that one instance may send
 
 
 @dataclass(slots=True)
 class Candidate:
-    """One process that was found, with what is held of it until it is adopted or let go."""
+    """One found process and the descriptors for it, which are held until it is adopted or released."""
 
-    found: Found
+    found: FoundProcess
     ticks: int = 0
     channel: socket.socket | None = None
     pidfd: int | None = None
     sockets: list[socket.socket] = field(default_factory=list)
 
     def close(self) -> None:
+        """Close every descriptor that is still held."""
         if self.channel is not None:
             self.channel.close()
             self.channel = None
@@ -49,21 +60,21 @@
 
 
 @dataclass(slots=True)
-class Adopted:
-    """What came of it, for the log and status."""
+class AdoptionCounts:
+    """Counts of an adoption, for the log and status."""
 
     adopted: int = 0
     drained: int = 0
     killed: int = 0
     left: int = 0
-    retaken: int = 0
+    reconfigured: int = 0
 
 
 async def receive_within(sock: socket.socket, within_s: float) -> tuple[Message, list[int]] | None:
-    """The next message, waited for; None at the peer's end. Raises BadMessage, TimeoutError.
+    """Wait for the next message; None at end of file. Raises BadMessage, TimeoutError.
 
-    Waited for in steps. Risk: who stood still together with its peer, on a host that was suspended, would
-    find the time over on waking, and kill a peer that answers in the next moment.
+    The wait is divided into steps. On a host that was suspended, both this program and its peer were stopped:
+    a single timeout would have expired on resuming, and a peer about to answer would be killed.
     """
     loop, left_s = asyncio.get_running_loop(), within_s
     while True:
@@ -72,7 +83,7 @@
         except BlockingIOError:
             if left_s <= 0:
                 raise TimeoutError from None
-        readable, step_s, began = asyncio.Event(), min(left_s, STEP_S), loop.time()
+        readable, step_s, began = asyncio.Event(), min(left_s, MAX_WAIT_STEP_S), loop.time()
         loop.add_reader(sock.fileno(), readable.set)
         try:
             with contextlib.suppress(TimeoutError):
@@ -83,40 +94,43 @@
         left_s -= min(step_s, loop.time() - began)
 
 
-def _split(path: Path) -> tuple[str, int]:
-    """Name and process number of a door; 0 if it is none."""
+def _parse_socket_path(path: Path) -> tuple[str, int]:
+    """Return instance name and process id from the path of a socket; 0 if it has no valid id."""
     name, _, number = path.stem.rpartition("-")
     return name, int(number) if number.isascii() and number.isdigit() and len(number) < 10 else 0
 
 
-async def _knock(path: Path, within_s: float) -> Candidate | None:
-    """Ask who is behind a door. None if nobody is; then the door is taken away."""
-    name, number = _split(path)
+async def _query(path: Path, within_s: float) -> Candidate | None:
+    """Ask the process behind a socket to identify itself.
+
+    If no process listens, the socket is removed and None is returned.
+    """
+    name, number = _parse_socket_path(path)
     channel = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    candidate = Candidate(Found(name, number, verified=False), channel=channel)
+    candidate = Candidate(FoundProcess(name, number, verified=False), channel=channel)
     try:
-        prepare(channel)
+        configure_socket(channel)
         try:
             channel.connect(str(path))
-        except BlockingIOError:  # its queue is full: it does not accept
-            return candidate  # who it is cannot be asked of the kernel, so nothing is done to it
+        except BlockingIOError:  # its listen queue is full: it does not accept
+            return candidate  # without a connection its identity cannot be verified: left alone
         except OSError:
             candidate.close()
             path.unlink(missing_ok=True)
             return None
-        pid, _ = peer(channel)
+        pid, _ = peer_credentials(channel)
         if not is_owner(channel) or pid != number:
             return candidate
         candidate.ticks = start_ticks(pid) or 0
         candidate.pidfd = open_process(pid, candidate.ticks)
         if candidate.pidfd is None:
             return candidate
-        candidate.found = Found(name, pid)
+        candidate.found = FoundProcess(name, pid)
         if not send(channel, {"op": "hello"}):
             return candidate
         got = await receive_within(channel, within_s)
         if got is not None:
-            _introduced(candidate, *got)
+            _apply_hello(candidate, *got)
     except (TimeoutError, BadMessage, OSError):
         pass
     except BaseException:
@@ -125,13 +139,13 @@
     return candidate
 
 
-def _introduced(candidate: Candidate, message: Message, descriptors: list[int]) -> None:
-    """Take in what it says, as far as the kernel says the same."""
+def _apply_hello(candidate: Candidate, message: Message, descriptors: list[int]) -> None:
+    """Apply the `hello` answer if it agrees with what the kernel says."""
     for descriptor in descriptors:
         candidate.sockets.append(socket.socket(fileno=descriptor))
     found = candidate.found
-    said = (message.get("op"), message.get("name"), message.get("pid"), message.get("ticks"))
-    if said != ("hello", found.name, found.pid, candidate.ticks) or len(descriptors) > SOCKETS_MOST:
+    reported = (message.get("op"), message.get("name"), message.get("pid"), message.get("ticks"))
+    if reported != ("hello", found.name, found.pid, candidate.ticks) or len(descriptors) > MAX_SOCKETS:
         return
     try:
         life = Life(message.get("life"))
@@ -140,14 +154,14 @@
     run, generation, protocol = message.get("run"), message.get("generation"), message.get("protocol")
     if type(run) is not int or type(generation) is not int or type(protocol) is not int:
         return
-    candidate.found = Found(
+    candidate.found = FoundProcess(
         found.name, found.pid, run=run, life=life, orphan=message.get("orphan") is True, protocol=protocol,
         generation=generation, digest=str(message.get("digest")),
     )  # fmt: skip
 
 
-def _by_journal(journal: Journal | None, seen: Collection[int]) -> list[Candidate]:
-    """Processes that the journal names and that have no door any more. Another boot's are nobody's."""
+def _from_journal(journal: Journal | None, seen: Collection[int]) -> list[Candidate]:
+    """Return processes in the journal without a socket. A journal of another boot is ignored."""
     if journal is None or journal.boot != boot_id():
         return []
     found = []
@@ -155,73 +169,75 @@
         if entry.pid in seen:
             continue
         pidfd = open_process(entry.pid, entry.ticks)
-        one = Found(entry.name, entry.pid, entry.run, verified=pidfd is not None, reachable=False)
+        one = FoundProcess(entry.name, entry.pid, entry.run, verified=pidfd is not None, reachable=False)
         found.append(Candidate(one, entry.ticks, pidfd=pidfd))
     return found
 
 
-async def survey(folder: RunFolder, journal: Journal | None, within_s: float) -> list[Candidate]:
-    """All that can be found, each asked who it is; all at once, in this time at most."""
-    asked = await asyncio.gather(*(_knock(path, within_s) for path in folder.doors()))
+async def find_processes(folder: RunFolder, journal: Journal | None, within_s: float) -> list[Candidate]:
+    """Find running instances and query them concurrently, each within `within_s` seconds."""
+    asked = await asyncio.gather(*(_query(path, within_s) for path in folder.instance_sockets()))
     candidates = [item for item in asked if item is not None]
-    return candidates + _by_journal(journal, {item.found.pid for item in candidates})
+    return candidates + _from_journal(journal, {item.found.pid for item in candidates})
 
 
-async def adopt_all(fleet: Fleet, candidates: list[Candidate], taken: Collection[str] = ()) -> Adopted:
-    """Have every process judged, and carry the verdicts out. Closes what is not adopted."""
-    told = Adopted()
+async def adopt_all(fleet: Fleet, candidates: list[Candidate], taken: Collection[str] = ()) -> AdoptionCounts:
+    """Decide on every process and carry the decisions out. Closes the descriptors of those not adopted."""
+    counts = AdoptionCounts()
     by_pid = {item.found.pid: item for item in candidates}
-    verdicts = judge([item.found for item in candidates], fleet.document.names, fleet.terms.digest, taken)
+    decisions = decide_each(
+        [item.found for item in candidates], fleet.document.names, fleet.terms.digest, taken
+    )
     fleet.generation = max([fleet.generation, *(item.found.generation for item in candidates)])
     for candidate in candidates:
-        # Risk: one that is leaving still holds the address, so that it could not be bound anew.
+        # An instance that is leaving still holds the address, so it could not be bound again.
         if candidate.found.orphan:
             for sock in candidate.sockets:
                 fleet.take_socket(sock)
             candidate.sockets.clear()
-    adopted = [item for item in verdicts if isinstance(item, Adopt)]
-    if adopted and all(item.retake for item in adopted):
-        fleet.generation += 1  # the file is another one than any of them knows
+    adopted = [item for item in decisions if isinstance(item, Adopt)]
+    if adopted and all(item.reconfigure for item in adopted):
+        fleet.generation += 1  # none of them has the current configuration
     try:
-        for verdict in verdicts:
-            found, candidate = verdict.found, by_pid[verdict.found.pid]
-            match verdict:
-                case Adopt(_, retake):
+        for decision in decisions:
+            found, candidate = decision.found, by_pid[decision.found.pid]
+            match decision:
+                case Adopt(_, reconfigure):
                     if await _adopt(fleet, candidate, found.name):
-                        told.adopted += 1
-                        if retake:
-                            told.retaken += 1
+                        counts.adopted += 1
+                        if reconfigure:
+                            counts.reconfigured += 1
                             fleet.retake(found.name, fleet.runs[found.name])
-                        else:  # its supervisor may have ended between a reload and the word that it holds
+                        else:  # its supervisor may have ended between a reload and the commit
                             send(fleet.runs[found.name].channel, {"op": "commit"})
                 case Drain(_, why):
-                    told.drained += 1
+                    counts.drained += 1
                     log.info("%s (%d) is drained: %s", found.name, found.pid, why)
                     await _drain(fleet, candidate)
-                case End(_, why):
-                    told.killed += 1
+                case Kill(_, why):
+                    counts.killed += 1
                     log.warning("%s (%d) is killed: %s", found.name, found.pid, why)
                     if candidate.pidfd is not None:
                         send_signal(candidate.pidfd, signal.SIGKILL)
                 case Leave(_, why):
-                    told.left += 1
+                    counts.left += 1
                     log.info("%s (%d) is left alone: %s", found.name, found.pid, why)
                     if found.life is Life.LEAVING and found.orphan and candidate.channel is not None:
                         send(candidate.channel, {"op": "others"})
     finally:
         for candidate in candidates:
             candidate.close()
-    return told
+    return counts
 
 
 async def _adopt(fleet: Fleet, candidate: Candidate, name: str) -> bool:
-    """Whether it is the fleet's from here on, under this name."""
+    """Adopt the process under this name; return whether that succeeded."""
     channel, found = candidate.channel, candidate.found
     assert channel is not None
     send(channel, {"op": "adopt", "id": 1})
     fault: object = "it did not answer in time"
     with contextlib.suppress(TimeoutError, BadMessage):
-        got = await receive_within(channel, ADOPT_WITHIN_S)
+        got = await receive_within(channel, ADOPT_TIMEOUT_S)
         if got is not None:
             for descriptor in got[1]:
                 os.close(descriptor)
@@ -235,16 +251,16 @@
         if run is None:
             fault = "it has ended"
     if run is None:
-        # Risk: its time ran out in this very moment; it drains, and another is started in its place.
+        # Its orphan timeout may expire at this moment: then it drains, and a new process is started instead.
         log.warning("%s (%d) is not adopted: %s", name, found.pid, fault)
         return False
-    candidate.channel = None  # the run's from here on
+    candidate.channel = None  # now owned by the run
     fleet.adopt(name, run, found.life is Life.READY)
     return True
 
 
 async def _drain(fleet: Fleet, candidate: Candidate) -> None:
-    """Have it finish what it owes, under a name of its own; by signal if it cannot be spoken to."""
+    """Drain the process under a unique name, or by signal if it cannot be adopted."""
     found = candidate.found
     if found.life is not None and candidate.channel is not None:
         surplus = f"{found.name}@{found.pid}"
--- a/sorrelfront/daemon/door.py
+++ b/sorrelfront/daemon/door.py
@@ -1,9 +1,9 @@
-"""An instance's own socket: a supervisor that starts finds it here and asks who it is.
+"""An instance's own socket, by which a starting supervisor finds and identifies it.
 
-Unix, SOCK_SEQPACKET, mode 0600, for the instance's own user and root by the kernel's word. Whoever connects
-may ask `hello` and is told what the instance is, with its listening sockets beside. `adopt` makes the
-connection the instance's channel; `others` tells one that is leaving that somebody else has its sockets by
-now. Until then nothing that is said here changes anything.
+It is a Unix socket (SOCK_SEQPACKET, mode 0600) for the instance's own user and root, as the kernel reports
+them. A client may send `hello` and receives a description of the instance and its listening sockets. `adopt`
+makes the connection the instance's channel; `others` tells an instance that is leaving that another process
+now has its sockets. No other message changes anything.
 """
 
 from __future__ import annotations
@@ -15,76 +15,89 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from sorrelfront.daemon.channel import BadMessage, Message, bind_private, is_owner, prepare, receive, send
+from sorrelfront.daemon.channel import (
+    BadMessage,
+    Message,
+    bind_private,
+    configure_socket,
+    is_owner,
+    receive,
+    send,
+)
 
-CANDIDATES_MOST = 4  # connections at once; more are closed at once
-CANDIDATE_S = 10.0  # for a candidate to say what it wants
+MAX_CONNECTIONS = 4  # concurrent connections; further ones are closed immediately
+CONNECTION_TIMEOUT_S = 10.0  # for a client to send `adopt`
 
-Hello = Callable[[], tuple[Message, list[int]]]
-Adopt = Callable[[Message, socket.socket], str | None]
+HelloHandler = Callable[[], tuple[Message, list[int]]]
+AdoptHandler = Callable[[Message, socket.socket], str | None]
 
 
 class Door:
-    """Listens in the run folder as NAME-PID.sock. `adopt` is given the message and the connection, and
-    returns why not, or None if it has taken the connection over."""
+    """Listens in the run folder as NAME-PID.sock.
+
+    `adopt` receives the message and the connection, and returns the reason of a refusal, or None if it now
+    owns the connection.
+    """
 
     def __init__(
-        self, folder: Path, name: str, hello: Hello, adopt: Adopt, others: Callable[[], None]
+        self, folder: Path, name: str, hello: HelloHandler, adopt: AdoptHandler, others: Callable[[], None]
     ) -> None:
-        """Raises OSError."""
+        """Create the socket and accept connections. Raises OSError."""
         self.path = folder / f"{name}-{os.getpid()}.sock"
         self._hello = hello
         self._adopt = adopt
         self._others = others
-        self._candidates: dict[socket.socket, asyncio.TimerHandle] = {}
+        self._connections: dict[socket.socket, asyncio.TimerHandle] = {}
         self._loop = asyncio.get_running_loop()
-        self.path.unlink(missing_ok=True)  # of a process that had this number before
-        # Risk: found between bind and listen it refuses connections, and passes for one left behind.
+        self.path.unlink(missing_ok=True)  # left by an earlier process with the same id
+        # Renamed only once it listens: a socket found between bind and listen refuses connections, and would
+        # be removed as one of an ended process.
         hidden = folder / f".{name}-{os.getpid()}"
         hidden.unlink(missing_ok=True)
         self._sock = bind_private(socket.SOCK_SEQPACKET, hidden)
-        self._sock.listen(CANDIDATES_MOST)
+        self._sock.listen(MAX_CONNECTIONS)
         hidden.rename(self.path)
         self._sock.setblocking(False)
         self._loop.add_reader(self._sock.fileno(), self._accept)
 
     def close(self) -> None:
+        """Remove the socket and close all connections."""
         self._loop.remove_reader(self._sock.fileno())
         self._sock.close()
         with contextlib.suppress(OSError):
             self.path.unlink(missing_ok=True)
-        for candidate in [*self._candidates]:
-            self._drop(candidate)
+        for connection in [*self._connections]:
+            self._drop(connection)
 
     def _accept(self) -> None:
         try:
-            candidate, _ = self._sock.accept()
+            connection, _ = self._sock.accept()
         except OSError:
             return
-        if len(self._candidates) >= CANDIDATES_MOST or not is_owner(candidate):
-            candidate.close()
+        if len(self._connections) >= MAX_CONNECTIONS or not is_owner(connection):
+            connection.close()
             return
-        prepare(candidate)
-        self._candidates[candidate] = self._loop.call_later(CANDIDATE_S, self._drop, candidate)
-        self._loop.add_reader(candidate.fileno(), self._heard, candidate)
+        configure_socket(connection)
+        self._connections[connection] = self._loop.call_later(CONNECTION_TIMEOUT_S, self._drop, connection)
+        self._loop.add_reader(connection.fileno(), self._on_message, connection)
 
-    def _release(self, candidate: socket.socket) -> None:
-        self._candidates.pop(candidate).cancel()
-        self._loop.remove_reader(candidate.fileno())
+    def _release(self, connection: socket.socket) -> None:
+        self._connections.pop(connection).cancel()
+        self._loop.remove_reader(connection.fileno())
 
-    def _drop(self, candidate: socket.socket) -> None:
-        self._release(candidate)
-        candidate.close()
+    def _drop(self, connection: socket.socket) -> None:
+        self._release(connection)
+        connection.close()
 
-    def _heard(self, candidate: socket.socket) -> None:
+    def _on_message(self, connection: socket.socket) -> None:
         try:
-            got = receive(candidate)
+            got = receive(connection)
         except BlockingIOError:
             return
         except BadMessage:
             got = None
         if got is None:
-            self._drop(candidate)
+            self._drop(connection)
             return
         message, descriptors = got
         for descriptor in descriptors:
@@ -92,15 +105,15 @@
         match message.get("op"):
             case "hello":
                 answer, sockets = self._hello()
-                send(candidate, answer, sockets)
+                send(connection, answer, sockets)
             case "others":
                 self._others()
             case "adopt":
-                why = self._adopt(message, candidate)
-                send(candidate, {"op": "adopted", "id": message.get("id"), "fault": why})
+                why = self._adopt(message, connection)
+                send(connection, {"op": "adopted", "id": message.get("id"), "fault": why})
                 if why is None:
-                    self._release(candidate)
+                    self._release(connection)
                 else:
-                    self._drop(candidate)
+                    self._drop(connection)
             case _:
-                self._drop(candidate)
+                self._drop(connection)
--- a/sorrelfront/daemon/journal.py
+++ b/sorrelfront/daemon/journal.py
@@ -1,8 +1,8 @@
-"""The fleet's journal: which processes there are, for the supervisor that comes next.
+"""The fleet's journal: a list of its processes, for the next supervisor.
 
-It lies in the run folder beside the control socket, with the lock that only one supervisor holds and the
-doors of the instances. It is a hint: whoever reads it asks the kernel whether each process is the one that
-was meant. A second copy lies in a memory descriptor that a service manager may keep (`StateMemory`).
+It is stored in the run folder beside the control socket, with the lock that only one supervisor holds and the
+sockets of the instances. It is a hint: the reader verifies with the kernel that each process is still the one
+that was recorded. A second copy is in a memory descriptor that a service manager may keep (`StateMemory`).
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 log = logging.getLogger("sorrelfront.daemon")
 
-ENTRIES_MOST = 4 * INSTANCES_MOST  # beside a fleet its replacement, and what drains of both
+MAX_ENTRIES = 4 * INSTANCES_MOST  # a fleet, its replacement, and the draining instances of both
 JOURNAL = "journal"
 LOCK = "lock"
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One process: instance, number of its run, process number, and its start in ticks since the boot."""
+    """One process: instance name, run number, process id, and start time in clock ticks since boot."""
 
     name: str
     run: int
@@ -38,61 +38,66 @@
 
 
 class Journal(msgspec.Struct, frozen=True):
-    """What one supervisor leaves to the next."""
+    """Processes and configuration that one supervisor records for the next."""
 
     boot: str
     generation: int
-    digest: str  # of the document in force
+    digest: str  # of the current configuration
     entries: list[Entry]
 
 
-class NoFolder(SorrelfrontError):
-    """A run folder that cannot be used, in one line."""
+class RunFolderError(SorrelfrontError):
+    """The run folder cannot be used; the text is one line."""
 
     remedy = "Give the folder beside the control socket to the daemon's user alone, with mode 0700."
 
 
 def encode(journal: Journal) -> bytes:
+    """Encode a journal as a record."""
     return records.seal(records.Kind.JOURNAL, msgspec.msgpack.encode(journal))
 
 
 def decode(payload: bytes) -> Journal:
-    """Raises Spoilt."""
+    """Decode the payload of a journal record. Raises InvalidRecord if it is invalid."""
     try:
         journal = msgspec.msgpack.decode(payload, type=Journal)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise records.Spoilt(str(fault)) from None
-    if len(journal.entries) > ENTRIES_MOST or not 0 <= journal.generation < 2**53:
-        raise records.Spoilt("its figures are out of bounds")
+        raise records.InvalidRecord(str(fault)) from None
+    if len(journal.entries) > MAX_ENTRIES or not 0 <= journal.generation < 2**53:
+        raise records.InvalidRecord("its figures are out of bounds")
     return journal
 
 
 class RunFolder:
-    """The folder of one daemon's doors, journal and lock."""
+    """The folder with one daemon's instance sockets, journal and lock."""
 
     def __init__(self, path: Path) -> None:
-        """Makes it, for this user alone. Raises NoFolder."""
+        """Create the folder with access for this user only. Raises RunFolderError."""
         self.path = path
         self._lock = -1
         try:
             path.mkdir(mode=0o700, exist_ok=True)
-            told = path.lstat()
+            status = path.lstat()
         except OSError as fault:
-            raise NoFolder(f"{path}: {fault.strerror}") from None
-        if not stat.S_ISDIR(told.st_mode) or told.st_uid != os.geteuid() or told.st_mode & 0o077:
-            # Risk: another user lays a socket there that answers in an instance's place.
-            raise NoFolder(f"{path}: must be a folder of this user's that nobody else may enter (mode 0700)")
+            raise RunFolderError(f"{path}: {fault.strerror}") from None
+        if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & 0o077:
+            # Otherwise another user could place a socket there that answers instead of an instance.
+            raise RunFolderError(
+                f"{path}: must be a folder of this user's that nobody else may enter (mode 0700)"
+            )
 
     def lock(self) -> bool:
-        """Whether this program is the one that looks after the fleet. The kernel drops the lock when it ends,
-        however it ends (flock(2)). Raises NoFolder."""
+        """Try to take the lock of the fleet's supervisor; return whether this program holds it.
+
+        The kernel releases the lock when the program ends, however it ends (flock(2)). Raises RunFolderError.
+        """
         if self._lock >= 0:
             return True
         try:
             flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
             descriptor = os.open(self.path / LOCK, flags, 0o600)
         except OSError as fault:
-            raise NoFolder(f"{self.path / LOCK}: {fault.strerror}") from None
+            raise RunFolderError(f"{self.path / LOCK}: {fault.strerror}") from None
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -102,76 +107,79 @@
         return True
 
     def unlock(self) -> None:
+        """Release the lock, if it is held."""
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
 
     @property
     def journal(self) -> Path:
+        """Path of the journal."""
         return self.path / JOURNAL
 
     def read(self) -> Journal | None:
-        """Raises nothing; what cannot be trusted is set aside."""
+        """Read the journal; None if there is no valid one. An unreadable file is renamed. Raises nothing."""
         payload = records.trusted(self.journal, records.Kind.JOURNAL)
         if payload is None:
             return None
         try:
             return decode(payload)
-        except records.Spoilt as why:
+        except records.InvalidRecord as why:
             log.warning("%s is not used: %s", self.journal, why)
             return None
 
-    def doors(self) -> list[Path]:
-        """The sockets that lie here, a bounded number."""
+    def instance_sockets(self) -> list[Path]:
+        """Return the paths of the instance sockets, at most `MAX_ENTRIES`."""
         try:
-            return sorted(self.path.glob("*-*.sock"))[:ENTRIES_MOST]
+            return sorted(self.path.glob("*-*.sock"))[:MAX_ENTRIES]
         except OSError:
             return []
 
 
 class StateMemory:
-    """A journal in a memory descriptor, for a service manager to keep while no supervisor runs.
+    """A journal in a memory descriptor that a service manager keeps while no supervisor runs.
 
-    It has two places that are written in turn, each with a count in front. Risk: a supervisor is killed in
-    the middle of a write; then the other place is whole.
+    It has two slots that are written in turn, each with a sequence number. If a supervisor is killed during a
+    write, the other slot is still valid.
     """
 
-    PLACE = 256 * 1024  # bytes of each
-    HEAD = struct.Struct(">QI")  # count, length
+    SLOT_BYTES = 256 * 1024  # bytes per slot
+    SLOT_HEADER = struct.Struct(">QI")  # sequence number, length
 
     def __init__(self, descriptor: int = -1) -> None:
-        """On a descriptor that was kept, or on a new one. Raises OSError."""
-        self._count = 0
+        """Use a descriptor that was kept, or create a new one. Raises OSError."""
+        self._sequence = 0
         if descriptor < 0:
             descriptor = os.memfd_create("sorrelfront-state", os.MFD_CLOEXEC)
-            os.ftruncate(descriptor, 2 * self.PLACE)
+            os.ftruncate(descriptor, 2 * self.SLOT_BYTES)
         self.descriptor = descriptor
 
     def write(self, data: bytes) -> None:
-        """Left out if it is too long for its place: then the one before stays."""
-        if len(data) > self.PLACE - self.HEAD.size:
+        """Write an encoded journal; one that is too long is skipped, and the previous one stays."""
+        if len(data) > self.SLOT_BYTES - self.SLOT_HEADER.size:
             return
-        self._count += 1
-        at = self._count % 2 * self.PLACE
+        self._sequence += 1
+        at = self._sequence % 2 * self.SLOT_BYTES
         with contextlib.suppress(OSError):
-            os.pwrite(self.descriptor, self.HEAD.pack(self._count, len(data)) + data, at)
+            os.pwrite(self.descriptor, self.SLOT_HEADER.pack(self._sequence, len(data)) + data, at)
 
     def read(self) -> Journal | None:
-        """The newest that is whole; None if neither is."""
+        """Return the newest valid journal; None if neither slot is valid."""
         best: tuple[int, Journal] | None = None
-        for at in (0, self.PLACE):
+        for at in (0, self.SLOT_BYTES):
             try:
-                count, length = self.HEAD.unpack(os.pread(self.descriptor, self.HEAD.size, at))
-                if not 0 < length <= self.PLACE - self.HEAD.size or (best and best[0] >= count):
+                count, length = self.SLOT_HEADER.unpack(os.pread(self.descriptor, self.SLOT_HEADER.size, at))
+                if not 0 < length <= self.SLOT_BYTES - self.SLOT_HEADER.size or (best and best[0] >= count):
                     continue
-                data = os.pread(self.descriptor, length, at + self.HEAD.size)
-                best = (count, decode(records.unseal(records.Kind.JOURNAL, data)))
-            except (OSError, struct.error, records.Spoilt):
+                data = os.pread(self.descriptor, length, at + self.SLOT_HEADER.size)
+                best = (count, decode(records.decode_record(records.Kind.JOURNAL, data)))
+            except (OSError, struct.error, records.InvalidRecord):
                 continue
         if best is None:
             return None
-        self._count = min(best[0], 2**62)
+        self._sequence = min(best[0], 2**62)
         return best[1]
 
     def close(self) -> None:
+        """Close the descriptor."""
         os.close(self.descriptor)
--- a/sorrelfront/daemon/processes.py
+++ b/sorrelfront/daemon/processes.py
@@ -1,4 +1,4 @@
-"""Which process is meant: start times, boots, and handles that never name another process."""
+"""Identifies processes by start time and boot id, and holds them by descriptors that are never reused."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 
 
 def start_ticks(pid: int) -> int | None:
-    """When this process started, in clock ticks since the boot (proc(5), field 22 of stat); None if it is not
-    there, or has ended and is only waited for."""
+    """Return when the process started, in clock ticks since boot (proc(5), field 22 of stat).
+
+    None if there is no such process, or it is a zombie.
+    """
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return None if fields[0] in ("Z", "X") else int(fields[19])
@@ -21,7 +23,7 @@
 
 @cache
 def boot_id() -> str:
-    """Names this boot: a process number and its start time mean nothing after another one."""
+    """Return the id of this boot, since process ids and start times are not valid after a reboot."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -29,13 +31,15 @@
 
 
 def open_process(pid: int, ticks: int | None = None) -> int | None:
-    """A descriptor of this process that names no other one, ever (pidfd_open(2)); None if it is gone, or did
-    not start then. The caller owns it."""
+    """Open a descriptor that never refers to another process (pidfd_open(2)).
+
+    None if the process has ended, or did not start at `ticks`. The caller owns the descriptor.
+    """
     try:
         descriptor = os.pidfd_open(pid)
     except (OSError, ValueError, OverflowError):
         return None
-    # Risk: looked at before it is opened, the number may pass to another process in between.
+    # Checked after the open: before it, the process id could pass to another process in between.
     started = start_ticks(pid)
     if started is None or (ticks is not None and started != ticks):
         os.close(descriptor)
@@ -44,6 +48,6 @@
 
 
 def send_signal(descriptor: int, number: signal.Signals) -> None:
-    """To the process that the descriptor names, if it is still there."""
+    """Send a signal to the process of this descriptor, if it still exists."""
     with contextlib.suppress(ProcessLookupError):
         signal.pidfd_send_signal(descriptor, number)
--- a/sorrelfront/daemon/records.py
+++ b/sorrelfront/daemon/records.py
@@ -1,8 +1,8 @@
-"""Small files that are whole or not taken: versioned, bounded, checksummed records, replaced in one step.
+"""Versioned, bounded, checksummed records in small files that are replaced atomically.
 
-A record is a head (magic, version, kind, length, BLAKE2b of the rest) and a payload. It is written beside its
-place, synced, and renamed over it, and the folder is synced: after a power cut either the old one is there
-or the new one. Whatever else is found in its place is set aside and never trusted.
+A record is a header (magic, version, kind, length, BLAKE2b of the rest) and a payload. It is written to a
+temporary file, synced and renamed over the old one, and the folder is synced: after a power cut either the
+old or the new record is there. Anything else found at its path is renamed (`.bad`) and never used.
 """
 
 from __future__ import annotations
@@ -25,12 +25,14 @@
 
 MAGIC = b"SRLF"
 VERSION = 1
-HEAD = struct.Struct(">4sHHI16s")  # magic, version, kind, length of the payload, digest
-RECORD_MOST = 8 * 1024 * 1024  # bytes of a payload
-FILES_MOST = 8  # places that one writer looks after
+HEADER = struct.Struct(">4sHHI16s")  # magic, version, kind, length of the payload, digest
+MAX_PAYLOAD_BYTES = 8 * 1024 * 1024  # bytes of a payload
+MAX_PENDING_FILES = 8  # files with pending writes per writer
 
 
 class Kind(IntEnum):
+    """Type of a record; the numbers are stored."""
+
     JOURNAL = 1
     FLEET = 2
     LEARNT = 3
@@ -41,8 +43,8 @@
     SITE = 8
 
 
-class Spoilt(SorrelfrontError):
-    """Not a record that can be trusted, and why."""
+class InvalidRecord(SorrelfrontError):
+    """A record is invalid; the text says why."""
 
     remedy = (
         "Nothing has to be done: the file is set aside, and written anew; if it comes "
@@ -51,31 +53,39 @@
 
 
 class Disk:
-    """Every change that records make to files. Each step raises OSError."""
+    """The file operations of records. Each one raises OSError.
+
+    A subclass in `disk` can inject faults.
+    """
 
     def create(self, path: Path) -> int:
-        """A new file, for this user alone; its descriptor, which `close` gives back."""
+        """Create a file with mode 0600 and return its descriptor, to be closed by `close`."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
 
     def append(self, descriptor: int, data: bytes) -> None:
+        """Write all of the data."""
         view = memoryview(data)
-        while view:  # a disk that fills up takes a part first (write(2))
+        while view:  # a disk that fills up accepts only a part (write(2))
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
+        """Make the contents of the file durable."""
         os.fsync(descriptor)
 
     def close(self, descriptor: int) -> None:
+        """Close a descriptor from `create`."""
         os.close(descriptor)
 
     def replace(self, old: Path, new: Path) -> None:
+        """Rename `old` to `new` atomically, replacing it."""
         os.replace(old, new)
 
     def remove(self, path: Path) -> None:
+        """Remove the file, if it exists."""
         path.unlink(missing_ok=True)
 
     def sync_folder(self, path: Path) -> None:
-        """Names that were made, changed or removed in it are durable from here on (fsync(2))."""
+        """Make created, renamed and removed names in the folder durable (fsync(2))."""
         folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(folder)
@@ -83,7 +93,7 @@
             os.close(folder)
 
 
-disk = Disk()  # the one of this process
+disk = Disk()  # shared by the whole process
 
 
 def _digest(version: int, kind: int, payload: bytes) -> bytes:
@@ -92,59 +102,61 @@
 
 
 def seal(kind: Kind, payload: bytes) -> bytes:
-    """Raises ValueError if it is too long."""
-    if len(payload) > RECORD_MOST:
-        raise ValueError(f"a record of {len(payload)} bytes")
-    return HEAD.pack(MAGIC, VERSION, kind, len(payload), _digest(VERSION, kind, payload)) + payload
-
-
-def unseal(kind: Kind, data: bytes) -> bytes:
-    """The payload. Raises Spoilt, and nothing else whatever the bytes are."""
-    if len(data) < HEAD.size:
-        raise Spoilt("it is shorter than a head")
-    magic, version, found, length, digest = HEAD.unpack_from(data)
-    payload = data[HEAD.size :]
+    """Encode a record. Raises ValueError if the payload is too long."""
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise ValueError(f"the payload of a record is too long: {len(payload)} bytes")
+    return HEADER.pack(MAGIC, VERSION, kind, len(payload), _digest(VERSION, kind, payload)) + payload
+
+
+def decode_record(kind: Kind, data: bytes) -> bytes:
+    """Decode a record and return its payload. Raises InvalidRecord, and nothing else for any input."""
+    if len(data) < HEADER.size:
+        raise InvalidRecord("it is shorter than a head")
+    magic, version, found, length, digest = HEADER.unpack_from(data)
+    payload = data[HEADER.size :]
     if magic != MAGIC:
-        raise Spoilt("it is no record of this program")
+        raise InvalidRecord("it is no record of this program")
     if version != VERSION:
-        raise Spoilt(f"it is of version {version}, not {VERSION}")
+        raise InvalidRecord(f"it is of version {version}, not {VERSION}")
     if found != kind:
-        raise Spoilt(f"it is a record of kind {found}, not {int(kind)}")
-    if length > RECORD_MOST or length != len(payload):
-        raise Spoilt(f"it holds {len(payload)} bytes and says {length}")
+        raise InvalidRecord(f"it is a record of kind {found}, not {int(kind)}")
+    if length > MAX_PAYLOAD_BYTES or length != len(payload):
+        raise InvalidRecord(f"it holds {len(payload)} bytes and says {length}")
     if digest != _digest(version, kind, payload):
-        raise Spoilt("its checksum is wrong")
+        raise InvalidRecord("its checksum is wrong")
     return payload
 
 
 def read(path: Path, kind: Kind) -> bytes | None:
-    """The payload of the record at this place, or None if nothing is there. Raises Spoilt, also for a file
-    that is not a plain one of this user's (a link, a pipe, a stranger's, one that others may write), and
-    OSError."""
+    """Return the payload of the record in this file, or None if there is no file.
+
+    Raises InvalidRecord, also unless it is a regular file of this user or root that others cannot write (so
+    not for a link, a pipe, or another user's file), and OSError.
+    """
     try:
-        # Risk: a pipe in its place would block for ever, and a link lead elsewhere.
+        # O_NONBLOCK and O_NOFOLLOW: a pipe would block for ever, and a link could lead to another file.
         descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
     except FileNotFoundError:
         return None
     except OSError as fault:
-        raise Spoilt(f"it cannot be opened: {fault.strerror}") from None
+        raise InvalidRecord(f"it cannot be opened: {fault.strerror}") from None
     with open(descriptor, "rb") as file:
-        told = os.fstat(descriptor)
-        if not stat.S_ISREG(told.st_mode):
-            raise Spoilt("it is not a plain file")
-        if told.st_uid not in (0, os.geteuid()) or told.st_mode & 0o022:
-            raise Spoilt("it is another user's, or others may write it")
-        if told.st_size > HEAD.size + RECORD_MOST:
-            raise Spoilt(f"it is {told.st_size} bytes long")
-        return unseal(kind, file.read(HEAD.size + RECORD_MOST + 1))
+        status = os.fstat(descriptor)
+        if not stat.S_ISREG(status.st_mode):
+            raise InvalidRecord("it is not a plain file")
+        if status.st_uid not in (0, os.geteuid()) or status.st_mode & 0o022:
+            raise InvalidRecord("it is another user's, or others may write it")
+        if status.st_size > HEADER.size + MAX_PAYLOAD_BYTES:
+            raise InvalidRecord(f"it is {status.st_size} bytes long")
+        return decode_record(kind, file.read(HEADER.size + MAX_PAYLOAD_BYTES + 1))
 
 
 def trusted(path: Path, kind: Kind) -> bytes | None:
-    """The payload, or None: what cannot be trusted is set aside with one line in the log. Raises nothing."""
+    """Return the payload, or None. An invalid file is logged and renamed to `.bad`. Raises nothing."""
     try:
         return read(path, kind)
-    except (Spoilt, OSError) as why:
-        aside = path.with_name(path.name + ".bad")  # one is kept: the latest
+    except (InvalidRecord, OSError) as why:
+        aside = path.with_name(path.name + ".bad")  # only the latest is kept
         try:
             disk.replace(path, aside)
             done = f"set aside as {aside.name}"
@@ -155,9 +167,9 @@
 
 
 def write(path: Path, data: bytes) -> None:
-    """Put these bytes in place, all or none, so that a power cut does not tear them. Raises OSError."""
+    """Replace the file with these bytes atomically, also in case of a power cut. Raises OSError."""
     fresh = path.with_name(f".{path.name}.new")
-    disk.remove(fresh)  # left behind by one that was killed, or laid there as a link
+    disk.remove(fresh)  # left by a killed process, or placed there as a link
     descriptor = disk.create(fresh)
     try:
         try:
@@ -174,61 +186,61 @@
 
 
 class Writer:
-    """Writes records in one thread of its own, so that a slow disk holds up nobody.
+    """Writes records in a separate thread, so that a slow disk does not block the event loop.
 
-    Each place has one waiting version at most: a newer one takes the place of one that was not begun. A
-    failure is logged once and again only after a success; the old record stays.
+    Each file has at most one pending version: a newer one replaces one whose write has not begun. Consecutive
+    failures are logged only once; the old record stays.
     """
 
     def __init__(self, put: Callable[[Path, bytes], None] = write) -> None:
         self._put = put
-        self._waiting: dict[Path, bytes | None] = {}  # None: remove it
-        self._changed = threading.Condition()
+        self._pending: dict[Path, bytes | None] = {}  # None removes the file
+        self._condition = threading.Condition()
         self._busy = False
-        self._ended = False
+        self._closed = False
         self.written = 0
         self.failures = 0
-        self.fault: str | None = None  # of the last attempt
-        # Risk: a thread that the interpreter waits for at its end, while the disk hangs.
-        self._thread = threading.Thread(target=self._work, name="records", daemon=True)
+        self.fault: str | None = None  # error of the last write, None after a success
+        # A daemon thread: the interpreter would otherwise wait for it at exit while the disk hangs.
+        self._thread = threading.Thread(target=self._run, name="records", daemon=True)
         self._thread.start()
 
     def put(self, path: Path, data: bytes | None) -> None:
-        """Have this written, or removed if None, as soon as the disk allows."""
-        with self._changed:
-            if path not in self._waiting and len(self._waiting) >= FILES_MOST:
-                raise ValueError("a writer looks after few places")
-            self._waiting[path] = data
-            self._changed.notify_all()
+        """Queue the data to be written; None removes the file. Raises ValueError for too many files."""
+        with self._condition:
+            if path not in self._pending and len(self._pending) >= MAX_PENDING_FILES:
+                raise ValueError("too many files have pending writes")
+            self._pending[path] = data
+            self._condition.notify_all()
 
-    async def settled(self, within_s: float) -> bool:
-        """Wait until nothing is left to write. Whether that was so in time."""
-        return await asyncio.to_thread(self._settle, within_s)
+    async def wait_written(self, within_s: float) -> bool:
+        """Wait until all writes are done; return whether that was so within `within_s` seconds."""
+        return await asyncio.to_thread(self._wait_written, within_s)
 
-    def _settle(self, within_s: float) -> bool:
-        with self._changed:
-            return self._changed.wait_for(lambda: not self._waiting and not self._busy, within_s)
+    def _wait_written(self, within_s: float) -> bool:
+        with self._condition:
+            return self._condition.wait_for(lambda: not self._pending and not self._busy, within_s)
 
     def close(self) -> None:
-        """Begin nothing more. What the disk still holds up ends with the program."""
-        with self._changed:
-            self._ended = True
-            self._changed.notify_all()
+        """Begin no further write. One that the disk still blocks ends with the program."""
+        with self._condition:
+            self._closed = True
+            self._condition.notify_all()
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         while True:
-            with self._changed:
+            with self._condition:
                 self._busy = False
-                self._changed.notify_all()
-                self._changed.wait_for(lambda: self._waiting or self._ended)
-                if self._ended:
+                self._condition.notify_all()
+                self._condition.wait_for(lambda: self._pending or self._closed)
+                if self._closed:
                     return
-                path = next(iter(self._waiting))
-                data = self._waiting.pop(path)
+                path = next(iter(self._pending))
+                data = self._pending.pop(path)
                 self._busy = True
-            self._one(path, data)
+            self._write_one(path, data)
 
-    def _one(self, path: Path, data: bytes | None) -> None:
+    def _write_one(self, path: Path, data: bytes | None) -> None:
         try:
             if data is None:
                 disk.remove(path)
@@ -237,7 +249,7 @@
         except OSError as fault:
             self.failures += 1
             if self.fault is None:
-                log.warning("%s is not written: %s; the one before stays", path, fault.strerror or fault)
+                log.warning("%s is not written: %s; the previous one stays", path, fault.strerror or fault)
             self.fault = fault.strerror or str(fault)
             return
         self.written += 1
--- a/sorrelfront/daemon/supervisor.py
+++ b/sorrelfront/daemon/supervisor.py
@@ -1,6 +1,7 @@
-"""The daemon: puts sockets, processes, reload, replacement, adoption, state and control together.
+"""The daemon: combines sockets, processes, reload, replacement, adoption, state and control.
 
-It serves no request itself. If it dies the instances serve on for a while, and the next one adopts them.
+It serves no requests itself. If it dies, the instances go on serving for `orphan_ms`, and the next daemon
+adopts them.
 """
 
 from __future__ import annotations
@@ -16,93 +17,93 @@
 from typing import Any
 
 from sorrelfront.daemon import logs
-from sorrelfront.daemon.adopting import Adopted, adopt_all, survey
+from sorrelfront.daemon.adopting import AdoptionCounts, adopt_all, find_processes
 from sorrelfront.daemon.channel import Message
 from sorrelfront.daemon.configuration import BadDocument, Document, parse, read
 from sorrelfront.daemon.control import Control
 from sorrelfront.daemon.fleet import CannotStart, Fleet, Unanswered, now_us
-from sorrelfront.daemon.journal import Entry, Journal, NoFolder, RunFolder, StateMemory, encode
+from sorrelfront.daemon.journal import Entry, Journal, RunFolder, RunFolderError, StateMemory, encode
 from sorrelfront.daemon.notify import SOCKETS_NAME, STATE_NAME, Passed, keep, notify, passed
 from sorrelfront.daemon.processes import boot_id
 from sorrelfront.daemon.records import Writer
 from sorrelfront.daemon.reload import Reloading
 from sorrelfront.daemon.replacement import Replacing
-from sorrelfront.daemon.state import SETTLE_S, State, remembered
-from sorrelfront.daemon.takeover import Bereft, Heir, NoTakeover
+from sorrelfront.daemon.state import WRITE_TIMEOUT_S, State, read_fleet_record
+from sorrelfront.daemon.takeover import PredecessorEnded, Successor, TakeoverError
 from sorrelfront.signals import ignore_from_here, on_signal
 
 log = logging.getLogger("sorrelfront.daemon")
 
-ABORT_WITHIN_S = 2.0  # for owed requests to be answered as failed, when there is no time left
-LOCK_WITHIN_S = 5.0  # for a program that hands over, or was killed doing so, to let go of the lock
-MEMBERS_WITHIN_S = 2.0  # for an instance to tell what it knows of the fleet
-POLICY_WITHIN_S = 5.0  # for an instance to have asked the voters
+ABORT_TIMEOUT_S = 2.0  # for in-flight requests to be answered as failed, at an abort
+LOCK_TIMEOUT_S = 5.0  # for the previous program to release the lock after a handover, or after it was killed
+MEMBERS_TIMEOUT_S = 2.0  # for an instance to send its view of the fleet
+POLICY_TIMEOUT_S = 5.0  # for an instance to get the answers of the voters
 MEMBERS_KEYS = ("fleet", "self", "agreeing", "events", "members")
-SURVEY_MOST_S = 5.0  # for one that was found to say who it is; `hang_after_ms` if that is shorter
+MAX_FIND_TIMEOUT_S = 5.0  # for a found process to identify itself; `hang_after_ms` if that is shorter
 
 
 class Daemon:
-    """One fleet and what looks after it."""
+    """Supervises one fleet, and answers its control socket."""
 
     def __init__(self, path: Path, document: Document, replace: bool = False) -> None:
-        """`replace`: take over from the daemon that runs by the same control socket. Raises CannotStart."""
-        self._replaces = replace
-        self._heir = Heir(document.control) if replace else None
+        """Prepare the daemon; `replace` takes over from the running one. Raises CannotStart."""
+        self._replacing_running = replace
+        self._successor = Successor(document.control) if replace else None
         try:
             self._folder = RunFolder(document.run_folder)
-        except NoFolder as fault:
+        except RunFolderError as fault:
             raise CannotStart(f"[daemon] control: {fault}") from None
         self.fleet = Fleet(document, self._folder.path)
         self.fleet.provisional = replace
-        self.fleet.changed = self._changed
-        self.fleet.spawned = self._note
+        self.fleet.changed = self._on_fleet_changed
+        self.fleet.spawned = self._write_journal
         self._writer = Writer()
         self._state = None
         if document.state_folder is not None:
             self._state = State(document.state_folder, self.fleet, self._writer)
         self._memory: StateMemory | None = None
         self._control: Control | None = None
-        self.reloading = Reloading(path, self.fleet, self._may_change, self._committed)
-        self.replacing = Replacing(self.fleet, self._may_hand_over, self._release, self.stop)
-        self._adopted: Adopted | None = None
+        self.reloading = Reloading(path, self.fleet, self._may_change, self._on_reloaded)
+        self.replacing = Replacing(self.fleet, self._may_hand_over, self._release_control, self.stop)
+        self._adoption: AdoptionCounts | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self.failure: str | None = None
         self._ended = asyncio.Event()
-        self._begun = False
+        self._started = False
         self._stop_asked = False
         self._interrupted = False
         self._was_ready = False
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Until it is told to stop and every instance has ended. Raises CannotStart."""
+        """Run until told to stop and every instance has ended. Raises CannotStart."""
         on_signal(signal.SIGTERM, self.stop)
-        on_signal(signal.SIGINT, self._interrupt)
+        on_signal(signal.SIGINT, self._on_interrupt)
         on_signal(signal.SIGHUP, self._reload_by_signal)
         try:
-            given = passed(os.environ)
-            if self._heir is not None:
-                await self._inherit(self._heir)
-            if self._heir is None:
-                await self._take_charge(given)
-            self.fleet.open(given.sockets)
-            if self._heir is None:
+            inherited = passed(os.environ)
+            if self._successor is not None:
+                await self._receive_handover(self._successor)
+            if self._successor is None:
+                await self._become_supervisor(inherited)
+            self.fleet.open(inherited.sockets)
+            if self._successor is None:
                 await self._start_control()
-                self._keep_by_manager()
-            self._begun = True
+                self._store_with_manager()
+            self._started = True
             if self._stop_asked:
                 self.stop()
             self.fleet.do(self.fleet.decide.start(now_us()))
-            if self._heir is not None:
-                self._spawn(self._succeed(self._heir))
+            if self._successor is not None:
+                self._spawn(self._complete_takeover(self._successor))
             elif self._state is not None:
                 self._spawn(self._state.keep())
             await self._ended.wait()
             if not self.fleet.handed_over:
                 self._writer.put(self._folder.journal, None)
-            await self._writer.settled(SETTLE_S)
+            await self._writer.wait_written(WRITE_TIMEOUT_S)
         finally:
             await self._close()
             ignore_from_here(signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
@@ -112,8 +113,8 @@
         self.reloading.cancel()
         for task in self._tasks:
             task.cancel()
-        if self._heir is not None:
-            self._heir.close()
+        if self._successor is not None:
+            self._successor.close()
         self.replacing.close()
         if self._control is not None:
             await self._control.close()
@@ -136,67 +137,68 @@
             raise CannotStart(f"[daemon] control: {path}: {fault.strerror}") from None
         await self._control.start()
 
-    async def _take_charge(self, given: Passed) -> None:
-        """Be the one that looks after the fleet, and adopt what runs already. Raises CannotStart."""
+    async def _become_supervisor(self, inherited: Passed) -> None:
+        """Take the lock, restore state and adopt running instances. Raises CannotStart."""
         try:
-            if not await self._lock(LOCK_WITHIN_S if self._replaces else 0.0):
+            if not await self._lock(LOCK_TIMEOUT_S if self._replacing_running else 0.0):
                 raise CannotStart(f"[daemon] control: another daemon runs by this file ({self._folder.path})")
-        except NoFolder as fault:
+        except RunFolderError as fault:
             raise CannotStart(f"[daemon] control: {fault}") from None
         if self._state is not None:
             self._state.restore()
         journal = self._folder.read()
-        kept = StateMemory(given.state) if given.state >= 0 else None
+        kept = StateMemory(inherited.state) if inherited.state >= 0 else None
         if kept is not None:
             journal = journal or kept.read()
         self._memory = kept
         await self._adopt(journal)
 
     async def _lock(self, within_s: float) -> bool:
-        """Whether this is the program that looks after the fleet, within this time. Raises NoFolder.
+        """Wait for the lock of the run folder; return whether it was acquired in time. Raises RunFolderError.
 
-        Risk: the kernel closes what a killed program had one by one, so its connections are seen to end
-        before its lock is free. Harm: its heir takes that for another program, gives up, and nobody looks
-        after the fleet."""
+        The kernel closes the descriptors of a killed program one by one, so its connections may end before
+        its lock is free. Without the wait its successor would conclude that another program holds the lock
+        and give up, and the fleet would be left without a supervisor.
+        """
         until = time.monotonic() + within_s
-        told = False
+        logged = False
         while not self._folder.lock():
             if time.monotonic() >= until:
                 return False
-            if not told:
-                log.info("waiting for the program before to let go of the lock, for %g s", within_s)
-                told = True
+            if not logged:
+                log.info("waiting up to %g s for the previous program to let go of the lock", within_s)
+                logged = True
             await asyncio.sleep(0.01)
         return True
 
     async def _adopt(self, journal: Journal | None) -> None:
         if journal is not None:
             self.fleet.generation = max(self.fleet.generation, journal.generation)
-        if not self._begun:
+        if not self._started:
             self.fleet.decide.hold()
-        within_s = min(SURVEY_MOST_S, self.fleet.document.daemon["hang_after_ms"] / 1e3)
-        found = await survey(self._folder, journal, within_s)
+        within_s = min(MAX_FIND_TIMEOUT_S, self.fleet.document.daemon["hang_after_ms"] / 1e3)
+        found = await find_processes(self._folder, journal, within_s)
         if not found:
             return
         began = time.monotonic()
-        told = self._adopted = await adopt_all(self.fleet, found, [*self.fleet.runs])
+        counts = self._adoption = await adopt_all(self.fleet, found, [*self.fleet.runs])
         log.info(
-            "of %d processes found %d are adopted, %d of them by another file, %d drained, %d killed, "
-            "%d left, in %.3f s",
-            len(found), told.adopted, told.retaken, told.drained, told.killed, told.left,
+            "of %d processes found %d are adopted, %d of them reconfigured, %d drained, %d killed, "
+            "%d left alone, in %.3f s",
+            len(found), counts.adopted, counts.reconfigured, counts.drained, counts.killed, counts.left,
             time.monotonic() - began,
         )  # fmt: skip
 
-    # What the next supervisor finds
+    # Journal for the next supervisor
 
     @property
-    def _in_charge(self) -> bool:
+    def _is_active(self) -> bool:
         return not self.fleet.provisional and not self.fleet.handed_over
 
-    def _note(self) -> None:
-        """The set of processes, or the file in force, is another one."""
-        if not self._in_charge:
-            return  # the program that is in charge writes its own
+    def _write_journal(self) -> None:
+        """Write the journal after the set of processes or the configuration has changed."""
+        if not self._is_active:
+            return  # the active program writes the journal
         fleet = self.fleet
         entries = [
             Entry(name.partition("@")[0], run.number, run.pid, run.ticks)
@@ -208,17 +210,17 @@
         if self._memory is not None:
             self._memory.write(data)
 
-    def _committed(self) -> None:
-        """Another file is in force."""
-        log_by = self.fleet.document.log
-        logs.configure(log_by["format"], log_by["level"], generation=self.fleet.generation)
-        self._note()
-        self._keep_by_manager()
+    def _on_reloaded(self) -> None:
+        """Apply what depends on the configuration after a reload."""
+        log_settings = self.fleet.document.log
+        logs.configure(log_settings["format"], log_settings["level"], generation=self.fleet.generation)
+        self._write_journal()
+        self._store_with_manager()
         if self._state is not None:
             self._state.write_fleet()
 
-    def _keep_by_manager(self) -> None:
-        """Have the service manager keep the listening sockets and the journal, if there is one."""
+    def _store_with_manager(self) -> None:
+        """Store the listening sockets and the journal with the service manager, if there is one."""
         if "NOTIFY_SOCKET" not in os.environ:
             return
         keep(os.environ, SOCKETS_NAME, [sock.fileno() for sock in self.fleet.sockets.values()])
@@ -226,70 +228,77 @@
             with contextlib.suppress(OSError):
                 self._memory = StateMemory()
         if self._memory is not None:
-            self._note()
+            self._write_journal()
             keep(os.environ, STATE_NAME, [self._memory.descriptor])
 
-    # Being the new program of a replacement
+    # Replacing another program
 
-    async def _inherit(self, heir: Heir) -> None:
-        """The first step: the old program's sockets and estimates. If it ends while it hands them over, there
-        is nothing to replace: this one starts as any other, and adopts what is left."""
+    async def _receive_handover(self, successor: Successor) -> None:
+        """Receive the old program's sockets and estimates, the first step of a take-over.
+
+        If the old program ends during the handover, there is nothing to replace: this one starts normally,
+        and adopts the instances that are left.
+        """
         try:
-            estate = await heir.ask()
-        except Bereft as fault:
+            handover = await successor.ask()
+        except PredecessorEnded as fault:
             log.warning("%s; starting in its place", fault)
-            self._heir = None
+            self._successor = None
             self.fleet.provisional = False
             return
-        except NoTakeover as fault:
+        except TakeoverError as fault:
             raise CannotStart(f"[daemon] control: {self.fleet.document.control}: {fault}") from None
-        self.fleet.learnt = estate.learnt
-        for sock in estate.sockets.values():
+        self.fleet.learnt = handover.snapshots
+        for sock in handover.sockets.values():
             self.fleet.take_socket(sock)
 
-    async def _succeed(self, heir: Heir) -> None:
-        """Wait until all instances are ready, then have the old program drain. Too late, or if that program
-        is told to stop meanwhile, this one ends and the old one goes on as it was. If the old one is killed
-        meanwhile, this one goes on in its place, and what it has left drains once all are ready."""
+    async def _complete_takeover(self, successor: Successor) -> None:
+        """Wait until all instances are ready, then have the old program drain.
+
+        After a timeout, or if the old program is told to stop meanwhile, this one ends and the old one
+        continues unchanged. If the old one is killed meanwhile, this one takes its place, and the instances
+        that it left drain once all new ones are ready.
+        """
         until = time.monotonic() + self.fleet.document.daemon["start_within_ms"] / 1e3
         why = None
         while why is None and not self.fleet.all_ready:
-            if time.monotonic() > until and not heir.bereft:
+            if time.monotonic() > until and not successor.predecessor_ended:
                 why = "not all instances became ready in time"
             await asyncio.sleep(0.01)
-            why = why or heir.gone()
-            if heir.bereft and not await self._lock(LOCK_WITHIN_S):
-                why = "the running program is gone, and another has taken its place"
+            why = why or successor.call_off_reason()
+            if successor.predecessor_ended and not await self._lock(LOCK_TIMEOUT_S):
+                why = "the running program has ended, and another one has replaced it"
         if why is not None:
             self.failure = why
             log.warning("the replacement is off: %s", why)
-            self.fleet.handed_over = True  # the old program's instances go on accepting
+            self.fleet.handed_over = True  # the old program's instances still accept connections
             self.stop()
             return
-        # Risk: killed once the old program drains and before its instances are told, nobody would serve.
+        # Activate the instances first: if this program were killed after the old one has begun to drain and
+        # before its own instances were activated, nothing would serve.
         self.fleet.provisional = False
         self.fleet.tell_all({"op": "charge"})
-        if not heir.bereft and not await heir.ready():
-            log.warning("the program before did not say that it drains")
-        heir.close()
-        self._heir = None
+        if not successor.predecessor_ended and not await successor.ready():
+            log.warning("the previous program did not confirm that it drains")
+        successor.close()
+        self._successor = None
         self.fleet.learnt = {}
-        await self._settle_in()
+        await self._start_after_takeover()
 
-    async def _settle_in(self) -> None:
-        """In charge after a replacement: lock, control socket, journal, and what else runs."""
-        await self._lock(LOCK_WITHIN_S)
+    async def _start_after_takeover(self) -> None:
+        """Complete a take-over: lock, control socket, journal, and adoption of other running instances."""
+        await self._lock(LOCK_TIMEOUT_S)
         try:
             await self._start_control()
         except CannotStart as fault:
             log.error("%s", fault)
-        self._note()
-        self._keep_by_manager()
+        self._write_journal()
+        self._store_with_manager()
         if self._state is not None:
             self._state.restore()
             self._spawn(self._state.keep())
         await self._adopt(self._folder.read())
-        self._tell_ready()
+        self._notify_ready()
 
     # Being replaced
 
@@ -298,8 +307,8 @@
             return "the daemon is stopping or reloading"
         return None
 
-    async def _release(self) -> None:
-        """Another program is in charge from here on."""
+    async def _release_control(self) -> None:
+        """Release the control socket and the lock to the new program."""
         control, self._control = self._control, None
         if control is not None:
             await control.close()
@@ -308,8 +317,8 @@
     # Stopping
 
     def stop(self) -> None:
-        """Drain and end. Told again, it changes nothing."""
-        if not self._begun:
+        """Drain all instances and end. A second call changes nothing."""
+        if not self._started:
             self._stop_asked = True
             return
         fleet = self.fleet
@@ -323,44 +332,47 @@
         log.info("stopping")
         self.reloading.cancel()
         fleet.do(fleet.decide.on_stop(now_us(), fleet.stop_within_us))
-        # The instances hold the sockets too: once the last of them closes its own, connects are refused.
+        # The instances hold the sockets too: new connections are refused once the last one has closed them.
         fleet.close_sockets(list(fleet.sockets))
 
-    def _interrupt(self) -> None:
-        """SIGINT: once as SIGTERM, twice at once, with what is owed answered as failed."""
+    def _on_interrupt(self) -> None:
+        """Handle SIGINT: the first acts like SIGTERM, the second aborts and fails the requests in flight."""
         if not self._interrupted:
             self._interrupted = True
             self.stop()
             return
         self.fleet.tell_all({"op": "abort"})
-        asyncio.get_running_loop().call_later(ABORT_WITHIN_S, self.fleet.kill_all)
+        asyncio.get_running_loop().call_later(ABORT_TIMEOUT_S, self.fleet.kill_all)
 
-    # Told by the fleet
+    # Fleet events
 
-    def _changed(self) -> None:
+    def _on_fleet_changed(self) -> None:
         if self.fleet.decide.ended:
             self._ended.set()
-        elif not self._was_ready and self.fleet.all_ready and self._heir is None and self._begun:
-            self._tell_ready()
+        elif not self._was_ready and self.fleet.all_ready and self._successor is None and self._started:
+            self._notify_ready()
 
-    def _tell_ready(self) -> None:
+    def _notify_ready(self) -> None:
         self._was_ready = True
         count = len(self.fleet.decide.ready)
         states = ["READY=1", f"STATUS={count} instances are ready"]
-        if self._replaces:
+        if self._replacing_running:
             states.append(f"MAINPID={os.getpid()}")
         notify(os.environ, *states)
-        log.info("ready after %.3f s: %d instances", time.monotonic() - self._began, count)
+        log.info("ready after %.3f s: %d instances", time.monotonic() - self._started_at, count)
 
     # Control
 
     def _may_change(self) -> str | None:
-        if not self._begun or self.fleet.decide.stopping or self.replacing.busy or self._heir is not None:
+        if (
+            not self._started or self.fleet.decide.stopping or self.replacing.busy
+            or self._successor is not None
+        ):  # fmt: skip
             return "the daemon is stopping, or being replaced"
         return None
 
     def _reload_by_signal(self) -> None:
-        if self._begun:
+        if self._started:
             self.reloading.by_signal()
 
     async def _handle(self, message: Message) -> Message:
@@ -388,7 +400,7 @@
         return {"ok": False, "faults": ["the operation is not known here: " + repr(message.get("op"))[:64]]}
 
     async def _members(self, after: object, wanted: object) -> Message:
-        """The fleet as one of the instances sees it: the one that is wanted, or any."""
+        """Return the view of the fleet of one instance: the requested one, or any."""
         if self.fleet.document.fleet is None:
             return {"ok": False, "faults": ["this file has no [fleet]: its instances know of nobody"]}
         for name in self.fleet.decide.ready:
@@ -396,44 +408,44 @@
             if run is None or wanted not in (None, name):
                 continue
             with contextlib.suppress(Unanswered):
-                told = await self.fleet.ask(run, {"op": "members", "after": after}, MEMBERS_WITHIN_S)
-                if told.get("members"):
-                    return {"ok": True, **{key: told[key] for key in MEMBERS_KEYS}}
+                reply = await self.fleet.ask(run, {"op": "members", "after": after}, MEMBERS_TIMEOUT_S)
+                if reply.get("members"):
+                    return {"ok": True, **{key: reply[key] for key in MEMBERS_KEYS}}
         return {"ok": False, "faults": ["no instance answers"]}
 
     async def _policy(self, message: Message) -> Message:
-        """Have one of the instances, the one that is wanted or any, do this about the fleet's policy."""
+        """Forward a policy operation to one instance: the requested one, or any."""
         fleet = self.fleet.document.fleet
         if fleet is None or not fleet["voters"]:
             return {"ok": False, "faults": ["this file has no [fleet] voters: each host goes by its file"]}
         wanted = message.get("instance")
-        words = {key: item for key, item in message.items() if key not in ("op", "id", "instance")}
+        request = {key: item for key, item in message.items() if key not in ("op", "id", "instance")}
         for name in self.fleet.decide.ready:
             run = self.fleet.runs.get(name)
             if run is None or wanted not in (None, name):
                 continue
             with contextlib.suppress(Unanswered):
-                told = await self.fleet.ask(run, {**words, "op": "policy"}, POLICY_WITHIN_S)
-                fault = told.get("fault")
-                return {**told, "ok": bool(told.get("policy_ok")), "instance": name,
+                reply = await self.fleet.ask(run, {**request, "op": "policy"}, POLICY_TIMEOUT_S)
+                fault = reply.get("fault")
+                return {**reply, "ok": bool(reply.get("policy_ok")), "instance": name,
                         "faults": [fault] if fault else []}  # fmt: skip
         return {"ok": False, "faults": ["no instance answers"]}
 
     def status(self) -> Message:
-        """What `ctl status` shows."""
+        """Return what `ctl status` shows."""
         fleet = self.fleet
-        adopted = self._adopted
+        adopted = self._adoption
         return {
             "ok": True,
             "name": fleet.document.daemon["name"],
             "pid": os.getpid(),
-            "up_s": round(time.monotonic() - self._began, 3),
+            "up_s": round(time.monotonic() - self._started_at, 3),
             "generation": fleet.generation,
             "stopping": fleet.decide.stopping,
             "reloading": self.reloading.busy,
             "replacing": self.replacing.busy,
             "adopted": 0 if adopted is None else adopted.adopted,
-            "state": None if self._state is None else self._state.figures(),
+            "state": None if self._state is None else self._state.status(),
             "listeners": {
                 name: "{}:{}".format(*address) for name, address in fleet.document.addresses.items()
             },
@@ -441,9 +453,9 @@
         }
 
 
-def _last_good(path: Path, folder: Path | None) -> Document | None:
-    """The file that was in force last, by the state in this folder; None if there is none that is good."""
-    found = remembered(folder) if folder is not None else None
+def _last_valid(path: Path, folder: Path | None) -> Document | None:
+    """Return the last valid configuration stored in this state folder; None if there is none."""
+    found = read_fleet_record(folder) if folder is not None else None
     if found is None:
         return None
     try:
@@ -455,17 +467,19 @@
 def serve(
     path: Path, tell: Callable[[str], None], replace: bool = False, last_good: Path | None = None
 ) -> int:
-    """Run the daemon that the file describes, in place of the one that runs if `replace`. If the file is
-    faulty and `last_good` names a state folder, run by the file that was in force last. Returns its exit
-    code: 0; 1 for a replacement that is off; 2 for a start that cannot be made, after one line a fault to
-    `tell`."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+    """Run the daemon with this configuration file, and return its exit code.
+
+    `replace` takes over from the running daemon. If the file is faulty and `last_good` names a state folder,
+    the last valid configuration from there is used. The exit code is 0; 1 if a replacement was called off; 2
+    if the daemon cannot start, after one line per fault to `tell`; 130 if interrupted before the start.
+    """
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a reload is possible
     try:
         document = read(path)
     except BadDocument as bad:
         for line in bad.lines():
             tell(line)
-        good = _last_good(path, last_good)
+        good = _last_valid(path, last_good)
         if good is None:
             return 2
         tell(f"{path}: starting by the file that was in force last")
--- a/sorrelfront/daemon/takeover.py
+++ b/sorrelfront/daemon/takeover.py
@@ -1,9 +1,10 @@
-"""Replacement: a new program takes over the sockets and estimates of one that runs.
+"""Take-over: a new program receives the sockets and estimates of the running one.
 
-The new one asks over the control socket and names a socket of its own, where the old one connects and sends
-the listening sockets and one snapshot an instance, each in a packet. The new one starts its instances with
-them. Once all are ready it says so; the old one lets go of the control socket, says that it has, and drains.
-Until then the old one goes on: if the connection ends, or it takes too long, nothing has happened.
+The new program sends a request over the control socket that names a socket of its own. The old one connects
+to it and sends the listening sockets and one snapshot per instance, one packet each. The new one starts its
+instances with them and reports once all are ready; the old one then releases the control socket, confirms
+that, and drains. Until then the old one continues: if the connection ends or a timeout expires, nothing
+changes.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 
 from sorrelfront.daemon import control
 from sorrelfront.daemon.adopting import receive_within
-from sorrelfront.daemon.channel import BadMessage, bind_private, prepare, receive, send
+from sorrelfront.daemon.channel import BadMessage, bind_private, configure_socket, receive, send
 from sorrelfront.errors import SorrelfrontError
 from sorrelfront.messages import Address
 
-ANSWER_WITHIN_S = 10.0  # for the old program to send what it has, or to let go
-PACKETS_MOST = 512  # one an instance, and the sockets
+ANSWER_TIMEOUT_S = 10.0  # for the old program to send its state, or to release the control socket
+MAX_PACKETS = 512  # one per instance, and one with the sockets
 
 
-class NoTakeover(SorrelfrontError):
-    """The running program cannot be replaced now, in one line."""
+class TakeoverError(SorrelfrontError):
+    """The running program cannot be replaced now; the text is one line."""
 
     remedy = (
         "Look at `sorrelfront ctl FILE status` of the running program, and replace it "
@@ -35,95 +36,99 @@
     )
 
 
-class Bereft(NoTakeover):
-    """The running program ended while it handed over."""
+class PredecessorEnded(TakeoverError):
+    """The running program ended during the handover."""
 
 
 @dataclass(slots=True)
-class Estate:
-    """What the old program has left: its sockets, and the snapshots by the name of the instance."""
+class Handover:
+    """State received from the old program: its sockets, and the snapshots by name of the instance."""
 
     sockets: dict[Address, socket.socket] = field(default_factory=dict)
-    learnt: dict[str, str] = field(default_factory=dict)
+    snapshots: dict[str, str] = field(default_factory=dict)
 
     def close(self) -> None:
+        """Close the received sockets."""
         for sock in self.sockets.values():
             sock.close()
         self.sockets.clear()
 
 
-class Heir:
-    """The new program's side."""
+class Successor:
+    """The new program's side of a take-over."""
 
     def __init__(self, control_path: Path) -> None:
         self._control = control_path
         self._sock: socket.socket | None = None
-        self.bereft = False  # the old program has ended without a word
+        self.predecessor_ended = False  # the old program has ended without a message
 
-    async def ask(self) -> Estate:
-        """Have the old program send what it has. Raises NoTakeover."""
+    async def ask(self) -> Handover:
+        """Request and receive the old program's state. Raises TakeoverError."""
         path = self._control.parent / f".takeover-{os.getpid()}"
-        estate = Estate()
+        handover = Handover()
         try:
             inbox = bind_private(socket.SOCK_SEQPACKET, path)
         except OSError as fault:
-            raise NoTakeover(f"{path}: {fault.strerror}") from None
+            raise TakeoverError(f"{path}: {fault.strerror}") from None
         with inbox, contextlib.ExitStack() as clean:
             clean.callback(path.unlink, missing_ok=True)
             inbox.listen(1)
             inbox.setblocking(False)
             try:
                 asked = {"op": "takeover", "to": str(path)}
-                answer = await control.ask(self._control, asked, ANSWER_WITHIN_S)
+                answer = await control.ask(self._control, asked, ANSWER_TIMEOUT_S)
                 if not answer.get("ok"):
-                    raise NoTakeover("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
-                async with asyncio.timeout(ANSWER_WITHIN_S):
+                    raise TakeoverError("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     self._sock, _ = await asyncio.get_running_loop().sock_accept(inbox)
-                prepare(self._sock)
-                await self._read(estate)
-            except NoTakeover:
-                estate.close()
+                configure_socket(self._sock)
+                await self._read(handover)
+            except TakeoverError:
+                handover.close()
                 self.close()
                 raise
             except (control.Unavailable, BadMessage, TimeoutError, OSError) as fault:
-                estate.close()
+                handover.close()
                 self.close()
-                raise NoTakeover(str(fault) or type(fault).__name__) from None
-        return estate
+                raise TakeoverError(str(fault) or type(fault).__name__) from None
+        return handover
 
-    async def _read(self, estate: Estate) -> None:
+    async def _read(self, handover: Handover) -> None:
         assert self._sock is not None
-        for _ in range(PACKETS_MOST):
-            got = await receive_within(self._sock, ANSWER_WITHIN_S)
+        for _ in range(MAX_PACKETS):
+            got = await receive_within(self._sock, ANSWER_TIMEOUT_S)
             if got is None:
-                raise Bereft("the running program ended the take-over")
+                raise PredecessorEnded("the running program ended during the take-over")
             message, descriptors = got
             for descriptor in descriptors:
                 sock = socket.socket(fileno=descriptor)
                 sock.setblocking(False)
-                estate.sockets[sock.getsockname()] = sock
+                handover.sockets[sock.getsockname()] = sock
             match message:
                 case {"op": "learnt", "instance": str(name), "text": str(text)}:
-                    estate.learnt[name] = text
+                    handover.snapshots[name] = text
                 case {"op": "end"}:
                     return
                 case {"op": "off", "why": str(why)}:
-                    # Risk: told to stop while it hands over, its end is taken for a kill. Harm: this program
-                    # starts in the place of one that an operator has stopped.
-                    raise NoTakeover(why)
-        raise BadMessage("the running program sends without end")
+                    # The old program was told to stop during the handover. If that were taken for a crash,
+                    # this program would start in place of one that an operator has stopped.
+                    raise TakeoverError(why)
+        raise BadMessage("the running program sends too many packets")
 
     async def ready(self) -> bool:
-        """Tell the old program to drain. Whether it has let go of the control socket."""
+        """Tell the old program to drain; return whether it has released the control socket."""
         if self._sock is None or not send(self._sock, {"op": "ready"}):
             return False
         with contextlib.suppress(BadMessage, TimeoutError):
-            got = await receive_within(self._sock, ANSWER_WITHIN_S)
+            got = await receive_within(self._sock, ANSWER_TIMEOUT_S)
             return got is not None and got[0].get("op") == "released"
         return False
 
-    def gone(self) -> str | None:
-        """What the old program says before it is told anything: why the take-over is off, if it is."""
+    def call_off_reason(self) -> str | None:
+        """Return why the old program has called the take-over off, or None.
+
+        Sets `predecessor_ended` if the old program has ended.
+        """
         if self._sock is None:
             return None
         try:
@@ -132,39 +137,43 @@
             return None
         if got is not None:
             return str(got[0].get("why", "it is off"))
-        self.bereft = True
+        self.predecessor_ended = True
         self.close()
         return None
 
     def close(self) -> None:
+        """Close the connection to the old program."""
         if self._sock is not None:
             self._sock.close()
             self._sock = None
 
 
 class Bequest:
-    """The old program's side: a connection to the new one, until that is ready, ends or takes too long."""
+    """The old program's side of a take-over: a connection to the new one.
+
+    It lasts until the new program is ready, ends or exceeds its timeout.
+    """
 
     def __init__(self, path: str) -> None:
-        """Raises OSError."""
+        """Connect to the socket of the new program. Raises OSError."""
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             self.sock.connect(path)
-            prepare(self.sock)
+            configure_socket(self.sock)
         except BaseException:
             self.sock.close()
             raise
 
-    def give(self, sockets: dict[Address, socket.socket], learnt: dict[str, str]) -> bool:
-        """Whether all went."""
+    def give(self, sockets: dict[Address, socket.socket], snapshots: dict[str, str]) -> bool:
+        """Send the sockets and snapshots; return whether the sockets and the end mark were sent."""
         sent = send(self.sock, {"op": "listeners"}, [sock.fileno() for sock in sockets.values()])
-        for name, text in learnt.items():
-            # Left out if the new program's queue is full: it then learns anew.
+        for name, text in snapshots.items():
+            # A snapshot is dropped if the new program's queue is full: it then learns the estimates again.
             send(self.sock, {"op": "learnt", "instance": name, "text": text})
         return sent and send(self.sock, {"op": "end"})
 
     def heard(self) -> dict[str, Any] | None:
-        """The new program's word, None at its end. Raises BlockingIOError."""
+        """Return the new program's message, None at end of file. Raises BlockingIOError if there is none."""
         try:
             got = receive(self.sock)
         except BadMessage:
@@ -176,4 +185,5 @@
         return got[0]
 
     def close(self) -> None:
+        """Close the connection to the new program."""
         self.sock.close()
--- a/sorrelfront/decisions/adoption.py
+++ b/sorrelfront/decisions/adoption.py
@@ -1,8 +1,9 @@
-"""Which processes of an earlier supervisor are adopted, drained, ended or left alone. No I/O.
+"""Decides which processes of an earlier supervisor are adopted, drained, killed or left alone. No I/O.
 
-A supervisor that starts looks for what serves already, finds out what it can of each (`Found`), and asks
-here. It starts what is missing only afterwards. What a process says of itself counts only if the kernel
-says the same of its identity: process number, start time, and who listens on its socket.
+A supervisor that starts looks for running instances, collects what it can about each (`FoundProcess`), and
+passes it to `decide_each`. Missing instances are started only afterwards. What a process reports about itself
+counts only if the kernel confirms its identity: process id, start time, and which process listens on its
+socket.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-PROTOCOL = 1  # of the words between a supervisor and an instance; another one is drained, not adopted
+PROTOCOL = 1  # version of the messages with an instance; one with another version is drained, not adopted
 
 
 class Life(Enum):
-    """How an instance says that it stands."""
+    """Lifecycle state that an instance reports."""
 
     STARTING = "starting"
     READY = "ready"
@@ -24,89 +25,94 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What is known of one process. `life` is None if it did not answer in time."""
+class FoundProcess:
+    """What is known about one process; `life` is None if it did not answer in time."""
 
     name: str
     pid: int
     run: int = 0
-    verified: bool = True  # the kernel says that it is the process that was meant
-    reachable: bool = True  # its own socket is there
+    verified: bool = True  # the kernel confirms that it is the expected process
+    reachable: bool = True  # its own socket exists
     life: Life | None = None
-    orphan: bool = True  # no living supervisor has it
+    orphan: bool = True  # no running supervisor manages it
     protocol: int = PROTOCOL
     generation: int = 0
     digest: str = ""
 
 
 class Adopt(NamedTuple):
-    """Take it as this name's instance. `retake`: it goes by another file; give it the one in force."""
+    """Adopt the process as the instance of its name.
 
-    found: Found
-    retake: bool
+    `reconfigure`: it runs with another configuration and must be given the current one.
+    """
+
+    found: FoundProcess
+    reconfigure: bool
 
 
 class Drain(NamedTuple):
-    """Have it finish what it owes and end."""
+    """Have the process finish its requests and exit."""
 
-    found: Found
+    found: FoundProcess
     why: str
 
 
-class End(NamedTuple):
-    """Kill it: it is ours, and it hangs."""
+class Kill(NamedTuple):
+    """Kill the process: it belongs to this fleet, and it hangs."""
 
-    found: Found
+    found: FoundProcess
     why: str
 
 
 class Leave(NamedTuple):
-    """Do nothing to it."""
+    """Leave the process alone."""
 
-    found: Found
+    found: FoundProcess
     why: str
 
 
-Verdict = Adopt | Drain | End | Leave
+Decision = Adopt | Drain | Kill | Leave
+
 
+def decide_each(
+    found: Iterable[FoundProcess], wanted: Collection[str], digest: str, taken: Collection[str] = ()
+) -> list[Decision]:
+    """Decide on each process.
 
-def judge(
-    found: Iterable[Found], wanted: Collection[str], digest: str, taken: Collection[str] = ()
-) -> list[Verdict]:
-    """A verdict on each process. `wanted`: the names that the file in force has; `taken`: those of them that
-    have a process already; `digest`: of the file in force.
+    `wanted` are the names in the current configuration, `taken` those of them that already have a process,
+    and `digest` is that of the current configuration.
 
-    Of several processes that claim one name at most one is adopted: one that goes by the file in force before
-    others, then one that is ready, then the latest run.
+    Of several processes that claim one name at most one is adopted: one with the current configuration is
+    preferred, then one that is ready, then the latest configuration and run.
     """
-    verdicts: list[Verdict] = []
-    claims: dict[str, list[Found]] = {}
+    decisions: list[Decision] = []
+    claims: dict[str, list[FoundProcess]] = {}
     for item in found:
-        verdict = _alone(item, wanted, taken)
-        if verdict is None:
+        decision = _decide_alone(item, wanted, taken)
+        if decision is None:
             claims.setdefault(item.name, []).append(item)
         else:
-            verdicts.append(verdict)
+            decisions.append(decision)
     for items in claims.values():
         items.sort(
             key=lambda item: (item.digest == digest, item.life is Life.READY, item.generation, item.run),
             reverse=True,
         )
         best, *others = items
-        verdicts.append(Adopt(best, best.digest != digest))
-        verdicts += [Drain(item, "another process of its name is adopted") for item in others]
-    return verdicts
+        decisions.append(Adopt(best, best.digest != digest))
+        decisions += [Drain(item, "another process of its name is adopted") for item in others]
+    return decisions
 
 
-def _alone(item: Found, wanted: Collection[str], taken: Collection[str]) -> Verdict | None:
-    """The verdict that does not depend on others; None for one that may be adopted."""
+def _decide_alone(item: FoundProcess, wanted: Collection[str], taken: Collection[str]) -> Decision | None:
+    """Return the decision that does not depend on other processes; None if it may be adopted."""
     if not item.verified:
-        # Risk: the number belongs to another program by now, which a signal would end.
+        # The process id may by now belong to another program, which a signal would kill.
         return Leave(item, "its process number belongs to another program, or to none")
     if not item.reachable:
         return Drain(item, "its socket is gone")
     if item.life is None:
-        return End(item, "it did not answer in time")
+        return Kill(item, "it did not answer in time")
     if not item.orphan:
         return Leave(item, "it has a supervisor")
     if item.life is Life.LEAVING:
--- a/tests/daemon/odd_instance.py
+++ b/tests/daemon/odd_instance.py
@@ -1,9 +1,9 @@
-"""A scripted peer at an instance's door: `python -m tests.daemon.odd_instance FOLDER NAME DIGEST HOW [PORT]`.
+"""A scripted instance: `python -m tests.daemon.odd_instance FOLDER NAME DIGEST HOW [PORT]`.
 
-It says who it is like an orphan that is ready. Asked to be adopted it answers a second later (`late`), or
-never (`never`). Adopted, it gives signs of life until it is told to stop. With a port it is one that is
-leaving and still holds its listening socket, which it hands over; it ends once it is told that others have
-it.
+It identifies itself as an orphan that is ready. It answers `adopt` a second later (`late`), or never
+(`never`). Once adopted it sends heartbeats until it is told to stop. With a port it is an instance that is
+leaving and still holds its listening socket, which it sends with `hello`; it ends once told that others have
+the socket.
 """
 
 from __future__ import annotations
@@ -20,14 +20,15 @@
 
 
 def main(folder: str, name: str, digest: str, how: str, port: str = "") -> None:
+    """Listen in the run folder, and answer one supervisor as scripted."""
     pid = os.getpid()
     listening = [socket.create_server(("127.0.0.1", int(port)))] if port else []
     life = "leaving" if listening else "ready"
     hidden = Path(folder) / f".{name}-{pid}"
-    door = bind_private(socket.SOCK_SEQPACKET, hidden)
-    door.listen(4)
+    listener = bind_private(socket.SOCK_SEQPACKET, hidden)
+    listener.listen(4)
     hidden.rename(Path(folder) / f"{name}-{pid}.sock")
-    channel, _ = door.accept()
+    channel, _ = listener.accept()
     while True:
         readable, _, _ = select.select([channel], [], [], 0.1)
         if not readable:
--- a/tests/daemon/test_adoption.py
+++ b/tests/daemon/test_adoption.py
@@ -1,4 +1,4 @@
-"""The supervisor is killed, or starts where another was: over real processes, counted from outside books."""
+"""The supervisor is killed, restarted or replaced: with real processes, checked from clients and backends."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 import pytest
 
 from sorrelfront.daemon import control
-from sorrelfront.daemon.channel import bind_private, prepare, send
+from sorrelfront.daemon.channel import bind_private, configure_socket, send
 from sorrelfront.daemon.journal import Entry, Journal, RunFolder, encode
 from sorrelfront.daemon.processes import boot_id, start_ticks
 from sorrelfront.daemon.takeover import Bequest
@@ -30,7 +30,7 @@
 from tests.loopback import until
 from tests.test_process import ROOT
 
-ORPHAN_MS = 60_000  # longer than any of these takes
+ORPHAN_MS = 60_000  # longer than any of these tests
 
 
 def check(crowd: Crowd, *backends: Backend) -> None:
@@ -47,19 +47,19 @@
     return {name: item["pid"] for name, item in (await made.ready()).items()}
 
 
-async def lasting(made: Fleet, **changes: int) -> None:
-    """From here on instances outlive their supervisor."""
+async def keep_orphans(made: Fleet, **changes: int) -> None:
+    """Have the instances outlive their supervisor from now on."""
     made.orphan_ms = ORPHAN_MS
     made.write(**changes)
     assert (await made.ask("reload"))["ok"]
 
 
-class Leaving:
-    """A server that is told to drain in the moment of a kill, and its book of arrivals."""
+class DrainingServer:
+    """A server that is told to drain at the moment of a kill, and the arrival times of its requests."""
 
     def __init__(self) -> None:
         self.arrivals: list[float] = []
-        self.told = 0.0
+        self.drained_at = 0.0
         self.backend = Backend(self._note)
 
     async def _note(self, _: bytes, writer: asyncio.StreamWriter) -> None:
@@ -67,20 +67,20 @@
         writer.write(OK)
 
     def leave(self, made: Fleet) -> None:
-        """It is the second one of the fleet's."""
-        self.told = time.monotonic()
+        """Set it to draining; it is the second server of the fleet."""
+        self.drained_at = time.monotonic()
         made.tell_registry(member("b1", self.backend.address, "draining"))
 
-    def kept(self) -> bool:
-        return bool(self.arrivals) and max(self.arrivals) - self.told < 0.55
+    def drain_kept(self) -> bool:
+        return bool(self.arrivals) and max(self.arrivals) - self.drained_at < 0.55
 
 
-def test_a_supervisor_killed_under_load_costs_nothing_and_drains_are_kept(tmp_path: Path) -> None:
+def test_a_supervisor_killed_under_load_loses_no_request_and_drains_are_kept(tmp_path: Path) -> None:
     async def play() -> None:
-        leaving, staying = Leaving(), await Backend(OK).start()
+        leaving, staying = DrainingServer(), await Backend(OK).start()
         await leaving.backend.start()
         async with fleet(tmp_path, staying, leaving.backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             crowd = Crowd(made.address, 40)
             await crowd.more(200)
@@ -93,25 +93,25 @@
             assert status["adopted"] == 2 and status["generation"] == 1
             assert all(item["adopted"] and item["run"] == 1 for item in status["instances"])
             await crowd.more(200)
-            made.write(sockets=300)  # adopted ones take another file, like others
+            made.write(sockets=300)  # adopted instances accept a reload like others
             assert (await made.ask("reload"))["ok"]
             await crowd.more(200)
             await crowd.finish()
         check(crowd, leaving.backend, staying)
-        assert leaving.kept()
+        assert leaving.drain_kept()
 
     asyncio.run(play())
 
 
-def test_at_rest_again_and_again_and_what_died_meanwhile_is_started(tmp_path: Path) -> None:
+def test_killed_while_idle_repeatedly_and_an_instance_that_died_meanwhile_is_started(tmp_path: Path) -> None:
     async def play() -> None:
-        backend, leaving = await Backend(OK).start(), Leaving()
+        backend, leaving = await Backend(OK).start(), DrainingServer()
         await leaving.backend.start()
         async with fleet(tmp_path, backend, leaving.backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             crowd = Crowd(made.address, 4)
-            await crowd.more(100)  # both are drawn
+            await crowd.more(100)  # both servers get requests
             await crowd.finish()
             for number in range(2):
                 await made.kill()
@@ -131,25 +131,25 @@
             await crowd.more(100)
             await crowd.finish()
         check(crowd, backend, leaving.backend)
-        assert leaving.kept()
+        assert leaving.drain_kept()
 
     asyncio.run(play())
 
 
-def test_killed_between_two_instances_of_a_reload_both_come_to_the_file(tmp_path: Path) -> None:
+def test_killed_between_two_instances_of_a_reload_both_get_the_new_file(tmp_path: Path) -> None:
     async def play() -> None:
-        backend, leaving = await Backend(OK).start(), Leaving()
+        backend, leaving = await Backend(OK).start(), DrainingServer()
         await leaving.backend.start()
         async with fleet(tmp_path, backend, leaving.backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             crowd = Crowd(made.address, 20)
             await crowd.more(50)
             numbers = await pids(made)
             os.kill(numbers["i1"], signal.SIGSTOP)
             made.write(classes=("look", "pay", "book"), sockets=300)
             reload = asyncio.create_task(made.ask("reload"))
-            door = next(made.folder.glob(f"c.sock.d/i0-{numbers['i0']}.sock"))
-            await until(lambda: hello(door)["generation"] == 2)  # the first one has taken it
+            instance_socket = next(made.folder.glob(f"c.sock.d/i0-{numbers['i0']}.sock"))
+            await until(lambda: hello(instance_socket)["generation"] == 2)  # the first one has applied it
             os.kill(numbers["i1"], signal.SIGCONT)
             await made.kill()
             leaving.leave(made)
@@ -159,28 +159,31 @@
             await made.ready()
             assert await pids(made) == numbers
             for name, number in numbers.items():
-                door = next(made.folder.glob(f"c.sock.d/{name}-{number}.sock"))
-                await until(lambda door=door: hello(door)["generation"] == 2)  # type: ignore[misc]
+                instance_socket = next(made.folder.glob(f"c.sock.d/{name}-{number}.sock"))
+                await until(lambda instance_socket=instance_socket: hello(instance_socket)["generation"] == 2)  # type: ignore[misc]
             digests = {hello(path)["digest"] for path in made.folder.glob("c.sock.d/*-*.sock")}
             assert len(digests) == 1
             await crowd.more(100)
             await crowd.finish()
         check(crowd, backend, leaving.backend)
-        assert leaving.kept()
+        assert leaving.drain_kept()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("which", ["old", "both"])
-def test_killed_once_the_sockets_went_over(tmp_path: Path, which: str) -> None:
-    """The old program is killed: the new one goes on in its place, and what the old one left drains. Both are
-    killed: the old one's instances serve on, and a third program adopts them."""
+def test_killed_once_the_sockets_were_sent(tmp_path: Path, which: str) -> None:
+    """A program is killed during a take-over, after the sockets were sent.
+
+    If the old one is killed, the new one takes its place, and the old instances drain. If both are killed,
+    the old one's instances continue to serve, and a third program adopts them.
+    """
 
     async def play() -> None:
-        backend, leaving = await Backend(OK).start(), Leaving()
+        backend, leaving = await Backend(OK).start(), DrainingServer()
         await leaving.backend.start()
         async with fleet(tmp_path, backend, leaving.backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             crowd = Crowd(made.address, 20)
             await crowd.more(50)
@@ -189,7 +192,7 @@
             new = await replacement(made)
             await replacing(made)
             if which == "both":
-                # Some of the new program's instances have their terms, and it is not in charge.
+                # Some of the new program's instances have their configuration, and it is not active yet.
                 await until(lambda: len(made.orphans()) > 2)
                 new.send_signal(signal.SIGSTOP)
                 new.kill()
@@ -198,7 +201,7 @@
             leaving.leave(made)
             if which == "both":
                 await crowd.more(50)
-                # The new program was not in charge: its instances drain, the old one's serve on.
+                # The new program was not active: its instances drain, the old one's continue to serve.
                 await until(lambda: set(made.orphans()) == set(before.values()))
                 made.write(instances=2)
                 made.instances = 2
@@ -209,8 +212,8 @@
             else:
                 made.process = new
                 await answers_as(made, new.pid)
-                # Whether it had the sockets by then or starts in the old one's place: four are ready, and
-                # nobody else serves.
+                # Whether it had the sockets by then or starts in place of the old one: four are ready, and no
+                # other instance serves.
                 found = await made.ready()
                 numbers = {item["pid"] for item in found.values()}
                 await until(lambda: set(made.orphans()) == numbers)
@@ -218,15 +221,18 @@
             await crowd.more(50)
             await crowd.finish()
         check(crowd, backend, leaving.backend)
-        assert leaving.kept()
+        assert leaving.drain_kept()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("when", ["before it gives", "while the new one starts"])
 def test_the_lock_of_a_killed_program_is_waited_for(tmp_path: Path, when: str) -> None:
-    """The kernel closes what a killed program had one by one: its connection is seen to end, and the lock is
-    free only later. The program is played here, so that both moments are known."""
+    """A new program must not give up because the lock of a killed one is still held.
+
+    The kernel closes the descriptors of a killed program one by one: its connection ends first, and the lock
+    is free only later. The test plays the running program, so that it controls both moments.
+    """
 
     async def play() -> None:
         backend = await Backend(OK).start()
@@ -257,8 +263,11 @@
     asyncio.run(play())
 
 
-def test_told_to_stop_while_it_hands_over_nobody_starts_in_its_place(tmp_path: Path) -> None:
-    """The running program is played here: it is told to stop before it has sent anything."""
+def test_a_stop_during_the_handover_calls_the_replacement_off(tmp_path: Path) -> None:
+    """A program that is stopped during a handover must not be taken for a crashed one and replaced.
+
+    The test plays the running program, which is told to stop before it has sent anything.
+    """
 
     async def play() -> None:
         backend = await Backend(OK).start()
@@ -282,28 +291,28 @@
     asyncio.run(play())
 
 
-def test_killed_while_it_starts_what_it_began_is_taken_up(tmp_path: Path) -> None:
+def test_instances_of_a_supervisor_killed_during_its_start_are_adopted(tmp_path: Path) -> None:
     async def play() -> None:
-        backend, told = await Backend(OK).start(), await Backend(OK).start()
-        async with fleet(tmp_path, backend, told, instances=4) as made:
+        backend, draining = await Backend(OK).start(), await Backend(OK).start()
+        async with fleet(tmp_path, backend, draining, instances=4) as made:
             made.signal(signal.SIGTERM)
             assert await made.ended() == 0
             made.orphan_ms = ORPHAN_MS
             made.write()
             await made.start()
-            await until(lambda: len(made.orphans()) >= 2)  # some are there, and not all are ready
+            await until(lambda: len(made.orphans()) >= 2)  # some have started, and not all are ready
             await made.kill()
-            made.tell_registry(member("b1", told.address, "draining"))
+            made.tell_registry(member("b1", draining.address, "draining"))
             await made.start()
             found = await made.ready()
             assert len({item["pid"] for item in found.values()}) == 4
             crowd = Crowd(made.address, 20)
             await crowd.more(50)
             await crowd.finish()
-            # Nobody is there twice: all that serve are the fleet's.
+            # No instance runs twice: all processes belong to the fleet.
             await until(lambda: sorted(made.orphans()) == sorted(item["pid"] for item in found.values()))
         check(crowd, backend)
-        assert not told.seen  # it was told to drain before anything was asked
+        assert not draining.seen  # it was told to drain before the first request
 
     asyncio.run(play())
 
@@ -312,7 +321,7 @@
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             await made.kill()
             await made.start()
@@ -328,7 +337,7 @@
             await made.ready()
             assert await pids(made) == before
             assert "another daemon runs by this file" in made.log.read_text()
-            # And one more while this one lives.
+            # And one more while this one runs.
             living = made.process
             await made.start()
             assert await made.ended() == 2
@@ -344,7 +353,7 @@
         stranger = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(300)"])
         try:
             async with fleet(tmp_path, backend) as made:
-                await lasting(made)
+                await keep_orphans(made)
                 before = await pids(made)
                 await made.kill()
                 ticks = start_ticks(stranger.pid)
@@ -353,9 +362,9 @@
                 journal = Journal(boot_id(), 1, "", entries)
                 folder = made.folder / "c.sock.d"
                 (folder / "journal").write_bytes(encode(journal))
-                # And its door: somebody else listens where an instance did.
+                # And a socket on which another process listens instead of the instance.
                 with bind_private(socket.SOCK_SEQPACKET, folder / f"i0-{before['i0']}x.sock") as odd:
-                    prepare(odd)
+                    configure_socket(odd)
                     odd.listen(1)
                     await made.start()
                     assert {name: item["pid"] for name, item in (await made.ready()).items()} == before
@@ -371,7 +380,7 @@
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             os.kill(before["i0"], signal.SIGSTOP)
             await made.kill()
@@ -386,20 +395,23 @@
 
 @pytest.mark.parametrize("how", ["late", "never"])
 def test_one_that_is_slow_or_hangs_once_it_is_asked_to_be_adopted(tmp_path: Path, how: str) -> None:
-    """Meanwhile those adopted already give signs of life, and nothing is started in its place too early. A
-    peer that answers late is adopted; one that never does is not waited for."""
+    """One instance delays adoption while those already adopted send heartbeats.
+
+    Nothing may be started in its place too early. An instance that answers late is adopted; one that never
+    answers is replaced.
+    """
 
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             digest = str(hello(next(made.folder.glob("c.sock.d/i0-*.sock")))["digest"])
             await made.kill()
             os.kill(before["i1"], signal.SIGKILL)
             await until(lambda: not alive(before["i1"]))
-            words = ["-m", "tests.daemon.odd_instance", str(made.folder / "c.sock.d"), "i1", digest, how]
-            odd = await asyncio.create_subprocess_exec(sys.executable, *words, cwd=ROOT)
+            arguments = ["-m", "tests.daemon.odd_instance", str(made.folder / "c.sock.d"), "i1", digest, how]
+            odd = await asyncio.create_subprocess_exec(sys.executable, *arguments, cwd=ROOT)
             try:
                 await until((made.folder / "c.sock.d" / f"i1-{odd.pid}.sock").exists)
                 await made.start()
@@ -434,11 +446,11 @@
             power_cut(made)
             await made.process.wait()
             folder, port = str(made.folder / "c.sock.d"), str(made.address[1])
-            words = ["-m", "tests.daemon.odd_instance", folder, "i1", "", "leaving", port]
-            odd = await asyncio.create_subprocess_exec(sys.executable, *words, cwd=ROOT)
+            arguments = ["-m", "tests.daemon.odd_instance", folder, "i1", "", "leaving", port]
+            odd = await asyncio.create_subprocess_exec(sys.executable, *arguments, cwd=ROOT)
             try:
                 await until((made.folder / "c.sock.d" / f"i1-{odd.pid}.sock").exists)
-                waiting = await connect(made.address)  # in the queue that it does not serve any more
+                waiting = await connect(made.address)  # in the accept queue that the instance leaves unserved
                 waiting.send(request("r"))
                 await made.start()
                 await made.ready()
@@ -452,7 +464,7 @@
     asyncio.run(play())
 
 
-def test_nobody_comes_and_the_orphans_drain(tmp_path: Path) -> None:
+def test_orphans_drain_if_no_supervisor_comes(tmp_path: Path) -> None:
     async def play() -> None:
         go, later = gate(OK)
         backend = await Backend(later).start()
@@ -466,7 +478,7 @@
             await until(lambda: len(backend.seen) == 1)
             await made.kill()
             await until(lambda: "no supervisor came" in made.log.read_text())
-            # They drain, and hold the address still: the next supervisor takes it over from them.
+            # They drain and still hold the address: the next supervisor receives the sockets from them.
             await made.start()
             assert not set((await pids_of_ready(made)).values()) & set(before.values())
             go.set()
@@ -477,11 +489,11 @@
     asyncio.run(play())
 
 
-def test_another_file_than_any_of_them_knows_is_given_to_all(tmp_path: Path) -> None:
+def test_a_file_that_no_adopted_instance_has_is_given_to_all(tmp_path: Path) -> None:
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            await lasting(made)
+            await keep_orphans(made)
             before = await pids(made)
             await made.kill()
             made.write(classes=("look", "pay"))
@@ -489,8 +501,8 @@
             await made.ready()
             assert await pids(made) == before
             client = await connect(made.address)
-            doors = [*made.folder.glob("c.sock.d/*-*.sock")]
-            await until(lambda: all(hello(door)["generation"] == 2 for door in doors))
+            instance_sockets = [*made.folder.glob("c.sock.d/*-*.sock")]
+            await until(lambda: all(hello(instance_socket)["generation"] == 2 for instance_socket in instance_sockets))
             for name, status in (("book", 404), ("look", 200)):
                 client.send(request(f"r{name}", name))
                 assert (await client.answer())[0] == status
@@ -500,13 +512,16 @@
     asyncio.run(play())
 
 
-def test_their_time_ends_in_the_moment_of_adoption(tmp_path: Path) -> None:
-    """Whichever comes first, all are served and two are there in the end."""
+def test_the_orphan_timeout_expires_during_adoption(tmp_path: Path) -> None:
+    """An orphan may begin to drain at the moment of its adoption.
+
+    Whichever comes first, all requests are served and two instances are there in the end.
+    """
 
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            made.orphan_ms = 700  # about what a supervisor takes to look for them
+            made.orphan_ms = 700  # about as long as a supervisor takes to find them
             made.write()
             assert (await made.ask("reload"))["ok"]
             crowd = Crowd(made.address, 10, pause_s=0.005)
@@ -527,8 +542,11 @@
 
 
 def test_the_service_managers_store_keeps_sockets_and_journal(tmp_path: Path) -> None:
-    """All processes are killed, the run folder is lost: the sockets come back by the store, so that who
-    connected meanwhile is served, and the journal's memory still tells the generation."""
+    """All processes are killed, and the journal file is lost.
+
+    The service manager returns the sockets, so that clients which connected meanwhile are served, and the
+    journal in memory still holds the generation.
+    """
     code = "import os, sys; os.environ['LISTEN_PID'] = str(os.getpid()); os.execv(sys.argv[1], sys.argv[1:])"
 
     async def play() -> None:
@@ -551,7 +569,7 @@
                 with contextlib.suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGKILL)
             assert set(manager.store) == {"sorrelfront-listener", "sorrelfront-state"}
-            waiting = await connect(made.address)  # in the queue of the socket that is kept
+            waiting = await connect(made.address)  # in the accept queue of the stored socket
             waiting.send(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
             (made.folder / "c.sock.d" / "journal").unlink()
             kept = [*manager.store["sorrelfront-listener"], *manager.store["sorrelfront-state"]]
@@ -580,7 +598,7 @@
 async def _exec_with(
     descriptors: list[int], code: str, made: Fleet, environ: dict[str, str]
 ) -> asyncio.subprocess.Process:
-    """Start the daemon with these as its descriptors 3, 4, ... as a service manager does."""
+    """Start the daemon with these as its descriptors 3, 4, ..., as a service manager does."""
     lay = (
         f"import os\nfor at, fd in enumerate({[fd + 100 for fd in descriptors]}): os.dup2(fd, 3 + at)\n{code}"
     )
@@ -596,13 +614,13 @@
 
 
 def power_cut(made: Fleet) -> None:
-    """Everything at once."""
+    """Kill all processes of the fleet at once."""
     for pid in [made.process.pid, *made.orphans()]:
         with contextlib.suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
 
 
-def test_after_a_power_cut_what_was_learnt_is_known_and_no_cold_server_is_pushed_over(
+def test_after_a_power_cut_estimates_are_restored_and_no_cold_server_is_overloaded(
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
@@ -630,8 +648,8 @@
             for server in servers[:2]:
                 server.begin()
                 server.arrivals.clear()
-                told = member(server.name, server.address)
-                made.tell_registry({**told, "up_since_ms": began_ms})
+                entry = member(server.name, server.address)
+                made.tell_registry({**entry, "up_since_ms": began_ms})
             await made.start()
             found = await made.ready()
             assert (await made.ask("status"))["state"]["restored"]
@@ -639,7 +657,7 @@
             await crowd.more(400)
             await crowd.finish()
             assert len(found) == 2
-            # Two were started anew since: they are cold, and nothing is known of them.
+            # Two servers were restarted since: they are cold, and have no estimates.
             assert "estimates of 2 servers are taken up" in made.log.read_text()
             assert sum(server.cold_overruns(9.0, 0.3, 3.0, 1.5) for server in servers) == 0
         assert not crowd.lost and not book.doubled, crowd.book
@@ -663,7 +681,7 @@
             good = made.path.read_text()
             made.path.write_text(good + "[nonsense")
             await made.start()
-            assert await made.ended() == 2  # as always, without being told otherwise
+            assert await made.ended() == 2  # the default, without the option
             await made.start(more=("--last-good", str(made.folder / "state")))
             await made.ready()
             assert "starting by the file that was in force last" in made.log.read_text()
@@ -674,7 +692,7 @@
     asyncio.run(play())
 
 
-# Nothing can be mounted here: the program itself is given the word that a read-only file system has for it.
+# No file system can be mounted here: the program itself raises the error of a read-only one.
 READ_ONLY = """
 import errno, os
 opened = os.open
@@ -686,8 +704,11 @@
 """
 
 
-def test_a_disk_that_hangs_in_each_write_holds_up_nobody(tmp_path: Path) -> None:
-    """Neither requests nor a reload, a killed instance or a stop. Longer than any of these may take."""
+def test_a_disk_that_hangs_in_each_write_blocks_nothing(tmp_path: Path) -> None:
+    """Requests, a reload, the restart of a killed instance and a stop must not wait for the disk.
+
+    Each write hangs for longer than any of these may take.
+    """
     slow = "import os, time; os.fsync = lambda _: time.sleep(10 * 60)"
 
     async def play() -> None:
@@ -745,7 +766,7 @@
                 folder.rename(made.folder / "elsewhere")
             if how == "full while it runs":
                 await until((folder / "learnt").exists)
-                # No file may grow any more: EFBIG of the kernel, as a full disk has ENOSPC.
+                # No file may grow any more: the kernel returns EFBIG, as it returns ENOSPC for a full disk.
                 resource.prlimit(made.process.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
             if how != "spoilt records":
                 async with asyncio.timeout(PATIENCE_S):
--- a/tests/daemon/test_channel.py
+++ b/tests/daemon/test_channel.py
@@ -1,4 +1,4 @@
-"""Messages of any size up to the bound go over; what a sender could still change is refused."""
+"""Messages of any size up to the limit arrive; one that its sender could still change is refused."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 from hypothesis import strategies as st
 
 from sorrelfront.daemon.adopting import receive_within
-from sorrelfront.daemon.channel import MESSAGE_MOST, PACKET_MOST, BadMessage, pair, receive, send
+from sorrelfront.daemon.channel import MAX_PACKET_BYTES, MESSAGE_MOST, BadMessage, pair, receive, send
 
 
-@pytest.mark.parametrize("size", [0, PACKET_MOST - 100, PACKET_MOST + 1, 4 * 1024 * 1024, MESSAGE_MOST - 100])
+@pytest.mark.parametrize(
+    "size", [0, MAX_PACKET_BYTES - 100, MAX_PACKET_BYTES + 1, 4 * 1024 * 1024, MESSAGE_MOST - 100]
+)
 def test_a_message_and_its_descriptors_arrive_whatever_its_size(size: int) -> None:
     ours, theirs = pair()
     before = len(os.listdir("/proc/self/fd"))
@@ -32,8 +34,8 @@
         send(ours, {"text": "t" * MESSAGE_MOST})
 
 
-def raw(data: bytes, descriptors: list[int]) -> None:
-    """What a peer may send in place of a sealed message: refused, and no descriptor is left open."""
+def refused(data: bytes, descriptors: list[int]) -> None:
+    """Send a packet in place of a sealed message: it is refused, and no descriptor is left open."""
     ours, theirs = pair()
     with ours, theirs:
         before = len(os.listdir("/proc/self/fd"))
@@ -44,18 +46,18 @@
         assert len(os.listdir("/proc/self/fd")) == before
 
 
-def test_a_descriptor_that_is_not_sealed_or_no_memory_is_refused() -> None:
+def test_a_descriptor_that_is_not_sealed_or_not_memory_is_refused() -> None:
     memory = os.memfd_create("m", os.MFD_ALLOW_SEALING)
     os.write(memory, b"{}")
     reader, writer = os.pipe()
     try:
-        words = b'{"op":"sealed","bytes":2}'
-        raw(words, [memory])
-        raw(words, [reader])
-        raw(words, [])
-        raw(b'{"op":"sealed","bytes":%d}' % (MESSAGE_MOST + 1), [memory])
-        raw(b'{"op":"sealed"}', [memory])
-        raw(b"[]", [memory, reader])
+        message = b'{"op":"sealed","bytes":2}'
+        refused(message, [memory])
+        refused(message, [reader])
+        refused(message, [])
+        refused(b'{"op":"sealed","bytes":%d}' % (MESSAGE_MOST + 1), [memory])
+        refused(b'{"op":"sealed"}', [memory])
+        refused(b"[]", [memory, reader])
     finally:
         for descriptor in (memory, reader, writer):
             os.close(descriptor)
@@ -74,13 +76,14 @@
         assert got is not None and isinstance(got[0], dict) and not got[1]
 
 
-def test_a_pause_of_this_process_is_not_the_peers_silence() -> None:
+def test_a_pause_of_this_process_does_not_use_up_the_timeout() -> None:
+    """On a suspended host the peer is stopped too: it must not be killed before it can answer."""
     async def play() -> None:
         ours, theirs = pair()
         with ours, theirs:
             waiting = asyncio.create_task(receive_within(ours, 0.5))
             await asyncio.sleep(0)
-            time.sleep(0.7)  # the fault itself: the peer stood still as well
+            time.sleep(0.7)  # the fault: this process is stopped, and its peer as well
             await asyncio.sleep(0.05)
             assert send(theirs, {"op": "hello"})
             assert await waiting == ({"op": "hello"}, [])
--- a/tests/daemon/test_records.py
+++ b/tests/daemon/test_records.py
@@ -1,5 +1,4 @@
-"""Files that are torn, cut, flipped, foreign or hostile are set aside; disks that fail or hang stop
-nobody."""
+"""Truncated, corrupt, foreign or hostile files are refused; disks that fail or hang block nothing."""
 
 from __future__ import annotations
 
@@ -15,17 +14,17 @@
 from hypothesis import strategies as st
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.journal import Entry, Journal, NoFolder, RunFolder, StateMemory, decode, encode
+from sorrelfront.daemon.journal import Entry, Journal, RunFolder, RunFolderError, StateMemory, decode, encode
 from sorrelfront.daemon.records import (
-    HEAD,
-    RECORD_MOST,
+    HEADER,
+    MAX_PAYLOAD_BYTES,
+    InvalidRecord,
     Kind,
-    Spoilt,
     Writer,
+    decode_record,
     read,
     seal,
     trusted,
-    unseal,
     write,
 )
 from sorrelfront.daemon.state import Failures, Remembered
@@ -38,30 +37,30 @@
 
 
 def test_a_record_cut_at_any_byte_is_refused() -> None:
-    assert unseal(Kind.FLEET, WHOLE) == PAYLOAD
+    assert decode_record(Kind.FLEET, WHOLE) == PAYLOAD
     for length in range(len(WHOLE)):
-        with pytest.raises(Spoilt):
-            unseal(Kind.FLEET, WHOLE[:length])
+        with pytest.raises(InvalidRecord):
+            decode_record(Kind.FLEET, WHOLE[:length])
 
 
 def test_a_record_with_any_bit_of_its_first_kilobyte_flipped_is_refused() -> None:
     assert len(WHOLE) > 1_024
     for at in range(8 * 1_024):
-        spoilt = bytearray(WHOLE)
-        spoilt[at // 8] ^= 1 << at % 8
-        with pytest.raises(Spoilt):
-            unseal(Kind.FLEET, bytes(spoilt))
+        corrupt = bytearray(WHOLE)
+        corrupt[at // 8] ^= 1 << at % 8
+        with pytest.raises(InvalidRecord):
+            decode_record(Kind.FLEET, bytes(corrupt))
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.binary(max_size=300), st.booleans())
 def test_any_bytes_are_refused_or_checked(data: bytes, sealed: bool) -> None:
-    """Also those with a good checksum: their content is checked like any other's."""
+    """A record with a valid checksum may still have invalid contents, which must be refused as well."""
     whole = seal(Kind.JOURNAL, data) if sealed else data
     for kind, check in ((Kind.JOURNAL, decode), (Kind.FLEET, decode_fleet)):
         try:
-            check(unseal(kind, whole))
-        except Spoilt:
+            check(decode_record(kind, whole))
+        except InvalidRecord:
             pass
         else:
             assert sealed and kind is Kind.JOURNAL
@@ -74,11 +73,11 @@
         (WHOLE + b"x", "bytes and says"),
         (b"GIF8" + WHOLE[4:], "no record"),
     ):
-        with pytest.raises(Spoilt, match=why):
-            unseal(Kind.FLEET, changed)
+        with pytest.raises(InvalidRecord, match=why):
+            decode_record(Kind.FLEET, changed)
 
 
-def test_what_is_no_plain_file_of_this_users_is_set_aside(tmp_path: Path) -> None:
+def test_anything_but_a_regular_file_of_this_user_is_set_aside(tmp_path: Path) -> None:
     good, place = tmp_path / "good", tmp_path / "place"
     write(good, WHOLE)
     assert read(good, Kind.FLEET) == PAYLOAD and trusted(place, Kind.FLEET) is None
@@ -90,14 +89,14 @@
         place.write_bytes(WHOLE)
         place.chmod(0o666)
 
-    def endless() -> None:
+    def too_long() -> None:
         with place.open("wb") as file:
-            file.truncate(HEAD.size + RECORD_MOST + 1)
+            file.truncate(HEADER.size + MAX_PAYLOAD_BYTES + 1)
 
-    for lay in (link, writable, endless, lambda: os.mkfifo(place), place.mkdir):
-        lay()
+    for create in (link, writable, too_long, lambda: os.mkfifo(place), place.mkdir):
+        create()
         assert trusted(place, Kind.FLEET) is None
-        assert not os.path.lexists(place), lay  # set aside
+        assert not os.path.lexists(place), create  # set aside
         aside = tmp_path / "place.bad"
         aside.rmdir() if aside.is_dir() and not aside.is_symlink() else aside.unlink()
     assert read(good, Kind.FLEET) == PAYLOAD
@@ -106,7 +105,7 @@
 def test_a_write_replaces_all_or_nothing_and_a_link_is_not_followed(tmp_path: Path) -> None:
     place, other = tmp_path / "place", tmp_path / "other"
     other.write_text("mine")
-    (tmp_path / ".place.new").symlink_to(other)  # laid where the fresh file goes
+    (tmp_path / ".place.new").symlink_to(other)  # placed at the path of the temporary file
     write(place, WHOLE)
     write(place, WHOLE + b"")
     assert read(place, Kind.FLEET) == PAYLOAD and other.read_text() == "mine"
@@ -115,7 +114,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EROFS, errno.EIO])
-def test_a_disk_that_refuses_is_told_once_and_tried_again(
+def test_a_disk_that_fails_is_logged_once_and_tried_again(
     tmp_path: Path, number: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     refuses = True
@@ -131,11 +130,11 @@
         place = tmp_path / "place"
         for count in range(1, 4):
             writer.put(place, WHOLE)
-            assert await writer.settled(30.0)
+            assert await writer.wait_written(30.0)
             assert writer.failures == count and writer.fault == os.strerror(number)
         refuses = False
         writer.put(place, WHOLE)
-        assert await writer.settled(30.0)
+        assert await writer.wait_written(30.0)
         assert writer.fault is None and writer.written == 1 and read(place, Kind.FLEET) == PAYLOAD
         writer.close()
 
@@ -143,7 +142,7 @@
     assert sum("is not written" in record.message for record in caplog.records) == 1
 
 
-def test_a_disk_that_hangs_holds_up_nobody_and_the_latest_is_written(tmp_path: Path) -> None:
+def test_a_disk_that_hangs_blocks_nothing_and_the_latest_is_written(tmp_path: Path) -> None:
     go = threading.Event()
     begun: list[bytes] = []
 
@@ -155,21 +154,21 @@
         writer = Writer(put)
         for number in range(100):
             writer.put(tmp_path / "place", b"%d" % number)
-            await asyncio.sleep(0)  # the loop goes round
+            await asyncio.sleep(0)  # let the event loop run
             if not number:
                 await until(lambda: len(begun) == 1)
-        assert not await writer.settled(0.01) and len(begun) == 1
+        assert not await writer.wait_written(0.01) and len(begun) == 1
         go.set()
-        assert await writer.settled(30.0)
-        assert begun == [b"0", b"99"]  # what was overtaken is not written
-        for number in range(records.FILES_MOST):
+        assert await writer.wait_written(30.0)
+        assert begun == [b"0", b"99"]  # a replaced version is not written
+        for number in range(records.MAX_PENDING_FILES):
             writer.put(tmp_path / str(number), b"")
         writer.close()
 
     asyncio.run(play())
 
 
-def test_the_journals_memory_survives_a_write_that_was_cut() -> None:
+def test_the_journal_in_memory_survives_a_write_that_was_cut_off() -> None:
     memory = StateMemory()
     try:
         assert memory.read() is None
@@ -178,18 +177,18 @@
         found = StateMemory(os.dup(memory.descriptor))
         kept = found.read()
         assert kept is not None and kept.generation == 8
-        # The next write is cut off in the middle: its head is there, its end is not.
-        for at in (0, StateMemory.PLACE):
+        # The next write is cut off: its header is there, its end is not.
+        for at in (0, StateMemory.SLOT_BYTES):
             before = os.pread(memory.descriptor, 64, at)
-            count = StateMemory.HEAD.unpack_from(before)[0]
+            count = StateMemory.SLOT_HEADER.unpack_from(before)[0]
             if count == 1:
-                os.pwrite(memory.descriptor, StateMemory.HEAD.pack(3, 60), at)
+                os.pwrite(memory.descriptor, StateMemory.SLOT_HEADER.pack(3, 60), at)
         kept = found.read()
         assert kept is not None and kept.generation == 8
         found.write(encode(msgspec.structs.replace(JOURNAL, generation=9)))
         kept = memory.read()
         assert kept is not None and kept.generation == 9
-        memory.write(bytes(StateMemory.PLACE))  # too long: the one before stays
+        memory.write(bytes(StateMemory.SLOT_BYTES))  # too long: the previous one stays
         kept = memory.read()
         assert kept is not None and kept.generation == 9
         found.close()
@@ -207,5 +206,5 @@
     (tmp_path / "link").symlink_to(tmp_path / "d")
     (tmp_path / "file").write_text("")
     for name in ("open", "link", "file"):
-        with pytest.raises(NoFolder):
+        with pytest.raises(RunFolderError):
             RunFolder(tmp_path / name)
--- a/tests/decisions/test_adoption.py
+++ b/tests/decisions/test_adoption.py
@@ -1,4 +1,4 @@
-"""Which found processes are adopted, drained, ended or left: by cases, and for any set of them."""
+"""Decisions on found processes (adopt, drain, kill, leave): single cases, and any set of processes."""
 
 from __future__ import annotations
 
@@ -8,15 +8,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sorrelfront.decisions.adoption import PROTOCOL, Adopt, Drain, End, Found, Leave, Life, judge
+from sorrelfront.decisions.adoption import (
+    PROTOCOL,
+    Adopt,
+    Drain,
+    FoundProcess,
+    Kill,
+    Leave,
+    Life,
+    decide_each,
+)
 from sorrelfront.decisions.supervision import Phase, Policy, Start, Supervisor
 
-POLICY = Policy(look_us=1_000_000_000)  # no step in here is time in which the program did not run
-WELL = Found("i0", 10, run=3, life=Life.READY, digest="d")
+POLICY = Policy(look_us=1_000_000_000)  # no step of these tests is taken for a pause of the program
+ORPHAN = FoundProcess("i0", 10, run=3, life=Life.READY, digest="d")
 
 
-def verdict(found: Found, taken: tuple[str, ...] = ()) -> type:
-    (one,) = judge([found], ["i0", "i1"], "d", taken)
+def decision(found: FoundProcess, taken: tuple[str, ...] = ()) -> type:
+    (one,) = decide_each([found], ["i0", "i1"], "d", taken)
     assert one.found is found
     return type(one)
 
@@ -24,43 +33,43 @@
 @pytest.mark.parametrize(
     ("found", "wanted"),
     [
-        (WELL, Adopt),
-        (replace(WELL, life=Life.STARTING), Adopt),
-        (replace(WELL, verified=False), Leave),
-        (replace(WELL, verified=False, life=None, reachable=False), Leave),
-        (replace(WELL, life=None), End),
-        (replace(WELL, life=None, reachable=False), Drain),
-        (replace(WELL, orphan=False), Leave),
-        (replace(WELL, life=Life.LEAVING), Leave),
-        (replace(WELL, protocol=PROTOCOL + 1), Drain),
-        (replace(WELL, name="i7"), Drain),
+        (ORPHAN, Adopt),
+        (replace(ORPHAN, life=Life.STARTING), Adopt),
+        (replace(ORPHAN, verified=False), Leave),
+        (replace(ORPHAN, verified=False, life=None, reachable=False), Leave),
+        (replace(ORPHAN, life=None), Kill),
+        (replace(ORPHAN, life=None, reachable=False), Drain),
+        (replace(ORPHAN, orphan=False), Leave),
+        (replace(ORPHAN, life=Life.LEAVING), Leave),
+        (replace(ORPHAN, protocol=PROTOCOL + 1), Drain),
+        (replace(ORPHAN, name="i7"), Drain),
     ],
 )
-def test_one_alone(found: Found, wanted: type) -> None:
-    assert verdict(found) is wanted
+def test_a_single_process(found: FoundProcess, wanted: type) -> None:
+    assert decision(found) is wanted
 
 
 def test_a_name_that_has_a_process_is_not_given_another() -> None:
-    assert verdict(WELL, ("i0",)) is Drain
+    assert decision(ORPHAN, ("i0",)) is Drain
 
 
 def test_one_with_another_file_is_adopted_and_given_the_one_in_force() -> None:
-    (one,) = judge([replace(WELL, digest="other")], ["i0"], "d")
-    assert one == Adopt(replace(WELL, digest="other"), retake=True)
+    (one,) = decide_each([replace(ORPHAN, digest="other")], ["i0"], "d")
+    assert one == Adopt(replace(ORPHAN, digest="other"), reconfigure=True)
 
 
 def test_of_several_the_one_by_the_file_in_force_then_the_ready_then_the_latest() -> None:
     others = [
-        replace(WELL, pid=11, run=9, digest="other"), replace(WELL, pid=12, run=8, life=Life.STARTING),
-        replace(WELL, pid=13, run=2),
+        replace(ORPHAN, pid=11, run=9, digest="other"), replace(ORPHAN, pid=12, run=8, life=Life.STARTING),
+        replace(ORPHAN, pid=13, run=2),
     ]  # fmt: skip
-    verdicts = judge([*others, WELL], ["i0"], "d")
-    assert [item.found.pid for item in verdicts if isinstance(item, Adopt)] == [10]
-    assert {item.found.pid for item in verdicts if isinstance(item, Drain)} == {11, 12, 13}
+    decisions = decide_each([*others, ORPHAN], ["i0"], "d")
+    assert [item.found.pid for item in decisions if isinstance(item, Adopt)] == [10]
+    assert {item.found.pid for item in decisions if isinstance(item, Drain)} == {11, 12, 13}
 
 
 FOUND = st.builds(
-    Found,
+    FoundProcess,
     name=st.sampled_from(["i0", "i1", "i2", "x"]),
     pid=st.integers(1, 10_000),
     run=st.integers(0, 5),
@@ -80,22 +89,22 @@
     st.sets(st.sampled_from(["i0", "i1", "i2"])),
     st.sets(st.sampled_from(["i0", "i1"])),
 )
-def test_each_has_one_verdict_each_name_one_process_and_no_stranger_is_touched(
-    found: list[Found], wanted: set[str], taken: set[str]
+def test_each_process_has_one_decision_each_name_one_process_and_others_are_left_alone(
+    found: list[FoundProcess], wanted: set[str], taken: set[str]
 ) -> None:
-    verdicts = judge(found, sorted(wanted), "d", taken)
-    assert sorted(item.found.pid for item in verdicts) == sorted(item.pid for item in found)
-    adopted = [item.found for item in verdicts if isinstance(item, Adopt)]
+    decisions = decide_each(found, sorted(wanted), "d", taken)
+    assert sorted(item.found.pid for item in decisions) == sorted(item.pid for item in found)
+    adopted = [item.found for item in decisions if isinstance(item, Adopt)]
     names = [item.name for item in adopted]
     assert len(names) == len(set(names)) and set(names) <= wanted - taken
-    for item in verdicts:
+    for item in decisions:
         if not isinstance(item, Leave):
-            assert item.found.verified  # whoever is not known to be ours is left alone
-        if isinstance(item, End):
+            assert item.found.verified  # a process that is not verified as ours is left alone
+        if isinstance(item, Kill):
             assert item.found.life is None
         if isinstance(item, Adopt):
             assert item.found.orphan and item.found.life in (Life.READY, Life.STARTING)
-    # A name is left without its process only if no process could be adopted for it.
+    # A name has no process only if none could be adopted for it.
     fit = {
         item.name for item in found
         if item.verified and item.reachable and item.orphan and item.protocol == PROTOCOL
@@ -113,7 +122,7 @@
         decide.on_adopted("i0", 5, True, 1)
     assert decide.on_end("i0", 3, 1) == []  # of an earlier run
     decide.on_end("i0", 4, 1)
-    assert decide.on_time(10_000_000)[0] == Start("i0", 5)  # the runs go on from there
+    assert decide.on_time(10_000_000)[0] == Start("i0", 5)  # run numbers continue from the adopted one
 
 
 def test_nothing_is_started_while_processes_are_adopted_one_by_one() -> None:
@@ -127,14 +136,14 @@
     assert decide.start(10_000_000 - 1)[-1] == Start("i2", 1)
 
 
-def test_one_adopted_in_its_start_has_the_time_of_a_start() -> None:
+def test_one_adopted_while_starting_has_the_start_timeout() -> None:
     decide = Supervisor(["i0"], POLICY, 1, 0)
     decide.on_adopted("i0", 4, False, 0)
     assert decide.on_time(POLICY.start_within_us - 1) == []
     assert [type(item).__name__ for item in decide.on_time(POLICY.start_within_us)] == ["Kill", "Report"]
 
 
-def test_one_that_is_adopted_to_be_drained_is_forgotten_with_its_end() -> None:
+def test_one_that_is_adopted_to_be_drained_is_removed_once_it_has_ended() -> None:
     decide = Supervisor(["i0"], Policy(), 1, 0)
     decide.on_adopted("i0@77", 1, True, 0)
     decide.on_drain("i0@77", 0, 1_000)
@@ -143,16 +152,16 @@
     assert [(item.name, item.phase) for item in decide.standings()] == [("i0", Phase.BACKOFF)]
 
 
-def test_remembered_failures_count_and_old_or_odd_ones_do_not() -> None:
+def test_restored_failures_count_and_old_or_invalid_ones_do_not() -> None:
     policy = Policy()
     decide = Supervisor(["i0", "i1", "i2"], policy, 1, 0)
-    decide.on_remembered("i0", 4, 1_000_000, 0)
-    decide.on_remembered("i1", 4, policy.loop_span_us + 1, 0)
-    decide.on_remembered("i2", 10**9, -5, 0)
-    decide.on_remembered("stranger", 4, 0, 0)
+    decide.restore_failures("i0", 4, 1_000_000, 0)
+    decide.restore_failures("i1", 4, policy.loop_span_us + 1, 0)
+    decide.restore_failures("i2", 10**9, -5, 0)
+    decide.restore_failures("stranger", 4, 0, 0)
     assert [item.failures for item in decide.standings()] == [4, 0, 0]
     decide.start(0)
     reports = [item for item in decide.on_end("i0", 1, 10) if type(item).__name__ == "Report"]
-    assert len(reports) == 1  # the fifth end in the span: a crash loop that goes on through a restart
-    decide.on_remembered("i1", 10**9, 0, 0)
+    assert len(reports) == 1  # the fifth end in the span: a new supervisor still detects the crash loop
+    decide.restore_failures("i1", 10**9, 0, 0)
     assert decide.standings()[1].failures == policy.loop_ends
--- a/tests/decisions/test_supervision.py
+++ b/tests/decisions/test_supervision.py
@@ -1,4 +1,4 @@
-"""The daemon's decisions: each rule has its case, and a model drives them through random lives."""
+"""The daemon's decisions about its instances: one case per rule, and random events against a model."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sorrelfront.decisions.supervision import Action, Kill, Phase, Policy, Report, Start, Stop, Supervisor
 
 S = 1_000_000
-POLICY = Policy(look_us=1_000 * S)  # for steps of any length: none is time in which the program did not run
+POLICY = Policy(look_us=1_000 * S)  # no step of these tests is taken for a pause of the program
 
 
 def supervisor(count: int = 3, seed: int = 7) -> Supervisor:
@@ -20,7 +20,7 @@
     return next(item.phase for item in made.standings() if item.name == name)
 
 
-def test_all_start_at_once_and_a_ready_one_waits_for_beats() -> None:
+def test_all_start_at_once_and_a_ready_one_is_killed_without_heartbeats() -> None:
     made = supervisor()
     assert made.start(0) == [Start("i0", 1), Start("i1", 1), Start("i2", 1)]
     assert made.on_ready("i0", 1, S) == []
@@ -84,7 +84,7 @@
     assert settled == [Report("i0", "has settled after its crash loop")]
 
 
-def test_the_late_word_of_an_earlier_run_is_passed_over() -> None:
+def test_a_late_message_of_an_earlier_run_is_ignored() -> None:
     made = supervisor(1)
     made.start(0)
     made.on_end("i0", 1, 0)
@@ -127,8 +127,8 @@
     assert made.on_names(["i0", "i5"], S, 5 * S) == [Stop("i1", 1), Start("i5", 1)]
 
 
-def went_on(made: Supervisor, now: int, until: int) -> list[Action]:
-    """What is done from `now` to `until` by a program that runs all the time."""
+def run_until(made: Supervisor, now: int, until: int) -> list[Action]:
+    """Return the actions from `now` to `until` of a program that runs without a pause."""
     actions: list[Action] = []
     while (at := made.next_us()) is not None and at <= until:
         now = max(now, at)
@@ -136,28 +136,29 @@
     return actions + made.on_time(until)
 
 
-def test_a_program_that_was_stopped_itself_takes_nobody_for_silent() -> None:
+def test_a_pause_of_this_program_is_not_taken_for_missed_heartbeats() -> None:
+    """After a suspend every deadline has passed at once, and all instances would be killed."""
     made = Supervisor(["i0", "i1", "i2", "i3"], Policy(), 7, 0)
     made.start(0)
     for name in ("i0", "i1", "i3"):
         made.on_ready(name, 1, S)
     made.on_drain("i3", S, 3 * S)
-    assert went_on(made, S, 2 * S) == []
-    # Ten minutes in which nothing on this host ran; the first thing heard is a beat, or an end.
+    assert run_until(made, S, 2 * S) == []
+    # The host is suspended for ten minutes; the first event afterwards is a heartbeat, or an end.
     back = 602 * S
     made.on_beat("i0", 1, back)
     made.on_end("i1", 1, back)
-    acted = made.on_time(back) + went_on(made, back, back + S)
+    acted = made.on_time(back) + run_until(made, back, back + S)
     assert not any(isinstance(action, Kill) for action in acted)
-    # From here on each has what was left of its time, and no more.
-    acted = went_on(made, back + S, back + 9 * S)
+    # From here on each has the remainder of its time, and no more.
+    acted = run_until(made, back + S, back + 9 * S)
     kills = [action for action in acted if isinstance(action, Kill)]
     assert Kill("i3", 1, "it did not end in time") in kills
     assert Kill("i2", 1, "it did not become ready in time") in kills
     assert Kill("i0", 1, "it gave no sign of life in time") in kills
 
 
-def test_a_hang_that_begins_with_other_figures_is_found_by_these() -> None:
+def test_a_hang_before_the_next_heartbeat_is_detected_by_the_new_policy() -> None:
     made = supervisor(1)
     made.start(0)
     made.on_ready("i0", 1, 0)
@@ -166,7 +167,8 @@
     assert Kill("i0", 1, "it gave no sign of life in time") in made.on_time(2 * S)
 
 
-def test_a_hang_is_seen_in_time_by_a_program_that_is_a_little_late() -> None:
+def test_a_hang_is_detected_in_time_by_a_program_that_is_a_little_late() -> None:
+    """Short delays of this program must not extend the deadlines of instances again and again."""
     made, now = Supervisor(["i0"], Policy(), 7, 0), 0
     made.start(0)
     made.on_ready("i0", 1, 0)
@@ -179,7 +181,7 @@
 
 
 @pytest.mark.parametrize("name", ["silent_us", "loop_ends", "first_wait_us"])
-def test_a_figure_that_makes_no_sense_is_refused(name: str) -> None:
+def test_a_policy_value_out_of_range_is_refused(name: str) -> None:
     with pytest.raises(ValueError, match=name):
         Policy(**{name: 0})
 
@@ -196,8 +198,12 @@
 def test_there_is_never_more_than_one_process_and_each_wanted_one_comes_back(
     events: list[tuple[str, int, int]], policy: Policy,
 ) -> None:
-    """The model is the set of processes that run. What is started must not be running; what is killed or
-    stopped must; and whoever is wanted gets a process in the end."""
+    """The model is the set of running processes.
+
+    Only an instance without a process may be started, only one with a process may be stopped or killed, and
+    every instance that was not drained has a process in the end. A violation is two processes of one
+    instance, or an instance that stays down.
+    """
     made, now, running = Supervisor(["i0", "i1", "i2"], policy, 7, 0), 0, dict[str, int]()
     drained: set[str] = set()
 
@@ -231,7 +237,7 @@
             carry_out(made.on_stop(now, 5 * S))
         else:
             carry_out(made.on_time(now))
-    for _ in range(8):  # all that is killed ends, and time goes on
+    for _ in range(8):  # every killed process ends, and time passes
         for name, run in [*running.items()]:
             if phase(made, name) is Phase.STOPPING:
                 del running[name]
