--- a/tests/daemon/test_adoption.py
+++ b/tests/daemon/test_adoption.py
@@ -502,7 +502,7 @@
             assert await pids(made) == before
             client = await connect(made.address)
             instance_sockets = [*made.folder.glob("c.sock.d/*-*.sock")]
-            await until(lambda: all(hello(instance_socket)["generation"] == 2 for instance_socket in instance_sockets))
+            await until(lambda: all(hello(path)["generation"] == 2 for path in instance_sockets))
             for name, status in (("book", 404), ("look", 200)):
                 client.send(request(f"r{name}", name))
                 assert (await client.answer())[0] == status
