--- a/sorrelfront/daemon/journal.py
+++ b/sorrelfront/daemon/journal.py
@@ -46,7 +46,7 @@
     entries: list[Entry]
 
 
-class RunFolderError(SorrelfrontError):
+class NoFolder(SorrelfrontError):
     """The run folder cannot be used; the text is one line."""
 
     remedy = "Give the folder beside the control socket to the daemon's user alone, with mode 0700."
@@ -58,13 +58,13 @@
 
 
 def decode(payload: bytes) -> Journal:
-    """Decode the payload of a journal record. Raises InvalidRecord if it is invalid."""
+    """Decode the payload of a journal record. Raises Spoilt if it is invalid."""
     try:
         journal = msgspec.msgpack.decode(payload, type=Journal)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise records.InvalidRecord(str(fault)) from None
+        raise records.Spoilt(str(fault)) from None
     if len(journal.entries) > MAX_ENTRIES or not 0 <= journal.generation < 2**53:
-        raise records.InvalidRecord("its figures are out of bounds")
+        raise records.Spoilt("its figures are out of bounds")
     return journal
 
 
@@ -72,24 +72,24 @@
     """The folder with one daemon's instance sockets, journal and lock."""
 
     def __init__(self, path: Path) -> None:
-        """Create the folder with access for this user only. Raises RunFolderError."""
+        """Create the folder with access for this user only. Raises NoFolder."""
         self.path = path
         self._lock = -1
         try:
             path.mkdir(mode=0o700, exist_ok=True)
             status = path.lstat()
         except OSError as fault:
-            raise RunFolderError(f"{path}: {fault.strerror}") from None
+            raise NoFolder(f"{path}: {fault.strerror}") from None
         if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & 0o077:
             # Otherwise another user could place a socket there that answers instead of an instance.
-            raise RunFolderError(
+            raise NoFolder(
                 f"{path}: must be a folder of this user's that nobody else may enter (mode 0700)"
             )
 
     def lock(self) -> bool:
         """Try to take the lock of the fleet's supervisor; return whether this program holds it.
 
-        The kernel releases the lock when the program ends, however it ends (flock(2)). Raises RunFolderError.
+        The kernel releases the lock when the program ends, however it ends (flock(2)). Raises NoFolder.
         """
         if self._lock >= 0:
             return True
@@ -97,7 +97,7 @@
             flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
             descriptor = os.open(self.path / LOCK, flags, 0o600)
         except OSError as fault:
-            raise RunFolderError(f"{self.path / LOCK}: {fault.strerror}") from None
+            raise NoFolder(f"{self.path / LOCK}: {fault.strerror}") from None
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -124,7 +124,7 @@
             return None
         try:
             return decode(payload)
-        except records.InvalidRecord as why:
+        except records.Spoilt as why:
             log.warning("%s is not used: %s", self.journal, why)
             return None
 
@@ -173,7 +173,7 @@
                     continue
                 data = os.pread(self.descriptor, length, at + self.SLOT_HEADER.size)
                 best = (count, decode(records.decode_record(records.Kind.JOURNAL, data)))
-            except (OSError, struct.error, records.InvalidRecord):
+            except (OSError, struct.error, records.Spoilt):
                 continue
         if best is None:
             return None
--- a/sorrelfront/daemon/records.py
+++ b/sorrelfront/daemon/records.py
@@ -43,7 +43,7 @@
     SITE = 8
 
 
-class InvalidRecord(SorrelfrontError):
+class Spoilt(SorrelfrontError):
     """A record is invalid; the text says why."""
 
     remedy = (
@@ -109,28 +109,28 @@
 
 
 def decode_record(kind: Kind, data: bytes) -> bytes:
-    """Decode a record and return its payload. Raises InvalidRecord, and nothing else for any input."""
+    """Decode a record and return its payload. Raises Spoilt, and nothing else for any input."""
     if len(data) < HEADER.size:
-        raise InvalidRecord("it is shorter than a head")
+        raise Spoilt("it is shorter than a head")
     magic, version, found, length, digest = HEADER.unpack_from(data)
     payload = data[HEADER.size :]
     if magic != MAGIC:
-        raise InvalidRecord("it is no record of this program")
+        raise Spoilt("it is no record of this program")
     if version != VERSION:
-        raise InvalidRecord(f"it is of version {version}, not {VERSION}")
+        raise Spoilt(f"it is of version {version}, not {VERSION}")
     if found != kind:
-        raise InvalidRecord(f"it is a record of kind {found}, not {int(kind)}")
+        raise Spoilt(f"it is a record of kind {found}, not {int(kind)}")
     if length > MAX_PAYLOAD_BYTES or length != len(payload):
-        raise InvalidRecord(f"it holds {len(payload)} bytes and says {length}")
+        raise Spoilt(f"it holds {len(payload)} bytes and says {length}")
     if digest != _digest(version, kind, payload):
-        raise InvalidRecord("its checksum is wrong")
+        raise Spoilt("its checksum is wrong")
     return payload
 
 
 def read(path: Path, kind: Kind) -> bytes | None:
     """Return the payload of the record in this file, or None if there is no file.
 
-    Raises InvalidRecord, also unless it is a regular file of this user or root that others cannot write (so
+    Raises Spoilt, also unless it is a regular file of this user or root that others cannot write (so
     not for a link, a pipe, or another user's file), and OSError.
     """
     try:
@@ -139,15 +139,15 @@
     except FileNotFoundError:
         return None
     except OSError as fault:
-        raise InvalidRecord(f"it cannot be opened: {fault.strerror}") from None
+        raise Spoilt(f"it cannot be opened: {fault.strerror}") from None
     with open(descriptor, "rb") as file:
         status = os.fstat(descriptor)
         if not stat.S_ISREG(status.st_mode):
-            raise InvalidRecord("it is not a plain file")
+            raise Spoilt("it is not a plain file")
         if status.st_uid not in (0, os.geteuid()) or status.st_mode & 0o022:
-            raise InvalidRecord("it is another user's, or others may write it")
+            raise Spoilt("it is another user's, or others may write it")
         if status.st_size > HEADER.size + MAX_PAYLOAD_BYTES:
-            raise InvalidRecord(f"it is {status.st_size} bytes long")
+            raise Spoilt(f"it is {status.st_size} bytes long")
         return decode_record(kind, file.read(HEADER.size + MAX_PAYLOAD_BYTES + 1))
 
 
@@ -155,7 +155,7 @@
     """Return the payload, or None. An invalid file is logged and renamed to `.bad`. Raises nothing."""
     try:
         return read(path, kind)
-    except (InvalidRecord, OSError) as why:
+    except (Spoilt, OSError) as why:
         aside = path.with_name(path.name + ".bad")  # only the latest is kept
         try:
             disk.replace(path, aside)
--- a/sorrelfront/daemon/state.py
+++ b/sorrelfront/daemon/state.py
@@ -18,7 +18,7 @@
 from sorrelfront.daemon import records
 from sorrelfront.daemon.configuration import FILE_MOST, INSTANCES_MOST
 from sorrelfront.daemon.fleet import Fleet, now_us
-from sorrelfront.daemon.records import InvalidRecord, Kind, Writer, seal
+from sorrelfront.daemon.records import Kind, Spoilt, Writer, seal
 from sorrelfront.daemon.replacement import learnt_of
 from sorrelfront.decisions.learnt import KEPT_MOST_US, merged
 
@@ -49,15 +49,15 @@
 
 
 def decode(payload: bytes) -> Remembered:
-    """Decode the payload of a `fleet` record. Raises InvalidRecord if it is invalid."""
+    """Decode the payload of a `fleet` record. Raises Spoilt if it is invalid."""
     try:
         found = msgspec.msgpack.decode(payload, type=Remembered)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise InvalidRecord(str(fault)) from None
+        raise Spoilt(str(fault)) from None
     if not 0 <= found.generation < 2**53 or len(found.failures) > INSTANCES_MOST:
-        raise InvalidRecord("its figures are out of bounds")
+        raise Spoilt("its figures are out of bounds")
     if len(found.document) > FILE_MOST:
-        raise InvalidRecord("its document is too long")
+        raise Spoilt("its document is too long")
     return found
 
 
@@ -68,7 +68,7 @@
         return None
     try:
         return decode(payload)
-    except InvalidRecord as why:
+    except Spoilt as why:
         log.warning("%s is not used: %s", folder / "fleet", why)
         return None
 
--- a/sorrelfront/daemon/supervisor.py
+++ b/sorrelfront/daemon/supervisor.py
@@ -22,14 +22,14 @@
 from sorrelfront.daemon.configuration import BadDocument, Document, parse, read
 from sorrelfront.daemon.control import Control
 from sorrelfront.daemon.fleet import CannotStart, Fleet, Unanswered, now_us
-from sorrelfront.daemon.journal import Entry, Journal, RunFolder, RunFolderError, StateMemory, encode
+from sorrelfront.daemon.journal import Entry, Journal, NoFolder, RunFolder, StateMemory, encode
 from sorrelfront.daemon.notify import SOCKETS_NAME, STATE_NAME, Passed, keep, notify, passed
 from sorrelfront.daemon.processes import boot_id
 from sorrelfront.daemon.records import Writer
 from sorrelfront.daemon.reload import Reloading
 from sorrelfront.daemon.replacement import Replacing
 from sorrelfront.daemon.state import WRITE_TIMEOUT_S, State, read_fleet_record
-from sorrelfront.daemon.takeover import PredecessorEnded, Successor, TakeoverError
+from sorrelfront.daemon.takeover import Bereft, NoTakeover, Successor
 from sorrelfront.signals import ignore_from_here, on_signal
 
 log = logging.getLogger("sorrelfront.daemon")
@@ -51,7 +51,7 @@
         self._successor = Successor(document.control) if replace else None
         try:
             self._folder = RunFolder(document.run_folder)
-        except RunFolderError as fault:
+        except NoFolder as fault:
             raise CannotStart(f"[daemon] control: {fault}") from None
         self.fleet = Fleet(document, self._folder.path)
         self.fleet.provisional = replace
@@ -142,7 +142,7 @@
         try:
             if not await self._lock(LOCK_TIMEOUT_S if self._replacing_running else 0.0):
                 raise CannotStart(f"[daemon] control: another daemon runs by this file ({self._folder.path})")
-        except RunFolderError as fault:
+        except NoFolder as fault:
             raise CannotStart(f"[daemon] control: {fault}") from None
         if self._state is not None:
             self._state.restore()
@@ -154,7 +154,7 @@
         await self._adopt(journal)
 
     async def _lock(self, within_s: float) -> bool:
-        """Wait for the lock of the run folder; return whether it was acquired in time. Raises RunFolderError.
+        """Wait for the lock of the run folder; return whether it was acquired in time. Raises NoFolder.
 
         The kernel closes the descriptors of a killed program one by one, so its connections may end before
         its lock is free. Without the wait its successor would conclude that another program holds the lock
@@ -241,12 +241,12 @@
         """
         try:
             handover = await successor.ask()
-        except PredecessorEnded as fault:
+        except Bereft as fault:
             log.warning("%s; starting in its place", fault)
             self._successor = None
             self.fleet.provisional = False
             return
-        except TakeoverError as fault:
+        except NoTakeover as fault:
             raise CannotStart(f"[daemon] control: {self.fleet.document.control}: {fault}") from None
         self.fleet.learnt = handover.snapshots
         for sock in handover.sockets.values():
--- a/sorrelfront/daemon/takeover.py
+++ b/sorrelfront/daemon/takeover.py
@@ -27,7 +27,7 @@
 MAX_PACKETS = 512  # one per instance, and one with the sockets
 
 
-class TakeoverError(SorrelfrontError):
+class NoTakeover(SorrelfrontError):
     """The running program cannot be replaced now; the text is one line."""
 
     remedy = (
@@ -36,7 +36,7 @@
     )
 
 
-class PredecessorEnded(TakeoverError):
+class Bereft(NoTakeover):
     """The running program ended during the handover."""
 
 
@@ -63,13 +63,13 @@
         self.predecessor_ended = False  # the old program has ended without a message
 
     async def ask(self) -> Handover:
-        """Request and receive the old program's state. Raises TakeoverError."""
+        """Request and receive the old program's state. Raises NoTakeover."""
         path = self._control.parent / f".takeover-{os.getpid()}"
         handover = Handover()
         try:
             inbox = bind_private(socket.SOCK_SEQPACKET, path)
         except OSError as fault:
-            raise TakeoverError(f"{path}: {fault.strerror}") from None
+            raise NoTakeover(f"{path}: {fault.strerror}") from None
         with inbox, contextlib.ExitStack() as clean:
             clean.callback(path.unlink, missing_ok=True)
             inbox.listen(1)
@@ -78,19 +78,19 @@
                 asked = {"op": "takeover", "to": str(path)}
                 answer = await control.ask(self._control, asked, ANSWER_TIMEOUT_S)
                 if not answer.get("ok"):
-                    raise TakeoverError("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
+                    raise NoTakeover("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     self._sock, _ = await asyncio.get_running_loop().sock_accept(inbox)
                 configure_socket(self._sock)
                 await self._read(handover)
-            except TakeoverError:
+            except NoTakeover:
                 handover.close()
                 self.close()
                 raise
             except (control.Unavailable, BadMessage, TimeoutError, OSError) as fault:
                 handover.close()
                 self.close()
-                raise TakeoverError(str(fault) or type(fault).__name__) from None
+                raise NoTakeover(str(fault) or type(fault).__name__) from None
         return handover
 
     async def _read(self, handover: Handover) -> None:
@@ -98,7 +98,7 @@
         for _ in range(MAX_PACKETS):
             got = await receive_within(self._sock, ANSWER_TIMEOUT_S)
             if got is None:
-                raise PredecessorEnded("the running program ended during the take-over")
+                raise Bereft("the running program ended during the take-over")
             message, descriptors = got
             for descriptor in descriptors:
                 sock = socket.socket(fileno=descriptor)
@@ -112,7 +112,7 @@
                 case {"op": "off", "why": str(why)}:
                     # The old program was told to stop during the handover. If that were taken for a crash,
                     # this program would start in place of one that an operator has stopped.
-                    raise TakeoverError(why)
+                    raise NoTakeover(why)
         raise BadMessage("the running program sends too many packets")
 
     async def ready(self) -> bool:
--- a/tests/daemon/test_records.py
+++ b/tests/daemon/test_records.py
@@ -14,12 +14,12 @@
 from hypothesis import strategies as st
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.journal import Entry, Journal, RunFolder, RunFolderError, StateMemory, decode, encode
+from sorrelfront.daemon.journal import Entry, Journal, NoFolder, RunFolder, StateMemory, decode, encode
 from sorrelfront.daemon.records import (
     HEADER,
     MAX_PAYLOAD_BYTES,
-    InvalidRecord,
     Kind,
+    Spoilt,
     Writer,
     decode_record,
     read,
@@ -39,7 +39,7 @@
 def test_a_record_cut_at_any_byte_is_refused() -> None:
     assert decode_record(Kind.FLEET, WHOLE) == PAYLOAD
     for length in range(len(WHOLE)):
-        with pytest.raises(InvalidRecord):
+        with pytest.raises(Spoilt):
             decode_record(Kind.FLEET, WHOLE[:length])
 
 
@@ -48,7 +48,7 @@
     for at in range(8 * 1_024):
         corrupt = bytearray(WHOLE)
         corrupt[at // 8] ^= 1 << at % 8
-        with pytest.raises(InvalidRecord):
+        with pytest.raises(Spoilt):
             decode_record(Kind.FLEET, bytes(corrupt))
 
 
@@ -60,7 +60,7 @@
     for kind, check in ((Kind.JOURNAL, decode), (Kind.FLEET, decode_fleet)):
         try:
             check(decode_record(kind, whole))
-        except InvalidRecord:
+        except Spoilt:
             pass
         else:
             assert sealed and kind is Kind.JOURNAL
@@ -73,7 +73,7 @@
         (WHOLE + b"x", "bytes and says"),
         (b"GIF8" + WHOLE[4:], "no record"),
     ):
-        with pytest.raises(InvalidRecord, match=why):
+        with pytest.raises(Spoilt, match=why):
             decode_record(Kind.FLEET, changed)
 
 
@@ -206,5 +206,5 @@
     (tmp_path / "link").symlink_to(tmp_path / "d")
     (tmp_path / "file").write_text("")
     for name in ("open", "link", "file"):
-        with pytest.raises(RunFolderError):
+        with pytest.raises(NoFolder):
             RunFolder(tmp_path / name)
