--- a/sorrelfront/lab/fleet/__init__.py
+++ b/sorrelfront/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets in memory: the decisions of many members on a virtual network, thousands of seeds."""
+"""Simulate fleets in memory: the decisions of many members on a virtual network, over many seeds."""
--- a/sorrelfront/lab/fleet/copies_explorer.py
+++ b/sorrelfront/lab/fleet/copies_explorer.py
@@ -1,10 +1,11 @@
-"""Every order of events of a small fleet that keeps copies: three members, two of which write two keys.
+"""Explore every order of events of a small fleet with copies: three members, two of which write two keys.
 
-Breadth first, each state once. An event is one of: an owner puts or deletes a key; two members compare and
-take what they lack; a member is killed and starts again, with its disk or, once, without. What is on its way
-when a comparison breaks off is left to the seeds (`copies.py`). In every state that is reached the members
-compare until nothing changes, and are then held to this: all hold one digest, and of each key what its owner
-wrote last, unless the only member that had it lost its disk."""
+The search is breadth first and visits each state once. An event is one of: an owner puts or deletes a key;
+two members compare and fetch what they lack; a member is killed and restarts, with its disk or, once,
+without. Messages in flight when a comparison breaks off are left to the seeds (`copies.py`). In every state
+reached, the members compare until nothing changes. Then all must have one digest and, of each key, what its
+owner wrote last, unless the only member that had it lost its disk.
+"""
 
 from __future__ import annotations
 
@@ -15,107 +16,113 @@
 from typing import NamedTuple
 
 from sorrelfront.decisions.fleet.copies import COVERS, Action, Change, Copies, Say, Settings, Write
-from sorrelfront.lab.fleet.copies import Make
+from sorrelfront.lab.fleet.copies import CopiesFactory
 
 MEMBERS = ("a/i", "b/i", "c/i")
 OWNERS = MEMBERS[:2]
 KEYS = ("x", "y")
-TIMES = Settings(lone_us=1)
+SETTINGS = Settings(lone_us=1)
 STEP_US = 1_000
-ROUNDS = 6  # of comparisons of all pairs, within which a state has to come to rest
+MAX_ROUNDS = 6  # of comparisons of all pairs, within which a state has to settle
 
 
-class Found(NamedTuple):
+class Result(NamedTuple):
+    """The result of an exploration."""
+
     states: int
     depth: int  # to which all states were visited
-    broken: str  # empty if all held
+    broken: str  # the violation found; empty if none
 
 
-class World:
-    """A state of all of it."""
+class Model:
+    """One state of the whole system: members, disks and what the owners wrote."""
 
-    def __init__(self, make: Make = Copies) -> None:
+    def __init__(self, make: CopiesFactory = Copies) -> None:
         self.make = make
         self.now = 0
         self.disks: dict[str, list[Change]] = {name: [] for name in MEMBERS}
-        self.live: dict[str, Copies] = {}
-        self.truth: dict[tuple[str, str], bytes | None] = {}
-        self.shared: dict[tuple[str, str], bytes | None] = {}  # what somebody else has of it too
-        self.losses = 0
+        self.members: dict[str, Copies] = {}
+        self.written: dict[tuple[str, str], bytes | None] = {}
+        self.replicated: dict[tuple[str, str], bytes | None] = {}  # what another member has too
+        self.disk_losses = 0
         self.writes = 0
         for name in MEMBERS:
             self.start(name)
 
     def start(self, name: str) -> None:
+        """Start the member from its disk."""
         random = Random(f"{name}/{self.now}")
-        one = self.live[name] = self.make(name, TIMES, random, self.now, list(self.disks[name]), "reg")
+        one = self.members[name] = self.make(name, SETTINGS, random, self.now, list(self.disks[name]), "reg")
         if not self.disks[name]:
-            self.do(name, one.on_time(self.now + 1, []))  # alone at first: its book begins at once
+            # It has no peers at first, so its book begins at once.
+            self.do(name, one.on_time(self.now + 1, []))
 
     def do(self, name: str, actions: Sequence[Action], other: str = "") -> list[Say]:
-        said = []
-        one = self.live[name]
+        """Complete the writes among the actions at once; return the messages to `other`."""
+        sends = []
+        one = self.members[name]
         for action in actions:
             if isinstance(action, Write):
                 self.disks[name].append(action.change)
-                said += self.do(name, list(one.on_written(action.number, self.now)), other)
+                sends += self.do(name, list(one.on_written(action.number, self.now)), other)
             elif isinstance(action, Say) and action.to == other:
-                said.append(action)
-        return said
+                sends.append(action)
+        return sends
 
     def compare(self, one: str, other: str) -> None:
-        """Both begin, and go on until neither has anything to say to the other."""
+        """Have two members compare until neither has anything more to send to the other."""
         self.now += STEP_US
-        words = []
+        messages = []
         for name, peer in ((one, other), (other, one)):
-            member = self.live[name]
+            member = self.members[name]
             member.peers = [peer]
-            said = self.do(name, list(member.on_word(peer, self.live[peer]._beat(), self.now)), peer)
-            words += [(name, peer, item.word) for item in said]
+            sends = self.do(name, list(member.on_word(peer, self.members[peer]._beat(), self.now)), peer)
+            messages += [(name, peer, item.word) for item in sends]
         for _ in range(200):
-            if not words:
+            if not messages:
                 break
-            src, dst, word = words.pop(0)
-            said = self.do(dst, list(self.live[dst].on_word(src, word, self.now)), src)
-            words += [(dst, src, item.word) for item in said]
+            src, dst, message = messages.pop(0)
+            sends = self.do(dst, list(self.members[dst].on_word(src, message, self.now)), src)
+            messages += [(dst, src, item.word) for item in sends]
         for name in (one, other):
-            member = self.live[name]
+            member = self.members[name]
             member._fetches.clear()
             if member.mine is None:
                 member._begin()
                 self.do(name, list(member._take()))
             if name in OWNERS:
-                self.shared.update({at: value for at, value in self.truth.items() if at[0] == name})
+                self.replicated.update({at: value for at, value in self.written.items() if at[0] == name})
 
     def write(self, name: str, key: str) -> bool:
-        """Put it, or delete it if it is there. False before the book has begun."""
-        one = self.live[name]
+        """Put the key, or delete it if it exists; return False before the book has begun."""
+        one = self.members[name]
         if one.mine is None:
             return False
         self.now += STEP_US
         self.writes += 1
         if key in one.mine.entries:
             one.delete(key, self.now)
-            self.truth[name, key] = None
+            self.written[name, key] = None
         else:
             one.put(key, b"%d" % self.writes, self.now)
-            self.truth[name, key] = b"%d" % self.writes
+            self.written[name, key] = b"%d" % self.writes
         self.do(name, list(one._take()))
         return True
 
-    def restart(self, name: str, loses: bool) -> None:
+    def restart(self, name: str, loses_disk: bool) -> None:
+        """Kill and start the member; with `loses_disk` only what another member has is still expected."""
         self.now += STEP_US
-        if loses:
-            self.losses += 1
+        if loses_disk:
+            self.disk_losses += 1
             self.disks[name] = []
-            for at in [at for at in self.truth if at[0] == name]:
-                self.truth[at] = self.shared.get(at)
+            for pair in [pair for pair in self.written if pair[0] == name]:
+                self.written[pair] = self.replicated.get(pair)
         self.start(name)
 
     def signature(self) -> object:
-        """The state without what does not matter: births, times, numbers of writes."""
+        """Return the state without what does not matter: births, times, numbers of writes."""
         members = []
-        for one in self.live.values():
+        for one in self.members.values():
             books = sorted(
                 (
                     id.owner, id.epoch, book.seq,
@@ -126,67 +133,69 @@
                 for id, book in one.books.items()
             )  # fmt: skip
             members.append((tuple(books), one.mine is None, one.era))
-        truth = tuple(sorted((at, value is None) for at, value in self.truth.items()))
-        shared = tuple(sorted((at, value == self.truth.get(at)) for at, value in self.shared.items()))
-        return tuple(members), truth, shared, self.losses
-
-    def wrong(self) -> str:
-        """What breaks once the members have compared; empty if nothing."""
-        world = copy.deepcopy(self)
-        for _ in range(ROUNDS):
-            before = [one.digest() for one in world.live.values()]
+        written = tuple(sorted((at, value is None) for at, value in self.written.items()))
+        replicated = tuple(
+            sorted((at, value == self.written.get(at)) for at, value in self.replicated.items())
+        )
+        return tuple(members), written, replicated, self.disk_losses
+
+    def violation(self) -> str:
+        """Return what is violated once the members have compared; empty if nothing."""
+        model = copy.deepcopy(self)
+        for _ in range(MAX_ROUNDS):
+            before = [one.digest() for one in model.members.values()]
             for one, other in combinations(MEMBERS, 2):
-                world.compare(one, other)
-            if before == [one.digest() for one in world.live.values()]:
+                model.compare(one, other)
+            if before == [one.digest() for one in model.members.values()]:
                 break
-        digests = {one.digest() for one in world.live.values()}
+        digests = {one.digest() for one in model.members.values()}
         if len(digests) > 1:
             return f"{len(digests)} digests"
-        for (owner, key), value in world.truth.items():
-            held = {told for id, told in world.live["c/i"].values(key) if id.owner == owner}
+        for (owner, key), value in model.written.items():
+            held = {stored for id, stored in model.members["c/i"].values(key) if id.owner == owner}
             if held != (set() if value is None else {value}):
                 return f"{owner} {key}: {held}, and {value!r} was written last"
         return ""
 
 
-def nexts(world: World) -> list[World]:
-    """Every state that one event leads to."""
-    found = []
+def successors(model: Model) -> list[Model]:
+    """Return every state that one event leads to."""
+    models = []
     for one, other in combinations(MEMBERS, 2):
-        after = copy.deepcopy(world)
+        after = copy.deepcopy(model)
         after.compare(one, other)
-        found.append(after)
+        models.append(after)
     for name in OWNERS:
         for key in KEYS:
-            after = copy.deepcopy(world)
+            after = copy.deepcopy(model)
             if after.write(name, key):
-                found.append(after)
+                models.append(after)
     for name in MEMBERS:
-        for loses in (False, True):
-            if loses and world.losses:
+        for loses_disk in (False, True):
+            if loses_disk and model.disk_losses:
                 continue
-            after = copy.deepcopy(world)
-            after.restart(name, loses)
-            found.append(after)
-    return found
+            after = copy.deepcopy(model)
+            after.restart(name, loses_disk)
+            models.append(after)
+    return models
 
 
-def explore(depth: int, make: Make = Copies) -> Found:
-    """Visit every state that so many events lead to."""
-    first = World(make)
+def explore(depth: int, make: CopiesFactory = Copies) -> Result:
+    """Visit every state within `depth` events of the start; stop at the first violation."""
+    first = Model(make)
     seen = {first.signature()}
-    edge = [first]
+    frontier = [first]
     for step in range(depth):
-        fresh: list[World] = []
-        for world in edge:
-            for after in nexts(world):
-                mark = after.signature()
-                if mark in seen:
+        next_frontier: list[Model] = []
+        for model in frontier:
+            for after in successors(model):
+                signature = after.signature()
+                if signature in seen:
                     continue
-                seen.add(mark)
-                wrong = after.wrong()
-                if wrong:
-                    return Found(len(seen), step, wrong)
-                fresh.append(after)
-        edge = fresh
-    return Found(len(seen), depth, "")
+                seen.add(signature)
+                violation = after.violation()
+                if violation:
+                    return Result(len(seen), step, violation)
+                next_frontier.append(after)
+        frontier = next_frontier
+    return Result(len(seen), depth, "")
--- a/sorrelfront/lab/fleet/explorer.py
+++ b/sorrelfront/lab/fleet/explorer.py
@@ -1,10 +1,10 @@
-"""Every order of events of a small fleet that decides on a policy: three voters, two proposers, crashes,
-losses.
+"""Explore every order of events of a small fleet that decides on a policy.
 
-Breadth first over states, each visited once. A word that was sent may be delivered at any later time, any
-number of times or never, so losses, repetitions and every order are covered by words that stay; a crash takes
-what a voter has only in memory. Checked in every state: at most one value is chosen in the slot, and it was
-proposed."""
+There are three voters and two proposers, with crashes and losses. The search is breadth first and visits each
+state once. A sent message may be delivered at any later time, any number of times or never: sent messages are
+never removed, which covers losses, duplicates and every order. A crash loses what a voter has only in memory.
+Checked in every state: at most one value is chosen in the slot, and it was proposed.
+"""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 VALUES = (Value("x", b"X"), Value("y", b"Y"))
 
 
-class World(NamedTuple):
-    """A state of all of it. `sent` are words that may still come, `votes` what was ever accepted."""
+class Model(NamedTuple):
+    """One state of the system; `sent` are messages that may still arrive, `votes` all votes ever cast."""
 
     voters: tuple[Voter, ...]
     disks: tuple[Record | None, ...]
@@ -44,30 +44,33 @@
     crashes: int
 
 
-class Found(NamedTuple):
+class Result(NamedTuple):
+    """The result of an exploration."""
+
     states: int
     depth: int  # to which all states were visited
-    whole: bool  # nothing was left to visit
-    broken: str  # empty if all held
+    complete: bool  # no state was left to visit
+    broken: str  # the violation found; empty if none
 
 
-Plant = Callable[[Voter, list[Keep | Send], Record | None], Record | None]
+DiskModel = Callable[[Voter, list[Keep | Send], Record | None], Record | None]
 
 
 def durable(voter: Voter, actions: list[Keep | Send], disk: Record | None) -> Record | None:
-    """What is on disk after a step: the last that was kept."""
+    """Return what is on disk after a step: the last record that was written."""
     for action in actions:
         if isinstance(action, Keep):
             disk = action.record
     return disk
 
 
-def never_kept(voter: Voter, actions: list[Keep | Send], disk: Record | None) -> Record | None:
-    """A planted defect: promises are told before they are durable, and a crash comes in between."""
+def never_durable(voter: Voter, actions: list[Keep | Send], disk: Record | None) -> Record | None:
+    """Plant a defect: promises are sent before they are durable, and a crash comes in between."""
     return disk
 
 
-def start() -> World:
+def initial_model() -> Model:
+    """Return the state in which both proposers have sent their first messages."""
     voters = tuple(Voter(name, VOTERS, FIRST, 1_000, 0) for name in VOTERS)
     proposers = tuple(
         Proposer(name, VOTERS, 1, value, (1, name)) for name, value in zip(PROPOSERS, VALUES, strict=True)
@@ -75,96 +78,104 @@
     sent = frozenset(
         (proposer.name, send.to, send.word) for proposer in proposers for send in proposer.begin()
     )
-    return World(voters, (FIRST,) * len(VOTERS), proposers, sent, frozenset(), 0)
+    return Model(voters, (FIRST,) * len(VOTERS), proposers, sent, frozenset(), 0)
 
 
-def chosen(world: World) -> set[Value]:
-    """Values that a majority has accepted in one ballot, ever."""
+def chosen(model: Model) -> set[Value]:
+    """Return the values that a majority has ever accepted in one ballot."""
     counts: dict[tuple[Ballot, Value], int] = {}
-    for _, ballot, value in world.votes:
+    for _, ballot, value in model.votes:
         counts[ballot, value] = counts.get((ballot, value), 0) + 1
     return {value for (_, value), count in counts.items() if count > len(VOTERS) // 2}
 
 
-def nexts(world: World, rounds: int, crashes: int, plant: Plant) -> list[World]:
-    """Every state that one event leads to: a word reaches a voter, or a voter crashes and starts again.
-
-    What a voter answers reaches its proposer at once or never. That leaves nothing out: a proposer goes by
-    which answers it had and not by when, and what it sends on may still come at any later time."""
-    found = []
-    for sender, to, word in world.sent:
-        found += _voted(world, VOTERS.index(to), sender, word, rounds, plant)
-    if world.crashes < crashes:
-        for at, voter in enumerate(world.voters):
-            back = voter._replace(record=world.disks[at], leases=(), told=())
-            voters = (*world.voters[:at], back, *world.voters[at + 1 :])
-            found.append(world._replace(voters=voters, crashes=world.crashes + 1))
-    return found
-
-
-def _voted(world: World, at: int, sender: str, word: Word, rounds: int, plant: Plant) -> list[World]:
-    voter, actions = world.voters[at].step(word, sender, 0)
-    disk = plant(voter, actions, world.disks[at])
-    votes = set(world.votes)
+def successors(model: Model, rounds: int, crashes: int, disk_model: DiskModel) -> list[Model]:
+    """Return every state that one event leads to.
+
+    An event is a message that reaches a voter, or a voter that crashes and restarts. A voter's answer reaches
+    its proposer at once or never. That leaves nothing out: a proposer depends on which answers it received
+    and not on when, and what it then sends may still arrive at any later time.
+    """
+    models = []
+    for sender, to, message in model.sent:
+        models += _deliver_to_voter(model, VOTERS.index(to), sender, message, rounds, disk_model)
+    if model.crashes < crashes:
+        for at, voter in enumerate(model.voters):
+            back = voter._replace(record=model.disks[at], leases=(), told=())
+            voters = (*model.voters[:at], back, *model.voters[at + 1 :])
+            models.append(model._replace(voters=voters, crashes=model.crashes + 1))
+    return models
+
+
+def _deliver_to_voter(
+    model: Model, at: int, sender: str, message: Word, rounds: int, disk_model: DiskModel
+) -> list[Model]:
+    voter, actions = model.voters[at].step(message, sender, 0)
+    disk = disk_model(voter, actions, model.disks[at])
+    votes = set(model.votes)
     answers: list[tuple[str, Word]] = []
     for action in actions:
         if isinstance(action, Send):
             answers.append((action.to, action.word))
-            if isinstance(action.word, Accepted) and isinstance(word, Accept):
-                votes.add((voter.name, word.ballot, word.value))
-    lost = world._replace(
-        voters=(*world.voters[:at], voter, *world.voters[at + 1 :]),
-        disks=(*world.disks[:at], disk, *world.disks[at + 1 :]),
+            if isinstance(action.word, Accepted) and isinstance(message, Accept):
+                votes.add((voter.name, message.ballot, message.value))
+    unanswered = model._replace(
+        voters=(*model.voters[:at], voter, *model.voters[at + 1 :]),
+        disks=(*model.disks[:at], disk, *model.disks[at + 1 :]),
         votes=frozenset(votes),
     )
-    heard = lost
+    answered = unanswered
     for to, answer in answers:
         if to in PROPOSERS:
-            heard = _proposed(heard, PROPOSERS.index(to), answer, rounds)
-    return [lost] if heard == lost else [lost, heard]
+            answered = _deliver_to_proposer(answered, PROPOSERS.index(to), answer, rounds)
+    return [unanswered] if answered == unanswered else [unanswered, answered]
 
 
-def _proposed(world: World, at: int, word: Word, rounds: int) -> World:
-    proposer = world.proposers[at]
-    if isinstance(word, Reject):
-        # Only what answers the round under way, or each old one would begin another.
-        if proposer.ballot[0] >= rounds or word.ballot <= proposer.ballot:
-            return world
-        proposer, sends = proposer.again(word.ballot)
+def _deliver_to_proposer(model: Model, at: int, message: Word, rounds: int) -> Model:
+    proposer = model.proposers[at]
+    if isinstance(message, Reject):
+        # Only a rejection of the current round counts, or each old one would begin another round.
+        if proposer.ballot[0] >= rounds or message.ballot <= proposer.ballot:
+            return model
+        proposer, sends = proposer.again(message.ballot)
     else:
-        proposer, sends = proposer.step(word)
-    sent = set(world.sent) | {(proposer.name, send.to, send.word) for send in sends}
-    proposers = (*world.proposers[:at], proposer, *world.proposers[at + 1 :])
-    return world._replace(proposers=proposers, sent=frozenset(sent))
+        proposer, sends = proposer.step(message)
+    sent = set(model.sent) | {(proposer.name, send.to, send.word) for send in sends}
+    proposers = (*model.proposers[:at], proposer, *model.proposers[at + 1 :])
+    return model._replace(proposers=proposers, sent=frozenset(sent))
 
 
 def explore(
-    depth: int, rounds: int = 2, crashes: int = 1, plant: Plant = durable, most: int = 2_000_000
-) -> Found:
-    """Visit every state that so many events lead to, `most` at the most."""
-    first = start()
+    depth: int,
+    rounds: int = 2,
+    crashes: int = 1,
+    disk_model: DiskModel = durable,
+    max_states: int = 2_000_000,
+) -> Result:
+    """Visit every state within `depth` events of the start, at most `max_states` of them."""
+    first = initial_model()
     seen = {first}
-    edge = [first]
+    frontier = [first]
     for step in range(depth):
-        fresh: list[World] = []
-        for world in edge:
-            for after in nexts(world, rounds, crashes, plant):
+        next_frontier: list[Model] = []
+        for model in frontier:
+            for after in successors(model, rounds, crashes, disk_model):
                 if after in seen:
                     continue
                 values = chosen(after)
                 outcomes = {item.outcome for item in after.proposers if item.outcome is not None}
                 if len(values | outcomes) > 1:
-                    return Found(len(seen), step, False, f"two outcomes: {sorted(values | outcomes)}")
+                    return Result(len(seen), step, False, f"two outcomes: {sorted(values | outcomes)}")
                 if not outcomes <= set(VALUES):
-                    return Found(len(seen), step, False, f"a value that nobody proposed: {outcomes}")
+                    return Result(len(seen), step, False, f"a value that nobody proposed: {outcomes}")
                 seen.add(after)
-                fresh.append(after)
-                if len(seen) >= most:
-                    return Found(len(seen), step, False, "")
-        if not fresh:
-            return Found(len(seen), step, True, "")
-        edge = fresh
-    return Found(len(seen), depth, False, "")
+                next_frontier.append(after)
+                if len(seen) >= max_states:
+                    return Result(len(seen), step, False, "")
+        if not next_frontier:
+            return Result(len(seen), step, True, "")
+        frontier = next_frontier
+    return Result(len(seen), depth, False, "")
 
 
-__all__ = ["Found", "Prepare", "Promise", "World", "durable", "explore", "never_kept", "start"]
+__all__ = ["Model", "Prepare", "Promise", "Result", "durable", "explore", "initial_model", "never_durable"]
--- a/sorrelfront/lab/fleet/policies.py
+++ b/sorrelfront/lab/fleet/policies.py
@@ -1,8 +1,9 @@
-"""Fleets that change their policy, in memory: seeds, a lossy network, crashes with disks, clocks that drift.
+"""Simulate policy changes of a fleet, with a lossy network, crashes with disks and clocks that drift.
 
-What is checked, over the whole history of a seed: every slot has one value, whoever learns it; the value was
-proposed; at no moment does a member serve by an older version once any member has served by a newer one; what
-was chosen is still what a voter says after any crash. """
+Faults are drawn from a seed. Checked over the whole history of a seed: every slot has one value, whoever
+learns it; the value was proposed; no member serves by an older version once any member has served by a newer
+one; a voter still reports the chosen value after any crash.
+"""
 
 from __future__ import annotations
 
@@ -36,25 +37,26 @@
 LEASE_US = 3 * SECOND
 VOTERS = ("v0", "v1", "v2")
 PROPOSERS = ("p0", "p1")
-DRIFT = 200e-6
-CRASHES = (0.0, 0.002, 0.05)  # between any two things that a voter does; one of these for each seed
-REFUSED = 0.01  # of checks, by a member
-KILLED = 0.02  # of a proposer, each time that it goes on
+MAX_DRIFT = 200e-6
+CRASH_RATES = (0.0, 0.002, 0.05)  # probability between any two actions of a voter; one is drawn for each seed
+REFUSAL_RATE = 0.01  # probability that a member refuses a check
+KILL_RATE = 0.02  # probability that a proposer is killed, each time that its timer fires
 
 
 @dataclass
 class Clock:
-    """A process's elapsed time, a little fast or slow."""
+    """A process's monotonic clock, which runs slightly fast or slow."""
 
     rate: float
 
     def __call__(self, now: int) -> int:
+        """Return this clock's microseconds at the simulation's time `now`."""
         return int(now * self.rate)
 
 
 @dataclass
-class Seat:
-    """One voter's process and its disk."""
+class VoterNode:
+    """A voter's process and its disk; None if the disk was lost."""
 
     voter: Voter
     clock: Clock
@@ -64,22 +66,22 @@
 
 @dataclass
 class Plants:
-    """Planted defects, for tests that the checker finds them."""
+    """Planted defects, for tests of the checker."""
 
-    promise_first: bool = False  # told before it is durable
-    wrong_end: bool = False  # a lease counts from when the grant arrives
-    remembers: bool = False  # a voter without its disk votes as if it were new
-    takes_early: bool = False  # members take a change that is being voted on, and may yet be given up
+    promise_first: bool = False  # a promise is sent before it is durable
+    wrong_end: bool = False  # a lease counts from the arrival of the grant
+    remembers: bool = False  # a voter that lost its disk votes as if it were new
+    takes_early: bool = False  # members apply a change that is still being voted on and may be abandoned
 
 
 @dataclass
 class Run:
-    """One seed."""
+    """One seed's simulation and the violations found in it."""
 
     seed: int
-    plants: Plants = field(default_factory=Plants)
+    defects: Plants = field(default_factory=Plants)
     members: int = 5
-    duels: bool = False  # two operators at once always, no checks in between, voters that crash all the time
+    duels: bool = False  # always two operators at once, no checks, frequent voter crashes
     broken: list[str] = field(default_factory=list)
     changes: int = 0  # slots that were decided
 
@@ -87,129 +89,136 @@
         self.random = Random(self.seed)
         self.now = 0
         self.loss = self.random.choice((0.0, 0.2, 0.4))
-        self.calm_us = self.random.choice((2, 12)) * SECOND  # at most, between two troubles
-        self.crash = 0.15 if self.duels else self.random.choice(CRASHES)
-        self.cut: set[str] = set()
+        self.max_fault_gap_us = self.random.choice((2, 12)) * SECOND  # longest time between two faults
+        self.crash_rate = 0.15 if self.duels else self.random.choice(CRASH_RATES)
+        self.partitioned: set[str] = set()
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
-        self.seats = {name: self._seat(name) for name in VOTERS}
+        self.voter_nodes = {name: self._new_voter_node(name) for name in VOTERS}
         self.holders = {
             f"m{number}": Holder(f"m{number}", VOTERS, LEASE_US) for number in range(self.members)
         }
         self.clocks = {name: self._clock() for name in self.holders}
-        self.frozen: dict[str, int] = {}  # members that are stopped, until when
+        self.frozen: dict[str, int] = {}  # suspended members -> until when
         self.proposers: dict[str, Change] = {}
-        self.ended: set[Change] = set()
-        self.off: set[str] = set()  # changes that whoever proposed them was told are not made
-        self.in_force = 0  # changes that whoever proposed them was told are
-        self.offered: set[Value] = set()
-        self.values: dict[int, Value] = {}
-        self.newest = 0  # the newest version that any member has served by
+        self.finished: set[Change] = set()
+        self.reported_rejected: set[str] = set()  # changes that were reported to their proposer as not made
+        self.in_force = 0  # count of changes that were reported to their proposer as in force
+        self.proposed: set[Value] = set()
+        self.decided: dict[int, Value] = {}
+        self.newest_served = 0  # the newest version that any member has served by
 
     def _clock(self) -> Clock:
-        return Clock(1 + self.random.uniform(-DRIFT, DRIFT))
+        return Clock(1 + self.random.uniform(-MAX_DRIFT, MAX_DRIFT))
 
-    def _seat(self, name: str) -> Seat:
+    def _new_voter_node(self, name: str) -> VoterNode:
         clock = self._clock()
-        return Seat(started(name, VOTERS, FIRST, LEASE_US, 0, fresh=True), clock, FIRST)
+        return VoterNode(started(name, VOTERS, FIRST, LEASE_US, 0, fresh=True), clock, FIRST)
 
     # Events
 
-    def at(self, after: int, then: Callable[[], None]) -> None:
+    def at(self, after: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after this many microseconds."""
         self._count += 1
-        heapq.heappush(self._heap, (self.now + after, self._count, then))
+        heapq.heappush(self._heap, (self.now + after, self._count, callback))
 
-    def send(self, sender: str, to: str, word: Word) -> None:
+    def send(self, sender: str, to: str, message: Word) -> None:
+        """Send a message; it may be lost, duplicated or delayed."""
         if self.random.random() < self.loss:
             return
         for _ in range(2 if self.random.random() < 0.05 else 1):
-            # Now and then very late: after leases have ended, and after crashes.
+            # Some messages arrive very late: after leases have ended, and after crashes.
             late = self.random.randrange(5 * SECOND) if self.random.random() < 0.05 else 0
-            self.at(self.random.randrange(200, 20_000) + late, partial(self._come, sender, to, word))
+            self.at(self.random.randrange(200, 20_000) + late, partial(self._deliver, sender, to, message))
 
-    def _come(self, sender: str, to: str, word: Word) -> None:
-        if (sender in self.cut) != (to in self.cut):
+    def _deliver(self, sender: str, to: str, message: Word) -> None:
+        if (sender in self.partitioned) != (to in self.partitioned):
             return
-        if to in self.seats:
-            self._voter(to, word, sender)
+        if to in self.voter_nodes:
+            self._deliver_to_voter(to, message, sender)
         elif to in self.holders:
-            self._holder(to, word)
+            self._deliver_to_holder(to, message)
         elif to in self.proposers:
-            self._proposer(to, word)
+            self._deliver_to_proposer(to, message)
 
-    def _voter(self, name: str, word: Word, sender: str) -> None:
-        seat = self.seats[name]
-        if not seat.up:
+    def _deliver_to_voter(self, name: str, message: Word, sender: str) -> None:
+        node = self.voter_nodes[name]
+        if not node.up:
             return
-        voter, actions = seat.voter.step(word, sender, seat.clock(self.now))
-        seat.voter = voter
-        self._carry_out(name, actions)
-
-    def _carry_out(self, name: str, actions: list[Keep | Send]) -> None:
-        """In order; a crash may come between any two."""
-        seat = self.seats[name]
-        if self.plants.promise_first:
+        voter, actions = node.voter.step(message, sender, node.clock(self.now))
+        node.voter = voter
+        self._perform(name, actions)
+
+    def _perform(self, name: str, actions: list[Keep | Send]) -> None:
+        """Perform the actions in order; a crash may come between any two."""
+        node = self.voter_nodes[name]
+        if self.defects.promise_first:
             actions = sorted(actions, key=lambda item: isinstance(item, Keep))
         for action in actions:
-            if self.random.random() < self.crash:
+            if self.random.random() < self.crash_rate:
                 self._crash(name)
                 return
             if isinstance(action, Keep):
-                seat.disk = action.record
+                node.disk = action.record
             else:
                 if isinstance(action.word, Chosen | Current):
-                    self._learnt(action.word)
+                    self._check_decided(action.word)
                 self.send(name, action.to, action.word)
 
     def _crash(self, name: str, lose_disk: bool = False) -> None:
-        seat = self.seats[name]
-        seat.up = False
+        node = self.voter_nodes[name]
+        node.up = False
         if lose_disk:
-            seat.disk = FIRST if self.plants.remembers else None
+            node.disk = FIRST if self.defects.remembers else None
         low, high = (SECOND // 40, SECOND // 20) if self.duels else (SECOND // 20, 2 * SECOND)
         self.at(self.random.randrange(low, high), partial(self._start, name))
 
     def _start(self, name: str) -> None:
-        seat = self.seats[name]
-        seat.up = True
-        seat.voter = started(name, VOTERS, seat.disk, LEASE_US, seat.clock(self.now), fresh=False)
-        self._ask(name)
-
-    def _ask(self, name: str) -> None:
-        """One that lost its memory asks until it is answered; the others ask what was chosen meanwhile."""
-        seat = self.seats[name]
-        if seat.up:
-            record = seat.voter.record
-            asks = seat.voter.begin()
+        node = self.voter_nodes[name]
+        node.up = True
+        node.voter = started(name, VOTERS, node.disk, LEASE_US, node.clock(self.now), fresh=False)
+        self._query_voters(name)
+
+    def _query_voters(self, name: str) -> None:
+        """Query the other voters, once; `_catch_up` repeats it.
+
+        A voter without a record asks for its state until it is answered. The others ask what was chosen
+        meanwhile.
+        """
+        node = self.voter_nodes[name]
+        if node.up:
+            record = node.voter.record
+            queries = node.voter.begin()
             if record is not None:
-                asks = [Send(other, Need(record.slot + 1, name)) for other in VOTERS if other != name]
-            self._carry_out(name, asks)
+                queries = [Send(other, Need(record.slot + 1, name)) for other in VOTERS if other != name]
+            self._perform(name, queries)
 
     def _catch_up(self, name: str) -> None:
-        self._ask(name)
+        self._query_voters(name)
         self.at(SECOND, partial(self._catch_up, name))
 
-    def _holder(self, name: str, word: Word) -> None:
+    def _deliver_to_holder(self, name: str, message: Word) -> None:
         if self.frozen.get(name, 0) > self.now:
-            self.at(self.frozen[name] - self.now, partial(self._holder, name, word))  # it lies in its socket
+            # The message waits in the socket.
+            self.at(self.frozen[name] - self.now, partial(self._deliver_to_holder, name, message))
             return
         holder, now = self.holders[name], self.clocks[name](self.now)
-        match word:
+        match message:
             case Grant():
-                if self.plants.wrong_end:
-                    word = word._replace(asked_us=now)
-                self.holders[name] = holder.on_grant(word, now)
+                if self.defects.wrong_end:
+                    message = message._replace(asked_us=now)
+                self.holders[name] = holder.on_grant(message, now)
             case Current():
-                self._learnt(word)
-                holder, moved = holder.on_current(word)
+                self._check_decided(message)
+                holder, moved = holder.on_current(message)
                 self.holders[name] = holder
                 if moved:
                     for send in holder.released():
                         self.send(name, send.to, send.word)
                     self._renew_once(name)
             case Check():
-                fault = "no" if self.random.random() < REFUSED else ""
-                self.send(name, word.who, Checked(word.number, name, fault))
+                fault = "no" if self.random.random() < REFUSAL_RATE else ""
+                self.send(name, message.who, Checked(message.number, name, fault))
         self._serve(name)
 
     def _renew_once(self, name: str) -> None:
@@ -222,118 +231,129 @@
         self.at(LEASE_US // 4, partial(self._renew, name))
 
     def _serve(self, name: str) -> None:
-        """A request comes in: by which version is it decided?"""
+        """Serve a request and check the policy version that decides it."""
         if self.frozen.get(name, 0) > self.now:
             return
         version = self.holders[name].serves(self.clocks[name](self.now))
         if version is None:
             return
-        if version < self.newest:
-            self.broken.append(f"{self.now}: {name} serves by {version}, and {self.newest} was served by")
-        self.newest = max(self.newest, version)
+        if version < self.newest_served:
+            self.broken.append(
+                f"{self.now}: {name} serves by {version} after {self.newest_served} was served by"
+            )
+        self.newest_served = max(self.newest_served, version)
 
     def _request(self, name: str) -> None:
         self._serve(name)
         self.at(self.random.randrange(5_000, 50_000), partial(self._request, name))
 
     def _propose(self, name: str, number: int) -> None:
-        void = self.duels or self.random.random() < 0.2  # one that is given up is not checked first
+        void = self.duels or self.random.random() < 0.2  # an abandoned change is not checked first
         value = Value(f"{name}-{number}", b"%d" % number, void)
-        self.offered.add(value)
+        self.proposed.add(value)
         alive = [item for item in self.holders if self.frozen.get(item, 0) <= self.now]
         change = Change(name, VOTERS, value, None, LEASE_US, alive, self.random, self.now)
         self.proposers[name] = change
-        self._press(name, change)
+        self._run_proposer_timer(name, change)
 
-    def _press(self, name: str, change: Change) -> None:
-        """Its timer; it may as well have been killed."""
+    def _run_proposer_timer(self, name: str, change: Change) -> None:
+        """Run the proposer's timer; the proposer may be killed instead."""
         if self.proposers.get(name) is not change or change.done:
             return
-        if self.random.random() < KILLED:
-            del self.proposers[name]  # somebody else brings it to an end, or nobody
+        if self.random.random() < KILL_RATE:
+            del self.proposers[name]  # another proposer completes the change, or none does
             return
-        self._say_all(name, change.on_time(self.now))
-        self._came_of(change)
-        self.at(max(1, change.next_us() - self.now), partial(self._press, name, change))
+        self._send_all(name, change.on_time(self.now))
+        self._check_outcome(change)
+        self.at(max(1, change.next_us() - self.now), partial(self._run_proposer_timer, name, change))
 
-    def _proposer(self, name: str, word: Word) -> None:
+    def _deliver_to_proposer(self, name: str, message: Word) -> None:
         change = self.proposers[name]
         if change.done:
             return
-        sends = change.on_word(word, self.now)
-        if self.plants.takes_early:
+        sends = change.on_word(message, self.now)
+        if self.defects.takes_early:
             early = [send.word for send in sends if isinstance(send.word, Accept)][:1]
             for accept in early:
-                self._say_all(name, [Send(to, Current(accept.slot, accept.value)) for to in self.holders])
-        self._say_all(name, sends)
-        self._came_of(change)
+                self._send_all(name, [Send(to, Current(accept.slot, accept.value)) for to in self.holders])
+        self._send_all(name, sends)
+        self._check_outcome(change)
 
-    def _say_all(self, name: str, sends: list[Send]) -> None:
+    def _send_all(self, name: str, sends: list[Send]) -> None:
         for send in sends:
-            if isinstance(send.word, Chosen | Current) and not self.plants.takes_early:
-                self._learnt(send.word)
+            if isinstance(send.word, Chosen | Current) and not self.defects.takes_early:
+                self._check_decided(send.word)
             self.send(name, send.to, send.word)
 
-    def _came_of(self, change: Change) -> None:
-        """What whoever proposes is told has to be so, from then on."""
-        if not change.done or change in self.ended:
+    def _check_outcome(self, change: Change) -> None:
+        """Check that an outcome reported to a proposer is true and stays true."""
+        if not change.done or change in self.finished:
             return
-        self.ended.add(change)
+        self.finished.add(change)
         outcome = change.outcome
         if outcome.state is State.IN_FORCE:
             self.in_force += 1
-            self.newest = max(self.newest, outcome.version)
-            if self.values.get(outcome.version, change.value).change != change.value.change:
-                self.broken.append(f"{self.now}: {change.value.change} is told to be in force and is not")
+            self.newest_served = max(self.newest_served, outcome.version)
+            if self.decided.get(outcome.version, change.value).change != change.value.change:
+                self.broken.append(f"{self.now}: {change.value.change} is reported in force and is not")
         elif outcome.state is State.NOT_IN_FORCE:
-            self.off.add(change.value.change)
-            if any(value.change in self.off for value in self.values.values()):
-                self.broken.append(f"{self.now}: {change.value.change} was decided on and is told off")
-
-    def _learnt(self, word: Chosen | Current) -> None:
-        known = self.values.setdefault(word.slot, word.value)
-        if known != word.value:
-            self.broken.append(f"{self.now}: slot {word.slot} holds {known.change} and {word.value.change}")
-        if word.value.change in self.off:
-            self.broken.append(f"{self.now}: {word.value.change} was told off and is decided on")
-        if word.value not in self.offered:
-            self.broken.append(f"{self.now}: nobody proposed {word.value}")
-
-    def _trouble(self) -> None:
+            self.reported_rejected.add(change.value.change)
+            if any(value.change in self.reported_rejected for value in self.decided.values()):
+                self.broken.append(
+                    f"{self.now}: {change.value.change} was decided on and is reported as rejected"
+                )
+
+    def _check_decided(self, message: Chosen | Current) -> None:
+        known = self.decided.setdefault(message.slot, message.value)
+        if known != message.value:
+            self.broken.append(
+                f"{self.now}: slot {message.slot} holds {known.change} and {message.value.change}"
+            )
+        if message.value.change in self.reported_rejected:
+            self.broken.append(
+                f"{self.now}: {message.value.change} was reported as rejected and is decided on"
+            )
+        if message.value not in self.proposed:
+            self.broken.append(f"{self.now}: nobody proposed {message.value}")
+
+    def _inject_fault(self) -> None:
         match self.random.randrange(5):
             case 0:
                 name = self.random.choice(VOTERS)
-                if all(seat.up for seat in self.seats.values()):
+                if all(node.up for node in self.voter_nodes.values()):
                     self._crash(name)
             case 1:
                 name = self.random.choice(VOTERS)
-                sound = [seat for seat in self.seats.values() if seat.up and seat.disk is not None]
-                if len(sound) == len(VOTERS) and not any(seat.disk.abstains for seat in sound if seat.disk):
+                healthy = [node for node in self.voter_nodes.values() if node.up and node.disk is not None]
+                if len(healthy) == len(VOTERS) and not any(
+                    node.disk.abstains for node in healthy if node.disk
+                ):
                     self._crash(name, lose_disk=True)
             case 2:
                 names = [*VOTERS, *self.holders, *PROPOSERS]
-                self.cut = set(self.random.sample(names, self.random.randrange(1, len(names))))
+                self.partitioned = set(self.random.sample(names, self.random.randrange(1, len(names))))
             case 3:
-                self.cut = set()
+                self.partitioned = set()
             case 4:
                 name = self.random.choice(list(self.holders))
                 self.frozen[name] = self.now + self.random.randrange(SECOND, 8 * SECOND)
-        self.at(self.random.randrange(SECOND // 4, self.calm_us), self._trouble)
+        self.at(self.random.randrange(SECOND // 4, self.max_fault_gap_us), self._inject_fault)
 
     def play(self, seconds: int = 40) -> Run:
+        """Run the simulation for this many virtual seconds, or to the first violation; return itself."""
         for name in self.holders:
             self.at(self.random.randrange(LEASE_US // 4), partial(self._renew, name))
             self.at(self.random.randrange(50_000), partial(self._request, name))
         for number in range(0, 80 if self.duels else 16, 2):
             at = self.random.randrange(seconds * SECOND)
-            both = self.duels or self.random.random() < 0.5  # two operators at once
-            for more, name in enumerate(PROPOSERS[: 1 + both]):
-                self.at(at + self.random.randrange(30_000), partial(self._propose, name, number + more))
+            concurrent = self.duels or self.random.random() < 0.5  # two operators at once
+            for offset, name in enumerate(PROPOSERS[: 1 + concurrent]):
+                self.at(at + self.random.randrange(30_000), partial(self._propose, name, number + offset))
         for name in VOTERS:
             self.at(self.random.randrange(SECOND), partial(self._catch_up, name))
-        self.at(SECOND, self._trouble)
+        self.at(SECOND, self._inject_fault)
         while self._heap and self._heap[0][0] < seconds * SECOND and not self.broken:
-            self.now, _, then = heapq.heappop(self._heap)
-            then()
-        self.changes = len(self.values)
+            self.now, _, callback = heapq.heappop(self._heap)
+            callback()
+        self.changes = len(self.decided)
         return self
