--- a/sorrelfront/lab/sites/__init__.py
+++ b/sorrelfront/lab/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Partner sites in memory: seeds, every order of events of a small one, planted defects."""
+"""Simulate partner sites in memory: random seeds, exhaustive small state spaces and a hostile site."""
--- a/sorrelfront/lab/sites/hostile.py
+++ b/sorrelfront/lab/sites/hostile.py
@@ -1,4 +1,4 @@
-"""A partner site that says what it likes, with a key of its own and nobody else's."""
+"""Simulate a hostile partner site, which sends arbitrary answers and has only its own key."""
 
 from __future__ import annotations
 
@@ -10,50 +10,60 @@
 from sorrelfront.decisions.sites.routes import Border, Tell
 from sorrelfront.decisions.sites.terms import ANYTHING
 
-HOARD_MOST = 64  # chains that it has heard and tells again later
-FLOOD = 2_000  # chains of its own in one answer
+MAX_STORED_CHAINS = 64  # received chains that it may replay later
+FLOOD_CHAINS = 2_000  # forged chains in one answer
 
 
 class Hostile:
-    """Spoils answers: what it may not pass on, wider terms, old words as new ones, others' names, ways that
-    were not taken, very much, and each time something else."""
+    """Corrupts answers, each time differently.
+
+    It passes on what it may not, widens terms, replays old answers as new ones, uses other sites' names,
+    claims paths that were not taken and, with `flood`, floods its partners.
+    """
 
     def __init__(self, sign: Sign, random: Random, flood: bool = False) -> None:
         self._sign, self._random, self._flood = sign, random, flood
-        self._hoard: list[Chain] = []
+        self._stored_chains: list[Chain] = []
 
     def spoil(self, border: Border, tell: Tell) -> Tell:
+        """Return the answer with up to three forged chains, or a flood of them, and false ages."""
         random, partner = self._random, tell.to
         chains = list(tell.chains if tell.chains is not None else border._export(partner)[0])
         held = [item.chain for peer in border.peers.values() for item in peer.held.values()]
-        self._hoard = (self._hoard + [chain for chain in held if chain not in self._hoard])[-HOARD_MOST:]
-        told = border.partners[partner].relation
+        self._stored_chains = (
+            self._stored_chains + [chain for chain in held if chain not in self._stored_chains]
+        )[-MAX_STORED_CHAINS:]
+        relation = border.partners[partner].relation
         for _ in range(random.randrange(4)):
-            if self._hoard:
-                chains.append(self._one(random.choice(self._hoard), border.site, partner, told))
+            if self._stored_chains:
+                chains.append(
+                    self._forged_chain(random.choice(self._stored_chains), border.site, partner, relation)
+                )
         if self._flood and chains and random.random() < 0.1:
-            chains += self._many(chains[0])
+            chains += self._flood_chains(chains[0])
         chains = chains[:CHAINS_MOST]
         ages = tuple(random.choice((0, 0, 500)) for _ in chains)
         return msgspec.structs.replace(tell, chains=tuple(chains), ages_ms=ages, have=random.randbytes(16))
 
-    def _one(self, source: Chain, me: str, partner: str, told: Relation) -> Chain:
+    def _forged_chain(self, source: Chain, me: str, partner: str, relation: Relation) -> Chain:
         random = self._random
         wider = random.choice((ANYTHING, source.terms, source.terms))
-        hop = Hop(me, partner, random.choice(list(Relation)), told, 1, wider)
-        what = random.randrange(4)
-        if what == 0:  # as the owner's own newer word
+        hop = Hop(me, partner, random.choice(list(Relation)), relation, 1, wider)
+        kind = random.randrange(4)
+        if kind == 0:  # as a newer state by the owner itself
             forged = msgspec.structs.replace(source.offer, version=source.offer.version + 1, terms=wider)
             return Chain(signed(forged, self._sign))
-        if what == 1 and source.hops:  # by a way without the one that it came through
+        if kind == 1 and source.hops:  # by a path without the site that it came through
             return passed_on(Chain(source.offer, source.hops[:-1]), hop, self._sign)
         return passed_on(source, hop, self._sign)
 
-    def _many(self, like: Chain) -> list[Chain]:
-        """Unsigned by any owner: each has to be looked at."""
+    def _flood_chains(self, sample: Chain) -> list[Chain]:
+        """Return chains without a valid owner's signature, each of which the receiver has to check."""
         return [
             Chain(
-                msgspec.structs.replace(like.offer, name=f"x{number}", stamp_ms=self._random.getrandbits(40))
+                msgspec.structs.replace(
+                    sample.offer, name=f"x{number}", stamp_ms=self._random.getrandbits(40)
+                )
             )
-            for number in range(FLOOD)
+            for number in range(FLOOD_CHAINS)
         ]
