--- a/sorrelfront/lab/fleet/virtual.py
+++ b/sorrelfront/lab/fleet/virtual.py
@@ -230,9 +230,8 @@
             match action:
                 case Send(to, message):
                     if self._sizes:
-                        node.bytes += (
-                            len(encode(message)) + 28 + 19
-                        )  # headers of UDP and IPv4, and the transport's own
+                        # 28 and 19: headers of UDP and IPv4, and the transport's own.
+                        node.bytes += len(encode(message)) + 28 + 19
                     node.sent += 1
                     for _ in range(2 if self.double and self.random.random() < self.double else 1):
                         if not self.loss or self.random.random() >= self.loss:
