--- a/sorrelfront/lab/storm/checkers.py
+++ b/sorrelfront/lab/storm/checkers.py
@@ -1,8 +1,12 @@
-"""Verdicts over one recorded history. Each checker is a function from events to breaches and knows nothing of
-the stage; what belongs to a new part (views, versions, an order of recovery) is a function more.
+"""Checkers over a recorded history.
 
-What is excused, and why, stands with each. A rule is judged by what reached servers and callers, never by
-what the program says of itself; the log is read for tracebacks and set-aside records alone."""
+Each checker is a function from events to breaches and does not depend on the stage. A new kind of rule
+(views, versions, an order of recovery) is one more function.
+
+The docstring of each checker says what is excused, and why. A rule is checked by what reached servers and
+callers, never by what the program reports about itself; the log is read only for tracebacks and for records
+that were set aside.
+"""
 
 from __future__ import annotations
 
@@ -15,29 +19,29 @@
 from sorrelfront.lab.storm.history import Event
 
 DRAIN_S = 0.5
-SLACK_S = 0.05  # sockets' own, as the rules give it
-LATE_S = 0.5  # after its time an answer earns nothing; later still it is lost
-REACHED_S = 6.0  # a change that the list has counts as told so long after the list can be reached
-GONE_S = 0.1  # after its client left no attempt begins later than this
-GONE_MOST = 2  # breaks of that which are put down to chance, of all agents together
-NEAR_S = 1.0  # the rig's own lateness is looked for so far before an event
+SOCKET_SLACK_S = 0.05  # for delays in sockets, as the rules give it
+ANSWER_GRACE_S = 0.5  # an answer after its deadline earns nothing; after this much more it counts as lost
+CHANGE_DELIVERY_S = 6.0  # a change counts as told this long after the list has it and can be reached
+ABANDON_GRACE_S = 0.1  # no attempt begins later than this after its client left
+MAX_LATE_ATTEMPTS = 2  # such late attempts that are put down to chance, of all agents together
+LAG_WINDOW_S = 1.0  # the harness's own lag is looked up this far before and after an event
 KILLED = frozenset({"kill", "power", "late", "move"})
 STOPPED = KILLED | {"freeze"}
-AWAY = frozenset({"list-down", "island", "cut", "one-way", "refuse"})  # what can put the list out of reach
-EVERYWHERE = ""  # in place of a host
-# What records say of one that is not whole. One that is whole and too old says something else.
-TORN = (
+LIST_FAULTS = frozenset({"list-down", "island", "cut", "one-way", "refuse"})  # can make the list unreachable
+ALL_HOSTS = ""  # in place of a host
+# Log texts about a torn record. A record that is whole but too old has another text.
+TORN_RECORD_TEXTS = (
     "its checksum is wrong",
     "it is shorter than a head",
     "it is no record of this program",
     " bytes and says ",
 )
-ENDED_AT_ONCE_S = 0.5  # what a killed instance held is seen to have ended within this
+KILL_EFFECT_S = 0.5  # the requests of a killed instance are seen to end within this
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One rule broken once."""
+    """One violation of a rule: when, and what happened."""
 
     rule: str
     t: float
@@ -47,10 +51,11 @@
 Checker = Callable[[list[Event]], list[Breach]]
 
 
-class Spans:
-    """When each host was disturbed, and the rig late."""
+class Disturbances:
+    """The times at which each host had a fault, and the lag of the harness."""
 
     def __init__(self, events: list[Event]) -> None:
+        """Collect the faults and the lag from a whole history."""
         self._spans: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
         open_: dict[int, Event] = {}
         back: dict[str, list[float]] = defaultdict(list)
@@ -82,65 +87,74 @@
             self._spans[host].append((began["t"], over, what))
 
     def disturbed(self, host: str, since: float, until: float, kinds: frozenset[str]) -> bool:
-        """Whether one of these faults was on the host at any moment from `since` to `until`."""
+        """Return whether the host had one of these faults at any time from `since` to `until`."""
         return any(
             kind in kinds and began <= until and over >= since
             for began, over, kind in self._spans.get(host, ())
         )
 
     def lag(self, until: float) -> float:
-        """Seconds by which the rig itself was late shortly before, at the worst."""
-        first = bisect.bisect_left(self._lag_at, until - NEAR_S)
-        last = bisect.bisect_right(self._lag_at, until + NEAR_S)
+        """Return the greatest lag of the harness around this time, in seconds."""
+        first = bisect.bisect_left(self._lag_at, until - LAG_WINDOW_S)
+        last = bisect.bisect_right(self._lag_at, until + LAG_WINDOW_S)
         return max(self._lag[first:last], default=0.0)
 
 
-def _asks(events: list[Event]) -> dict[str, Event]:
+def _requests(events: list[Event]) -> dict[str, Event]:
     return {event["call"]: event for event in events if event["kind"] == "ask"}
 
 
 def answered(events: list[Event]) -> list[Breach]:
-    """Rule 1: exactly one answer to each request that was taken. Excused: requests on a host that was killed,
-    or had an instance killed, while they were under way; what no process had read (the kernel's reset says
-    so)."""
-    spans = Spans(events)
+    """Rule 1: each accepted request gets exactly one answer.
+
+    Excused: requests in flight on a host that was killed or had an instance killed; requests that no process
+    had read, which the kernel's reset shows.
+    """
+    disturbances = Disturbances(events)
     found = []
-    asks = _asks(events)
+    requests = _requests(events)
     seen: dict[str, int] = defaultdict(int)
     for event in events:
         if event["kind"] != "answer":
             continue
         seen[event["call"]] += 1
-        asked = asks[event["call"]]
+        asked = requests[event["call"]]
         if seen[event["call"]] > 1:
             found.append(Breach("answered", event["t"], f"{event['call']} has two answers"))
         if event["status"] != "lost":
             continue
         host = event["host"]
-        killed = spans.disturbed(host, asked["t"], event["t"], KILLED)
-        one = spans.disturbed(host, asked["t"] - ENDED_AT_ONCE_S, event["t"], frozenset({"kill-instance"}))
+        killed = disturbances.disturbed(host, asked["t"], event["t"], KILLED)
+        one = disturbances.disturbed(
+            host, asked["t"] - KILL_EFFECT_S, event["t"], frozenset({"kill-instance"})
+        )
         if not killed and not one:
             found.append(Breach("answered", event["t"], f"{event['call']} at {host} got no answer"))
     end = events[-1]["t"] if events else 0.0
-    for call, asked in asks.items():
-        if not seen[call] and not spans.disturbed(asked["host"], asked["t"], end, STOPPED):
+    for call, asked in requests.items():
+        if not seen[call] and not disturbances.disturbed(asked["host"], asked["t"], end, STOPPED):
             found.append(Breach("answered", asked["t"], f"{call} at {asked['host']} was never answered"))
     return found
 
 
 def in_time(events: list[Event]) -> list[Breach]:
-    """Rule 1: in time, that is within the class's deadline and half a second. Excused: hosts that were
-    frozen, starved or killed while the request was under way; the rig's own lateness is added."""
-    spans = Spans(events)
-    asks = _asks(events)
+    """Rule 1: an answer comes in time, that is within the deadline of the class plus half a second.
+
+    Excused: hosts that were frozen, starved or killed while the request was in flight. The lag of the harness
+    is allowed on top.
+    """
+    disturbances = Disturbances(events)
+    requests = _requests(events)
     limit = next((event["deadline_ms"] for event in events if event["kind"] == "storm"), 0.0) / 1e3
     excused = STOPPED | {"starve"}
     found = []
     for event in events:
         if event["kind"] == "answer" and event["status"] not in ("lost", "reset", "left"):
             took = event["ms"] / 1e3
-            over = took - limit - LATE_S - spans.lag(event["t"])
-            if over > 0 and not spans.disturbed(event["host"], asks[event["call"]]["t"], event["t"], excused):
+            over = took - limit - ANSWER_GRACE_S - disturbances.lag(event["t"])
+            if over > 0 and not disturbances.disturbed(
+                event["host"], requests[event["call"]]["t"], event["t"], excused
+            ):
                 found.append(
                     Breach("in-time", event["t"], f"{event['call']} at {event['host']} took {took:.3f} s")
                 )
@@ -148,7 +162,7 @@
 
 
 def once(events: list[Event]) -> list[Breach]:
-    """Rule 2: no effect twice, by the servers' book. Nothing is excused."""
+    """Rule 2: no effect happens twice, by the record of the servers. Nothing is excused."""
     first: dict[str, Event] = {}
     found = []
     for event in events:
@@ -161,8 +175,10 @@
 
 
 def refusals(events: list[Event]) -> list[Breach]:
-    """Rule 2: a refusal of an unsafe request promises that none of its attempts has run. Nothing is
-    excused."""
+    """Rule 2: if an unsafe request was refused, none of its attempts has run.
+
+    Nothing is excused.
+    """
     ran = {event["call"] for event in events if event["kind"] == "effect" and event["class"] == "pay"}
     return [
         Breach("refusals", event["t"], f"{event['call']} was refused and had run")
@@ -172,32 +188,35 @@
 
 
 def drains(events: list[Event]) -> list[Breach]:
-    """Rule 3: nothing new to a server later than 500 ms after a host was told that it drains: its watches, as
-    many as it has instances, have been sent so. Excused: a host while it is frozen or starved and for 500 ms
-    after; sockets have 50 ms; the rig's lateness is added."""
-    spans = Spans(events)
+    """Rule 3: 500 ms after a host was told that a server drains, it sends nothing new to the server.
+
+    A host counts as told when all its watches, one for each instance, have been sent the change. Excused: a
+    host while it is frozen or starved and for 500 ms after. 50 ms for sockets and the lag of the harness are
+    allowed on top.
+    """
+    disturbances = Disturbances(events)
     instances = next((event.get("instances", 1) for event in events if event["kind"] == "storm"), 1)
-    tellings: dict[tuple[str, str], int] = defaultdict(int)
+    notified_watches: dict[tuple[str, str], int] = defaultdict(int)
     told: dict[tuple[str, str], float] = {}
     found = []
     for event in events:
         if event["kind"] == "told":
             key = event["host"], event["server"]
             if event["phase"] != "draining":
-                tellings.pop(key, None)
+                notified_watches.pop(key, None)
                 told.pop(key, None)
                 continue
-            tellings[key] += 1
-            if tellings[key] == instances:
-                # Which instance sent a request cannot be seen from outside: the last one told counts for all.
+            notified_watches[key] += 1
+            if notified_watches[key] == instances:
+                # From outside it is unknown which instance sent a request: the last one told counts for all.
                 told[key] = event["t"]
         elif event["kind"] == "arrive" and event["host"]:
             at = told.get((event["host"], event["server"]))
             if at is None:
                 continue
-            over = event["sent"] - at - DRAIN_S - SLACK_S - spans.lag(event["t"])
+            over = event["sent"] - at - DRAIN_S - SOCKET_SLACK_S - disturbances.lag(event["t"])
             since, excused = event["sent"] - DRAIN_S, frozenset({"freeze", "starve"})
-            if over > 0 and not spans.disturbed(event["host"], since, event["sent"], excused):
+            if over > 0 and not disturbances.disturbed(event["host"], since, event["sent"], excused):
                 late = f"{event['sent'] - at:.3f} s after it was told that it drains"
                 what = f"{event['host']} sent {event['call']} to {event['server']} {late}"
                 found.append(Breach("drains", event["t"], what))
@@ -205,14 +224,16 @@
 
 
 def told(events: list[Event]) -> list[Breach]:
-    """A change counts as told 6 s after the list had it and could be reached, whatever failed before: nothing
-    new to a draining server 500 ms later. A host cannot reach the list while a link to it is cut or refused,
-    or the list is out. Excused: a host that was killed, frozen or starved meanwhile, which reads its list
-    anew."""
-    spans = Spans(events)
+    """A drain is known to every host 6 s after the list had it and could be reached, whatever failed before.
+
+    From 500 ms after that on, a host sends nothing new to the draining server. A host cannot reach the list
+    while its link to it is cut or refused, or while the list is down. Excused: a host that was killed, frozen
+    or starved meanwhile, because it reads its list again.
+    """
+    disturbances = Disturbances(events)
     excused = STOPPED | {"starve", "restart"}
     cut: dict[int, Event] = {}
-    free: dict[str, float] = {}  # since when a host can reach the list; infinite while it cannot
+    free: dict[str, float] = {}  # since when a host can reach the list again
     drained: dict[str, float] = {}
     found = []
     for event in events:
@@ -221,20 +242,27 @@
             if event["phase"] == "begin":
                 if what == "server-drain":
                     drained |= {server: event["t"] for server in event["to"]}
-                if what in AWAY and (what in ("list-down", "island") or "list" in event.get("to", ())):
+                if what in LIST_FAULTS and (what in ("list-down", "island") or "list" in event.get("to", ())):
                     cut[number] = event
             elif number in cut:
                 over = cut.pop(number)
                 if over["what"] == "list-down":
-                    free[EVERYWHERE] = event["t"]
+                    free[ALL_HOSTS] = event["t"]
                 free |= {host: event["t"] for host in over["hosts"]}
         elif event["kind"] == "arrive" and event["host"] and event["server"] in drained:
             host = event["host"]
             if any(item["what"] == "list-down" or host in item["hosts"] for item in cut.values()):
                 continue
-            since = max(drained[event["server"]], free.get(host, 0.0), free.get(EVERYWHERE, 0.0))
-            over_s = event["sent"] - since - REACHED_S - DRAIN_S - SLACK_S - spans.lag(event["t"])
-            if over_s > 0 and not spans.disturbed(host, since, event["sent"], excused):
+            since = max(drained[event["server"]], free.get(host, 0.0), free.get(ALL_HOSTS, 0.0))
+            over_s = (
+                event["sent"]
+                - since
+                - CHANGE_DELIVERY_S
+                - DRAIN_S
+                - SOCKET_SLACK_S
+                - disturbances.lag(event["t"])
+            )
+            if over_s > 0 and not disturbances.disturbed(host, since, event["sent"], excused):
                 late = f"{event['sent'] - since:.3f} s after the list had it and could be reached"
                 what = f"{host} sent {event['call']} to {event['server']}, which drains, {late}"
                 found.append(Breach("told", event["t"], what))
@@ -242,9 +270,12 @@
 
 
 def gone(events: list[Event]) -> list[Breach]:
-    """No attempt begins more than 0.1 s after its client left, but for two. Excused: a host that was frozen
-    or starved in between; sockets have 50 ms, and the rig's lateness is added."""
-    spans = Spans(events)
+    """No attempt begins more than 0.1 s after its client left; two exceptions are put down to chance.
+
+    Excused: a host that was frozen or starved in between. 50 ms for sockets and the lag of the harness are
+    allowed on top.
+    """
+    disturbances = Disturbances(events)
     left: dict[str, float] = {}
     found = []
     for event in events:
@@ -252,17 +283,21 @@
             left[event["call"]] = event["t"]
         elif event["kind"] == "arrive" and event["call"] in left:
             after = event["sent"] - left[event["call"]]
-            over = after - GONE_S - SLACK_S - spans.lag(event["t"])
+            over = after - ABANDON_GRACE_S - SOCKET_SLACK_S - disturbances.lag(event["t"])
             excused = frozenset({"freeze", "starve"})
-            if over > 0 and not spans.disturbed(event["host"], left[event["call"]], event["sent"], excused):
+            if over > 0 and not disturbances.disturbed(
+                event["host"], left[event["call"]], event["sent"], excused
+            ):
                 what = f"{event['host']} sent {event['call']} {after:.3f} s after its client had left"
                 found.append(Breach("gone", event["t"], what))
-    return found if len(found) > GONE_MOST else []
+    return found if len(found) > MAX_LATE_ATTEMPTS else []
 
 
 def cold(events: list[Event]) -> list[Breach]:
-    """Rule 4, over all agents together: in no window more than `multiple` x what a server as cold as this can
-    do."""
+    """Rule 4: a cold server gets at most `multiple` times its current capacity in any window.
+
+    The requests of all agents are counted together.
+    """
     found = []
     rows: dict[str, Event] = {}
     windows: dict[str, list[float]] = {}
@@ -281,21 +316,21 @@
             since = bisect.bisect_left(window, event["t"] - row["span_s"])
             del window[:since]
             capacity = row["capacity"] * (row["from"] + (1 - row["from"]) * age / row["cold_s"])
-            most = row["multiple"] * capacity * row["span_s"]
-            if len(window) > most and event["server"] not in broken:
+            max_requests = row["multiple"] * capacity * row["span_s"]
+            if len(window) > max_requests and event["server"] not in broken:
                 broken.add(event["server"])
                 found.append(
                     Breach(
                         "cold",
                         event["t"],
-                        f"{event['server']}: {len(window)} in a window, {most:.0f} at most",
+                        f"{event['server']}: {len(window)} in a window, {max_requests:.0f} at most",
                     )
                 )
     return found
 
 
 def settled(events: list[Event]) -> list[Breach]:
-    """After the last fault every host that is there serves again."""
+    """After the last fault every running host serves again."""
     ends = [event for event in events if event["kind"] == "settled"]
     if not ends:
         return [Breach("settled", events[-1]["t"] if events else 0.0, "the storm did not come to its end")]
@@ -303,7 +338,7 @@
 
 
 def exits(events: list[Event]) -> list[Breach]:
-    """A program that is told to stop ends with 0, and none has a traceback in its log."""
+    """A program that is told to stop exits with 0, and no log has a traceback."""
     found = [
         Breach("exits", event["t"], f"{event['host']} ended with {event['code']} when told to stop")
         for event in events
@@ -317,9 +352,11 @@
 
 
 def records(events: list[Event]) -> list[Breach]:
-    """What a program holds to be durable is there after a power cut, or something newer; and it finds no
-    torn record unless the disk itself was made to fail."""
-    hurt = {
+    """After a power cut a record has the content that was reported durable, or a newer one.
+
+    A program finds no torn record, unless a fault damaged the disk itself.
+    """
+    damaged_hosts = {
         host
         for event in events
         if event["kind"] == "fault" and event["what"] in ("disk-torn", "disk-back", "disk-gone")
@@ -335,14 +372,16 @@
         Breach("records", event["t"], f"{event['host']}: {event['line'][:160]}")
         for event in events
         if event["kind"] == "said"
-        and event["host"] not in hurt
-        and any(word in event["line"] for word in TORN)
+        and event["host"] not in damaged_hosts
+        and any(word in event["line"] for word in TORN_RECORD_TEXTS)
     ]
 
 
 def views(events: list[Event]) -> list[Breach]:
-    """After the last fault every living member's view is exactly the living ones within the bound of the
-    design note. Excused: nothing. Only storms with a fleet have views."""
+    """After the last fault every living member comes to see exactly the living members in time.
+
+    The bound is that of the design note. Nothing is excused. Only storms with a fleet have views.
+    """
     head = next((event for event in events if event["kind"] == "storm"), {})
     bound = head.get("view_bound_s")
     if not bound:
@@ -361,9 +400,12 @@
 
 
 def copies(events: list[Event]) -> list[Breach]:
-    """After the last fault all living members hold the same copies, and are level, within the bounds of the
-    view and of the copies together; and no two members are told to be settled on different ones. By what the
-    members say of themselves, so servers' books have to bear it out: `drains` and `once`."""
+    """After the last fault all living members hold the same copies and are level in time.
+
+    The bound is the sum of those of the view and of the copies. No two members may settle on different
+    copies. This checker relies on what the members report about themselves, so the record of the servers has
+    to confirm it: `drains` and `once`.
+    """
     head = next((event for event in events if event["kind"] == "storm"), {})
     if not head.get("copies_bound_s"):
         return []
@@ -382,21 +424,24 @@
 
 
 def policies(events: list[Event]) -> list[Breach]:
-    """A change takes hold everywhere or nowhere. By what callers, servers and operators were told: a version
-    stands for one change; one that was told to be not in force is never decided on, and one in force is;
-    nothing that was asked after anybody was served by a version is decided inside the promise by an older
-    one; once a class is unsafe, nothing of it reaches servers twice. Excused: nothing."""
-    found = _outcomes(events) + _older(events)
+    """A change takes effect everywhere or nowhere.
+
+    Checked by what callers, servers and operators were told. A version stands for one change. A change that
+    was reported as not in force is never decided on, and one reported as in force is. A request that was sent
+    after any request had been served by a version is not decided inside the promise by an older version. Once
+    a class is unsafe, no request of it reaches servers twice. Nothing is excused.
+    """
+    found = _conflicting_outcomes(events) + _stale_decisions(events)
     unsafe = [event for event in events if event["kind"] == "change" and event["state"] == "in force"]
     marked = {event["change"] for event in events if event["kind"] == "propose" and event["unsafe"]}
     for change in unsafe:
         later = [other for other in unsafe if other["version"] > change["version"]]
         if change["change"] in marked and not later:
-            found += _repeated(events, change)
+            found += _repeated_attempts(events, change)
     return found
 
 
-def _outcomes(events: list[Event]) -> list[Breach]:
+def _conflicting_outcomes(events: list[Event]) -> list[Breach]:
     found = []
     names: dict[int, str] = {}
     decided: dict[str, int] = {}
@@ -422,16 +467,16 @@
     return found
 
 
-def _older(events: list[Event]) -> list[Breach]:
-    """By the order of real time: asked after the answer to another came, decided by an older version."""
-    asks = _asks(events)
-    newest: list[tuple[float, int]] = []  # when a version was seen first, each higher than the one before
+def _stale_decisions(events: list[Event]) -> list[Breach]:
+    """Find requests that were sent after an answer by a version and decided by an older version."""
+    requests = _requests(events)
+    newest: list[tuple[float, int]] = []  # first time and version, versions ascending
     found = []
     for event in events:
         version = event.get("version", 0)
         seen = event["kind"] == "answer" and event.get("inside")
         if seen:
-            asked = asks[event["call"]]["t"]
+            asked = requests[event["call"]]["t"]
             at = bisect.bisect_left(newest, (asked, -1))
             if at and newest[at - 1][1] > version:
                 what = f"{event['call']} at {event['host']} was decided by {version}, asked {asked:.3f}"
@@ -444,13 +489,13 @@
     return found
 
 
-def _repeated(events: list[Event], change: Event) -> list[Breach]:
-    asks = _asks(events)
+def _repeated_attempts(events: list[Event], change: Event) -> list[Breach]:
+    requests = _requests(events)
     seen: dict[str, int] = defaultdict(int)
     found = []
     for event in events:
-        if event["kind"] == "arrive" and event["call"] in asks:
-            asked = asks[event["call"]]
+        if event["kind"] == "arrive" and event["call"] in requests:
+            asked = requests[event["call"]]
             if asked["class"] == "look" and asked["t"] > change["t"]:
                 seen[event["call"]] += 1
                 if seen[event["call"]] == 2:
@@ -460,7 +505,7 @@
 
 
 def partners(events: list[Event]) -> list[Breach]:
-    """What crosses between sites, and what is served for others, is what the owners' terms allow."""
+    """What passes between sites, and what is served for other sites, is what the owners' terms allow."""
     return [Breach("partners", t, what) for t, what in sites.check(events)]
 
 
@@ -484,5 +529,5 @@
 
 
 def judge(events: list[Event]) -> dict[str, list[Breach]]:
-    """Every rule's breaches, by its name."""
+    """Run all checkers; return the breaches of each rule by its name."""
     return {name: check(events) for name, check in CHECKERS.items()}
--- a/sorrelfront/lab/storm/disk.py
+++ b/sorrelfront/lab/storm/disk.py
@@ -1,10 +1,11 @@
-"""What a power cut leaves of files, drawn from a seed, and a disk that fails as it is told.
-
-The model, without I/O: a log of what a program did to its files, in order, and what of it had surely reached
-the disk. Content is durable up to the last completed fsync of the file; a name (creation, rename, removal) is
-durable once its folder has been synced after it. What came later may be there or not: names as far as some
-step and no further, as journalling file systems keep them in order, and of content any first part, or none,
-or zeros. Sources: fsync(2), rename(2); Pillai et al., "All File Systems Are Not Created Equal" (OSDI 2014).
+"""Simulated power cuts that lose unsynced writes, drawn from a seed, and a disk with injected faults.
+
+The model does no I/O: it takes a log of what a program did to its files, in order, and of what had certainly
+reached the disk. Content is durable up to the last completed fsync of the file; a directory entry (creation,
+rename, removal) is durable once its folder has been synced after it. Later changes may or may not survive:
+directory entries up to some step and none after it, because journalling file systems keep them in order, and
+content as any prefix, or not at all, or as zeros. Sources: fsync(2), rename(2); Pillai et al., "All File
+Systems Are Not Created Equal" (OSDI 2014).
 """
 
 from __future__ import annotations
@@ -25,13 +26,16 @@
 from sorrelfront.daemon.records import Disk
 
 LOG = "disk.log"
-TROUBLE = "disk.json"
-LOG_MOST = 64 * 1024 * 1024  # bytes; a storm whose programs write more is void
+FAULTS_FILE = "disk.json"
+MAX_LOG_BYTES = 64 * 1024 * 1024  # a storm whose programs log more is void
 
 
 class Op(msgspec.Struct, omit_defaults=True):
-    """One step. `create` and `write` name a file by its number; `rename`, `remove` and `folder` by paths.
-    `done`: the program holds that this path has durably these bytes (by digest) from here on."""
+    """One logged file operation.
+
+    `create`, `write` and `sync` name a file by its number; `rename`, `remove` and `folder` use paths. `done`
+    says that from here on the program relies on this path having these bytes (by digest) durably.
+    """
 
     op: Literal["base", "create", "write", "sync", "rename", "remove", "folder", "done"]
     file: str = ""
@@ -48,22 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """What is there after the cut."""
+    """The files that are left after a power cut."""
 
     files: dict[str, bytes]
-    known: frozenset[str]  # every path that was ever in use: what is not in `files` is gone
-    broken: tuple[str, ...]  # paths whose promise was broken: neither what was held to be durable nor newer
+    known: frozenset[str]  # every path that was ever in use; one that is not in `files` was lost
+    broken: tuple[str, ...]  # paths with neither the content that was reported durable nor a newer one
 
 
-def after_cut(ops: Iterable[Op], rng: np.random.Generator) -> Left:
-    """What a power cut right after the last of these steps leaves."""
+def state_after_cut(ops: Iterable[Op], rng: np.random.Generator) -> Left:
+    """Return what is left after a power cut that follows the last of these operations."""
     files: dict[str, _File] = {}
-    names: dict[str, str] = {}  # by path: which file, as the program sees it
+    names: dict[str, str] = {}  # path to file, as the program sees it
     durable: dict[str, str] = {}
-    pending: list[tuple[str, str, str | None]] = []  # folder, path, file or None: names since the last sync
+    pending: list[tuple[str, str, str | None]] = []  # folder, path, file or None: unsynced names
     known: set[str] = set()
-    written: dict[str, list[bytes]] = {}  # digests that each path has had, in order
-    promised: dict[str, bytes] = {}
+    written: dict[str, list[bytes]] = {}  # digests of each path's contents, in order
+    reported_durable: dict[str, bytes] = {}
 
     def name(path: str, file: str | None) -> None:
         known.add(path)
@@ -96,14 +100,14 @@
             case "remove":
                 name(step.path, None)
             case "folder":
-                _settle(durable, [item for item in pending if item[0] == step.path])
+                _apply_names(durable, [item for item in pending if item[0] == step.path])
                 pending = [item for item in pending if item[0] != step.path]
             case "done":
-                promised[step.path] = step.data
-    _settle(durable, pending[: int(rng.integers(0, len(pending) + 1))])
-    left = {path: _cut(files[file], rng) for path, file in durable.items()}
+                reported_durable[step.path] = step.data
+    _apply_names(durable, pending[: int(rng.integers(0, len(pending) + 1))])
+    left = {path: _surviving_content(files[file], rng) for path, file in durable.items()}
     broken = []
-    for path, digest in promised.items():
+    for path, digest in reported_durable.items():
         after = written.get(path, [])
         newest = len(after) - 1 - after[::-1].index(digest) if digest in after else len(after)
         if path not in left or _digest(left[path]) not in after[newest:]:
@@ -111,7 +115,7 @@
     return Left(left, frozenset(known), tuple(sorted(broken)))
 
 
-def _settle(durable: dict[str, str], steps: list[tuple[str, str, str | None]]) -> None:
+def _apply_names(durable: dict[str, str], steps: list[tuple[str, str, str | None]]) -> None:
     for _, path, file in steps:
         if file is None:
             durable.pop(path, None)
@@ -119,8 +123,8 @@
             durable[path] = file
 
 
-def _cut(file: _File, rng: np.random.Generator) -> bytes:
-    """The content that is left of a file: at least what was synced."""
+def _surviving_content(file: _File, rng: np.random.Generator) -> bytes:
+    """Return what is left of a file's content: at least what was synced."""
     whole = bytes(file.content)
     extra = len(whole) - file.durable
     if not extra:
@@ -132,7 +136,7 @@
         case 1:
             return whole[:kept]
         case _:
-            return whole[:kept] + bytes(len(whole) - kept)  # its length got there, its content did not
+            return whole[:kept] + bytes(len(whole) - kept)  # the length was written, the data was not
 
 
 def _digest(data: bytes | bytearray) -> bytes:
@@ -140,29 +144,33 @@
 
 
 def read_log(path: Path) -> list[Op]:
-    """The steps that a host's programs logged; a last line that is cut off is left out. Raises ValueError if
-    there are too many."""
+    """Read the operations that the programs of a host logged; a truncated last line is ignored.
+
+    Raises ValueError if the log is longer than `MAX_LOG_BYTES`.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
         return []
-    if len(data) > LOG_MOST:
-        raise ValueError(f"{path} is longer than {LOG_MOST} bytes")
+    if len(data) > MAX_LOG_BYTES:
+        raise ValueError(f"{path} is longer than {MAX_LOG_BYTES} bytes")
     decoder = msgspec.json.Decoder(Op)
     return [decoder.decode(line) for line in data.split(b"\n")[:-1]]
 
 
 def cut_power(folder: Path, rng: np.random.Generator) -> Left:
-    """Put a host's files to what a power cut leaves, now that all its processes are gone, and begin its log
-    anew from there."""
-    left = after_cut(read_log(folder / LOG), rng)
+    """Replace a host's files by what a power cut leaves, and restart its log from that state.
+
+    All processes of the host must have ended.
+    """
+    left = state_after_cut(read_log(folder / LOG), rng)
     for path in left.known:
-        place = Path(path)
+        target = Path(path)
         with contextlib.suppress(OSError):
-            place.unlink(missing_ok=True)
-        if path in left.files and place.parent.is_dir():
-            place.write_bytes(left.files[path])
-            place.chmod(0o600)
+            target.unlink(missing_ok=True)
+        if path in left.files and target.parent.is_dir():
+            target.write_bytes(left.files[path])
+            target.chmod(0o600)
     lines = [
         msgspec.json.encode(Op("base", path=path, data=data)) + b"\n" for path, data in left.files.items()
     ]
@@ -172,128 +180,139 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """What a disk does to whoever writes."""
+    """The faults that a disk has for its writers."""
 
     full: bool = False
     readonly: bool = False
     sync_s: float = 0.0  # how long a sync takes
 
 
-def tell_trouble(folder: Path, trouble: Trouble) -> None:
-    """Have the programs of this host meet it from their next step on."""
-    fresh = folder / f"{TROUBLE}.new"
-    fresh.write_bytes(msgspec.json.encode(trouble))
-    fresh.replace(folder / TROUBLE)
+def tell_trouble(folder: Path, faults: Trouble) -> None:
+    """Apply these faults to the programs of this host from their next operation on."""
+    temporary = folder / f"{FAULTS_FILE}.new"
+    temporary.write_bytes(msgspec.json.encode(faults))
+    temporary.replace(folder / FAULTS_FILE)
 
 
 class LoggedDisk(Disk):
-    """The program's disk in a storm: does as the real one, logs each step, and fails as it is told.
+    """The disk of a program in a storm: does real I/O, logs each operation and injects faults.
 
-    A step that may have reached the disk is logged before it is done, a sync after it: whatever moment the
-    power goes, the log claims no more than was so.
+    An operation is logged before it is done and a sync after it. So at any moment of a power cut the log
+    claims no more durability than there was.
     """
 
     def __init__(self, folder: Path, skip_sync: bool = False) -> None:
-        """`skip_sync`: a planted defect, a program that leaves its syncs out."""
+        """Open the log in `folder`; `skip_sync` plants a defect, a program that leaves out its syncs."""
         self._folder = folder
         self._log = os.open(folder / LOG, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
         self._files: dict[int, str] = {}
-        self._content: dict[str, bytes] = {}  # by file, what it has been given
-        self._paths: dict[str, str] = {}  # by path, the file that lies there
-        # by path: digest of what was put there since its folder's last sync
+        self._content: dict[str, bytes] = {}  # by file: its content
+        self._paths: dict[str, str] = {}  # by path: the file there
+        # by path: digest of what was renamed to it since the last sync of its folder
         self._renamed: dict[str, bytes] = {}
         self._count = 0
         self._skip_sync = skip_sync
 
-    def _note(self, op: Op) -> None:
-        os.write(self._log, msgspec.json.encode(op) + b"\n")  # one write: whole, in order (O_APPEND)
+    def _append_log(self, op: Op) -> None:
+        # A single write with O_APPEND, so that lines stay whole and in order.
+        os.write(self._log, msgspec.json.encode(op) + b"\n")
 
-    def _trouble(self) -> Trouble:
+    def _read_faults(self) -> Trouble:
         try:
-            return msgspec.json.decode((self._folder / TROUBLE).read_bytes(), type=Trouble)
+            return msgspec.json.decode((self._folder / FAULTS_FILE).read_bytes(), type=Trouble)
         except FileNotFoundError:
             return Trouble()
 
-    def _writable(self) -> Trouble:
-        trouble = self._trouble()
-        if trouble.readonly:
+    def _require_writable(self) -> Trouble:
+        faults = self._read_faults()
+        if faults.readonly:
             raise OSError(errno.EROFS, os.strerror(errno.EROFS))
-        return trouble
+        return faults
 
     def create(self, path: Path) -> int:
-        self._writable()
+        """Log and create a file; raises OSError (EROFS) on a read-only disk."""
+        self._require_writable()
         descriptor = super().create(path)
         self._count += 1
         file = self._files[descriptor] = f"{os.getpid()}.{time.monotonic_ns()}.{self._count}"
         self._content[file], self._paths[str(path)] = b"", file
-        self._note(Op("create", file=file, path=str(path)))
+        self._append_log(Op("create", file=file, path=str(path)))
         return descriptor
 
     def append(self, descriptor: int, data: bytes) -> None:
-        if self._writable().full:
+        """Log and write the data; a full disk takes half of it and raises OSError (ENOSPC)."""
+        if self._require_writable().full:
             part = data[: len(data) // 2]
-            self._note(Op("write", file=self._files[descriptor], data=part))
+            self._append_log(Op("write", file=self._files[descriptor], data=part))
             super().append(descriptor, part)
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         self._content[self._files[descriptor]] += data
-        self._note(Op("write", file=self._files[descriptor], data=data))
+        self._append_log(Op("write", file=self._files[descriptor], data=data))
         super().append(descriptor, data)
 
     def sync(self, descriptor: int) -> None:
+        """Sync the file, after the delay of a slow disk, and log it."""
         if self._skip_sync:
             return
-        trouble = self._trouble()
-        if trouble.sync_s:
-            time.sleep(trouble.sync_s)
+        faults = self._read_faults()
+        if faults.sync_s:
+            time.sleep(faults.sync_s)
         super().sync(descriptor)
-        self._note(Op("sync", file=self._files[descriptor]))
+        self._append_log(Op("sync", file=self._files[descriptor]))
 
     def close(self, descriptor: int) -> None:
+        """Close the descriptor and forget which file it was."""
         self._files.pop(descriptor, None)
         super().close(descriptor)
 
     def replace(self, old: Path, new: Path) -> None:
-        self._writable()
-        self._note(Op("rename", path=str(old), to=str(new)))
+        """Log and do a rename; raises OSError (EROFS) on a read-only disk."""
+        self._require_writable()
+        self._append_log(Op("rename", path=str(old), to=str(new)))
         super().replace(old, new)
         file = self._paths.pop(str(old), None)
         if file is not None:
             self._renamed[str(new)] = _digest(self._content.pop(file))
 
     def remove(self, path: Path) -> None:
-        self._writable()
+        """Log and remove the file, if there is one; raises OSError (EROFS) on a read-only disk."""
+        self._require_writable()
         if path.exists():
-            self._note(Op("remove", path=str(path)))
+            self._append_log(Op("remove", path=str(path)))
             self._renamed.pop(str(path), None)
         super().remove(path)
 
     def sync_folder(self, path: Path) -> None:
-        trouble = self._trouble()
-        if trouble.sync_s:
-            time.sleep(trouble.sync_s)
+        """Sync the folder, and log it and what the program now relies on."""
+        faults = self._read_faults()
+        if faults.sync_s:
+            time.sleep(faults.sync_s)
         super().sync_folder(path)
-        self._note(Op("folder", path=str(path)))
-        # A program that syncs a folder last holds what it has put there for durable from here on.
-        for place in [place for place in self._renamed if Path(place).parent == path]:
-            self._note(Op("done", path=place, data=self._renamed.pop(place)))
+        self._append_log(Op("folder", path=str(path)))
+        # The folder sync is a program's last step: from now on it relies on what it renamed into the folder.
+        for target in [target for target in self._renamed if Path(target).parent == path]:
+            self._append_log(Op("done", path=target, data=self._renamed.pop(target)))
 
 
-def steps_of(*steps: tuple[Any, ...]) -> list[Op]:
-    """Shorthand: ("create", "1", "/a/x"), ("write", "1", b"..."), ("sync", "1"), ("rename", "/a/x", "/a/y"),
-    ("remove", path), ("folder", path), ("done", path, content)."""
-    made = []
+def make_ops(*steps: tuple[Any, ...]) -> list[Op]:
+    """Build operations from short tuples.
+
+    Forms: ("create", "1", "/a/x"), ("write", "1", b"..."), ("sync", "1"), ("rename", "/a/x", "/a/y"),
+    ("remove", path), ("folder", path), ("done", path, content).
+    """
+    ops = []
     for kind, *rest in steps:
         match kind:
             case "create":
-                made.append(Op("create", file=rest[0], path=rest[1]))
+                ops.append(Op("create", file=rest[0], path=rest[1]))
             case "write":
-                made.append(Op("write", file=rest[0], data=rest[1]))
+                ops.append(Op("write", file=rest[0], data=rest[1]))
             case "sync":
-                made.append(Op("sync", file=rest[0]))
+                ops.append(Op("sync", file=rest[0]))
             case "rename":
-                made.append(Op("rename", path=rest[0], to=rest[1]))
+                ops.append(Op("rename", path=rest[0], to=rest[1]))
             case "done":
-                made.append(Op("done", path=rest[0], data=_digest(rest[1])))
+                ops.append(Op("done", path=rest[0], data=_digest(rest[1])))
             case _:
-                made.append(Op(kind, path=rest[0], data=rest[1] if len(rest) > 1 else b""))
-    return made
+                ops.append(Op(kind, path=rest[0], data=rest[1] if len(rest) > 1 else b""))
+    return ops
--- a/sorrelfront/lab/storm/history.py
+++ b/sorrelfront/lab/storm/history.py
@@ -1,28 +1,28 @@
-"""What happened in a storm and when: JSON lines, in the order of one machine's monotonic clock.
+"""The recorded history of a storm: JSON lines in the order of one machine's monotonic clock.
 
-Each event is an object with `t` (seconds since the storm began) and `kind`; what else it has goes with its
+Each event is an object with `t` (seconds since the storm began) and `kind`. Its other keys depend on the
 kind:
 
     storm      name, seed, hosts             the first line
     start      host, pids                    a daemon was started
-    phase      host, instance, phase         an instance is in this phase, as its supervisor says
-    ready      host, ready, wanted           so many of its instances say that they are ready
-    end        host, code                    a daemon's own process ended
+    phase      host, instance, phase         an instance is in this phase, as its supervisor reports
+    ready      host, ready, wanted           this many of its instances report that they are ready
+    end        host, code                    the process of a daemon ended
     fault      number, what, phase, hosts    a fault began, or (phase "over") ended
-    told       host, server                  a watch of that host has been sent that the server drains
-    watch      host                          a watch was opened at the list
+    told       host, server                  a watch of that host was sent the server's phase (draining)
+    watch      host                          a watch was opened at the list service
     arrive     server, host, sent, call      a request reached a server; `sent`: when the host had sent it
-    effect     server, key, call             it had its effect there
-    cold       server, capacity, ...         a server was started, with what it can do
-    ask        host, call, class             a caller asked
-    left       host, call                    its caller has closed the connection, with no answer yet
-    answer     host, call, status, ms        what became of it: a status, "reset", "lost", or "left"
+    effect     server, key, call             the request took effect there
+    cold       server, capacity, ...         a server was started, with its capacity
+    ask        host, call, class             a caller sent a request
+    left       host, call                    the caller closed its connection before an answer came
+    answer     host, call, status, ms        the outcome: a status, "reset", "lost", or "left"
     said       host, line                    a line of the daemon's log
-    disk       host, ...                     what a power cut left of a disk
-    view       host, member, living          an instance sees these members alive, from here on
-    lag        ms                            the rig itself was late by so much (only above 20 ms)
+    disk       host, ...                     what is left on a disk after a power cut
+    view       host, member, living          from now on an instance sees these members alive
+    lag        ms                            scheduling delay of the harness itself (only above 20 ms)
     settled    ok, waited                    the end: whether every host serves again
-    rig        ...                           the rig's own figures
+    rig        ...                           measurements of the harness itself
 """
 
 from __future__ import annotations
@@ -35,14 +35,15 @@
 
 Event = dict[str, Any]
 
-EVENTS_MOST = 2_000_000  # of one storm; further ones are counted and make it void
+MAX_EVENTS = 2_000_000  # per storm; further ones are counted, and they make the storm void
 HISTORY = "history.jsonl"
 
 
 class History:
-    """One storm's events, kept in memory and, in steps, in a file."""
+    """The events of one storm, kept in memory and appended to a file on each flush."""
 
     def __init__(self, path: Path | None = None) -> None:
+        """Start the clock of the history; without a `path` the events stay in memory only."""
         self.began = time.monotonic()
         self.events: list[Event] = []
         self.left_out = 0
@@ -51,18 +52,20 @@
         self._encoder = msgspec.json.Encoder()
 
     def now(self) -> float:
+        """Return the seconds since the storm began."""
         return time.monotonic() - self.began
 
     def add(self, kind: str, **what: Any) -> Event:
+        """Append an event with the current time; beyond `MAX_EVENTS` it is only counted."""
         event = {"t": round(time.monotonic() - self.began, 6), "kind": kind, **what}
-        if len(self.events) >= EVENTS_MOST:
+        if len(self.events) >= MAX_EVENTS:
             self.left_out += 1
         else:
             self.events.append(event)
         return event
 
     def flush(self) -> None:
-        """Write what came since the last time."""
+        """Write the events that were added since the last flush."""
         if self._file is not None:
             fresh = self.events[self._written :]
             self._file.write(b"".join(self._encoder.encode(event) + b"\n" for event in fresh))
@@ -70,6 +73,7 @@
             self._written = len(self.events)
 
     def close(self) -> None:
+        """Flush, and close the file."""
         self.flush()
         if self._file is not None:
             self._file.close()
@@ -77,7 +81,10 @@
 
 
 def read(path: Path) -> list[Event]:
-    """A recorded history. Raises OSError, and ValueError if a line is none of its kind."""
+    """Read a recorded history.
+
+    Raises OSError, and ValueError if a line is not an event.
+    """
     decoder = msgspec.json.Decoder(Event)
     events = []
     with path.open("rb") as file:
--- a/sorrelfront/lab/storm/processes.py
+++ b/sorrelfront/lab/storm/processes.py
@@ -1,8 +1,8 @@
-"""Processes that a storm starts: owned by handle and by a mark that all their children carry.
+"""Processes that a storm starts, tracked by pidfd and by a mark that all their children inherit.
 
-The mark is a word of the environment, which a child inherits and another program never has. By it every
-process of a host is found, also one whose parent is gone, and none that has merely been given the same
-number."""
+The mark is an environment variable, which a child inherits and no other program has. It finds every process
+of a host, including one whose parent is gone, and never an unrelated process that was given the same pid.
+"""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from sorrelfront.daemon.processes import open_process, send_signal, start_ticks
 
 MARK = "SORRELFRONT_STORM"
-GONE_WITHIN_S = 5.0
-KEEPER_EVERY_S = 0.1
+EXIT_TIMEOUT_S = 5.0
+CLEANUP_INTERVAL_S = 0.1
 
 
 def marked(mark: str) -> dict[int, int]:
-    """Process numbers and start times of all that carry this mark, or one that it begins."""
-    word = f"{MARK}={mark}".encode()
+    """Return pid and start time of all processes whose mark is this one or is below it (`mark/...`)."""
+    setting = f"{MARK}={mark}".encode()
     found = {}
     for entry in os.scandir("/proc"):
         if not entry.name.isdigit():
             continue
         with contextlib.suppress(OSError):
             environ = Path(f"/proc/{entry.name}/environ").read_bytes()
-            words = environ.split(b"\x00")
-            if any(item == word or item.startswith(word + b"/") for item in words):
+            variables = environ.split(b"\x00")
+            if any(item == setting or item.startswith(setting + b"/") for item in variables):
                 ticks = start_ticks(int(entry.name))
                 if ticks is not None:
                     found[int(entry.name)] = ticks
@@ -41,10 +41,10 @@
 
 
 def signal_all(mark: str, number: signal.Signals) -> int:
-    """Send it to every process that carries this mark. How many."""
+    """Send a signal to every process that carries this mark; return how many."""
     count = 0
     for pid, ticks in marked(mark).items():
-        # Risk: between the look and the signal the number passes to another program.
+        # The pid may pass to another program between the scan and the signal: the start time is checked.
         handle = open_process(pid, ticks)
         if handle is not None:
             send_signal(handle, number)
@@ -53,8 +53,11 @@
     return count
 
 
-def kill_all(mark: str, within_s: float = GONE_WITHIN_S) -> bool:
-    """SIGKILL until none is left: one may just be starting another. Whether none is left."""
+def kill_all(mark: str, within_s: float = EXIT_TIMEOUT_S) -> bool:
+    """Repeat SIGKILL until no process carries this mark; return whether that succeeded in time.
+
+    One pass is not enough, since a process may be starting another one at that moment.
+    """
     until = time.monotonic() + within_s
     while signal_all(mark, signal.SIGKILL):
         if time.monotonic() > until:
@@ -64,21 +67,25 @@
 
 
 class Owned:
-    """A process that the stage started, held by its pidfd. Its `ended` is set once it has, whoever ended
-    it."""
+    """A process that the stage started, held by its pidfd.
+
+    The event `ended` is set once the process has ended, whatever ended it.
+    """
 
     def __init__(self, words: list[str], environ: dict[str, str], cwd: Path, output: int) -> None:
-        """`output`: a descriptor for what it writes. In a session of its own: a terminal's Ctrl-C is not for
-        it."""
+        """Start the process; `output` is the descriptor for its stdout and stderr.
+
+        It runs in its own session, so that Ctrl-C in a terminal does not reach it.
+        """
         self.process = subprocess.Popen(
             words, cwd=cwd, env=environ, stdin=subprocess.DEVNULL, stdout=output, stderr=output,
             start_new_session=True,
         )  # fmt: skip
         self.pid = self.process.pid
-        # Not reaped before this object does so, hence surely this process, even if it has ended already.
+        # Only this object reaps the process, so the pid is still its own, even if it has already ended.
         self.pidfd = os.pidfd_open(self.pid)
         self.code: int | None = None
-        self.asked = False  # it was told to end, and nothing else has ended it
+        self.asked = False  # it was told to stop, and nothing else has ended it
         self.ended = asyncio.Event()
         asyncio.get_running_loop().add_reader(self.pidfd, self._on_end)
 
@@ -93,11 +100,12 @@
         self.ended.set()
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal, unless the process has ended."""
         if self.pidfd >= 0:
             send_signal(self.pidfd, number)
 
-    async def reap(self, within_s: float = GONE_WITHIN_S) -> int | None:
-        """Its exit code once it has ended; None if it does not in time."""
+    async def reap(self, within_s: float = EXIT_TIMEOUT_S) -> int | None:
+        """Wait for the end and return the exit code, or None if the process does not end in time."""
         try:
             await asyncio.wait_for(self.ended.wait(), within_s)
         except TimeoutError:
@@ -106,10 +114,14 @@
 
 
 class Keeper:
-    """A process that outlives the rig by a moment, ends all that it started and removes its folder, whatever
-    ended the rig: it waits for the end of a pipe that only the rig holds."""
+    """A process that cleans up after the harness, whatever ended the harness.
+
+    It waits for the end of a pipe that only the harness holds, then kills all processes that the harness
+    started and removes its folder.
+    """
 
     def __init__(self, mark: str, folder: Path) -> None:
+        """Start the process for the processes with this mark and for this folder."""
         read, self._write = os.pipe()
         environ = {name: value for name, value in os.environ.items() if name != MARK}
         self.process = subprocess.Popen(
@@ -119,22 +131,22 @@
         os.close(read)
 
     def close(self) -> None:
-        """Have it look once more, and end."""
+        """Close the pipe, so that the process cleans up and exits, and wait for it."""
         os.close(self._write)
         with contextlib.suppress(subprocess.TimeoutExpired):
-            self.process.wait(GONE_WITHIN_S * 2)
+            self.process.wait(EXIT_TIMEOUT_S * 2)
 
 
-def keep(mark: str, folder: Path) -> int:
-    """What the keeper does."""
+def clean_up(mark: str, folder: Path) -> int:
+    """Run the clean-up process: wait for the end of stdin, kill what is left, remove the folder."""
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
-    while os.read(0, 64):  # nothing is ever written: this returns when the rig is gone
+    while os.read(0, 64):  # nothing is ever written: the read returns when the harness is gone
         pass
-    gone = kill_all(mark)
-    shutil.rmtree(folder, ignore_errors=True)  # it lies in memory
-    return 0 if gone else 1
+    killed = kill_all(mark)
+    shutil.rmtree(folder, ignore_errors=True)  # it is kept in memory
+    return 0 if killed else 1
 
 
 if __name__ == "__main__":
-    raise SystemExit(keep(sys.argv[1], Path(sys.argv[2])))
+    raise SystemExit(clean_up(sys.argv[1], Path(sys.argv[2])))
--- a/tests/storm/test_checkers.py
+++ b/tests/storm/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker finds what it is for in a made-up history, and excuses only what it says."""
+"""Each checker finds its breaches in an artificial history, and excuses only what its docstring names."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return t, "ask", {"call": call, "host": host, "class": cls}
 
 
-def told(
+def answer(
     t: float, call: str, status: str = "200", ms: float = 10.0, host: str = "h1"
 ) -> tuple[float, str, dict[str, Any]]:
     return t, "answer", {"call": call, "host": host, "status": status, "ms": ms, "class": "pay"}
@@ -31,48 +31,52 @@
     return t, "fault", {"what": what, "phase": phase, "hosts": [host], "number": number}
 
 
-def broken(events: list[Event]) -> set[str]:
+def breached_rules(events: list[Event]) -> set[str]:
     return {name for name, found in judge(events).items() if found}
 
 
-def test_a_calm_history_breaks_nothing() -> None:
-    assert broken(history(ask(1, "a"), told(1.01, "a"))) == set()
+def test_a_history_without_faults_has_no_breach() -> None:
+    assert breached_rules(history(ask(1, "a"), answer(1.01, "a"))) == set()
     assert set(judge([])) == set(CHECKERS)
 
 
-def test_an_answer_that_is_lost_doubled_or_missing() -> None:
-    assert broken(history(ask(1, "a"), told(2, "a", "lost"))) == {"answered"}
-    assert broken(history(ask(1, "a"), told(2, "a"), told(3, "a"))) == {"answered"}
-    assert broken(history(ask(1, "a"))) == {"answered"}
-    # the kernel says that none had read it
-    assert broken(history(ask(1, "a"), told(2, "a", "reset"))) == set()
+def test_a_lost_duplicate_or_missing_answer() -> None:
+    assert breached_rules(history(ask(1, "a"), answer(2, "a", "lost"))) == {"answered"}
+    assert breached_rules(history(ask(1, "a"), answer(2, "a"), answer(3, "a"))) == {"answered"}
+    assert breached_rules(history(ask(1, "a"))) == {"answered"}
+    # the kernel's reset shows that no process had read it
+    assert breached_rules(history(ask(1, "a"), answer(2, "a", "reset"))) == set()
 
 
-def test_what_a_killed_host_held_is_excused_and_what_another_held_is_not() -> None:
+def test_requests_on_a_killed_host_are_excused_and_those_on_others_are_not() -> None:
     ready = (6.0, "ready", {"host": "h1", "ready": 2, "wanted": 2})
     kill = (fault(1.5, "kill"), fault(3, "kill", "over"), ready)
-    assert broken(history(ask(1, "a"), told(1.6, "a", "lost"), *kill)) == set()
-    assert broken(history(ask(1, "a", "h2"), told(1.6, "a", "lost", host="h2"), *kill)) == {"answered"}
-    assert broken(history(ask(7, "a"), told(7.5, "a", "lost"), *kill)) == {"answered"}
+    assert breached_rules(history(ask(1, "a"), answer(1.6, "a", "lost"), *kill)) == set()
+    assert breached_rules(history(ask(1, "a", "h2"), answer(1.6, "a", "lost", host="h2"), *kill)) == {
+        "answered"
+    }
+    assert breached_rules(history(ask(7, "a"), answer(7.5, "a", "lost"), *kill)) == {"answered"}
     one = fault(1.5, "kill-instance"), fault(1.6, "kill-instance", "over")
-    assert broken(history(ask(1.4, "a"), told(1.7, "a", "lost"), *one)) == set()
-    assert broken(history(ask(2.5, "a"), told(2.7, "a", "lost"), *one)) == {"answered"}
+    assert breached_rules(history(ask(1.4, "a"), answer(1.7, "a", "lost"), *one)) == set()
+    assert breached_rules(history(ask(2.5, "a"), answer(2.7, "a", "lost"), *one)) == {"answered"}
 
 
-def test_an_answer_out_of_time_unless_frozen_or_the_rig_itself_was_late() -> None:
-    late = ask(1, "a"), told(2.7, "a", ms=1_700.0)
-    assert broken(history(*late)) == {"in-time"}
-    assert broken(history(*late, fault(1.2, "freeze"), fault(2.5, "freeze", "over"))) == set()
-    assert broken(history(*late, (2.6, "lag", {"ms": 300.0}))) == set()
-    assert broken(history(*late, fault(1.2, "cut"), fault(2.5, "cut", "over"))) == {"in-time"}
+def test_a_late_answer_unless_frozen_or_the_harness_lagged() -> None:
+    late = ask(1, "a"), answer(2.7, "a", ms=1_700.0)
+    assert breached_rules(history(*late)) == {"in-time"}
+    assert breached_rules(history(*late, fault(1.2, "freeze"), fault(2.5, "freeze", "over"))) == set()
+    assert breached_rules(history(*late, (2.6, "lag", {"ms": 300.0}))) == set()
+    assert breached_rules(history(*late, fault(1.2, "cut"), fault(2.5, "cut", "over"))) == {"in-time"}
 
 
 def test_an_effect_that_happens_twice_and_a_refusal_of_what_ran() -> None:
     ran = {"key": "a", "call": "a", "server": "s1", "class": "pay"}
-    assert broken(history(ask(1, "a"), told(2, "a"), (1.1, "effect", ran), (1.2, "effect", ran))) == {"once"}
-    refused = ask(1, "a"), told(2, "a", "503"), (1.1, "effect", ran)
-    assert broken(history(*refused)) == {"refusals"}
-    assert broken(history(ask(1, "a"), told(2, "a", "502"), (1.1, "effect", ran))) == set()
+    assert breached_rules(
+        history(ask(1, "a"), answer(2, "a"), (1.1, "effect", ran), (1.2, "effect", ran))
+    ) == {"once"}
+    refused = ask(1, "a"), answer(2, "a", "503"), (1.1, "effect", ran)
+    assert breached_rules(history(*refused)) == {"refusals"}
+    assert breached_rules(history(ask(1, "a"), answer(2, "a", "502"), (1.1, "effect", ran))) == set()
 
 
 def test_a_request_sent_to_a_server_that_drains() -> None:
@@ -81,21 +85,30 @@
     def sent(at: float, host: str = "h1") -> tuple[float, str, dict[str, Any]]:
         return at + 0.01, "arrive", {"host": host, "server": "s1", "sent": at, "call": "a"}
 
-    assert broken(history(drains, sent(1.5))) == set()
-    assert broken(history(drains, sent(1.6))) == {"drains"}
-    assert broken(history(drains, sent(1.6, "h2"))) == set()  # that host was told nothing
+    assert breached_rules(history(drains, sent(1.5))) == set()
+    assert breached_rules(history(drains, sent(1.6))) == {"drains"}
+    assert breached_rules(history(drains, sent(1.6, "h2"))) == set()  # the other host was not told
     two = history(drains, sent(1.6), sent(2.7), (2.0, "told", drains[2]))
     two[0]["instances"] = 2
-    assert [item.t for item in judge(two)["drains"]] == [2.71]  # from when its second watch was told
+    assert [item.t for item in judge(two)["drains"]] == [
+        2.71
+    ]  # counted from the time its second watch was told
     ready = (1.2, "told", {"host": "h1", "server": "s1", "phase": "ready"})
-    assert broken(history(drains, ready, sent(1.6))) == set()
-    assert broken(history(drains, sent(1.9), fault(1.1, "freeze"), fault(1.8, "freeze", "over"))) == set()
+    assert breached_rules(history(drains, ready, sent(1.6))) == set()
+    assert (
+        breached_rules(history(drains, sent(1.9), fault(1.1, "freeze"), fault(1.8, "freeze", "over")))
+        == set()
+    )
 
 
-def test_a_drain_that_a_host_has_not_heard_of_though_it_could() -> None:
+def test_a_drain_that_a_host_ignores_though_it_can_reach_the_list() -> None:
     drain = {"what": "server-drain", "phase": "begin", "hosts": [], "to": ["s1"], "number": 9}
     drains = (1.0, "fault", drain)
-    gone = (0.5, "fault", {"what": "list-down", "phase": "begin", "hosts": [], "to": ["list"], "number": 1})
+    list_down = (
+        0.5,
+        "fault",
+        {"what": "list-down", "phase": "begin", "hosts": [], "to": ["list"], "number": 1},
+    )
     back = (2.0, "fault", {"what": "list-down", "phase": "over", "hosts": [], "number": 1})
     cut = (0.5, "fault", {"what": "cut", "phase": "begin", "hosts": ["h1"], "to": ["list"], "number": 2})
     healed = (3.0, "fault", {"what": "cut", "phase": "over", "hosts": ["h1"], "number": 2})
@@ -103,32 +116,34 @@
     def sent(at: float, host: str = "h1", server: str = "s1") -> tuple[float, str, dict[str, Any]]:
         return at, "arrive", {"host": host, "server": server, "sent": at, "call": "a"}
 
-    assert broken(history(drains, sent(7.5))) == set()
-    assert broken(history(drains, sent(7.6))) == {"told"}
-    assert broken(history(drains, sent(7.6, server="s2"))) == set()
-    assert broken(history(drains, gone, sent(20.0))) == set()  # it cannot be reached
-    assert broken(history(drains, gone, back, sent(8.5))) == set()
-    assert broken(history(drains, gone, back, sent(8.6))) == {"told"}
-    assert broken(history(drains, cut, healed, sent(9.5))) == set()
-    assert broken(history(drains, cut, healed, sent(9.6))) == {"told"}
-    assert broken(history(drains, cut, healed, sent(7.6, "h2"))) == {"told"}  # cut off was another
+    assert breached_rules(history(drains, sent(7.5))) == set()
+    assert breached_rules(history(drains, sent(7.6))) == {"told"}
+    assert breached_rules(history(drains, sent(7.6, server="s2"))) == set()
+    assert breached_rules(history(drains, list_down, sent(20.0))) == set()  # the list cannot be reached
+    assert breached_rules(history(drains, list_down, back, sent(8.5))) == set()
+    assert breached_rules(history(drains, list_down, back, sent(8.6))) == {"told"}
+    assert breached_rules(history(drains, cut, healed, sent(9.5))) == set()
+    assert breached_rules(history(drains, cut, healed, sent(9.6))) == {"told"}
+    assert breached_rules(history(drains, cut, healed, sent(7.6, "h2"))) == {
+        "told"
+    }  # the other host was cut off
     frozen = fault(5, "freeze", number=3), fault(8, "freeze", "over", number=3)
-    assert broken(history(drains, *frozen, sent(8.1))) == set()
+    assert breached_rules(history(drains, *frozen, sent(8.1))) == set()
 
 
-def test_attempts_that_begin_for_who_has_left() -> None:
+def test_attempts_that_begin_after_the_client_left() -> None:
     def sent(at: float, host: str = "h1") -> tuple[float, str, dict[str, Any]]:
         return at, "arrive", {"host": host, "server": "s1", "sent": at, "call": "a"}
 
-    left = ask(1, "a"), (1.2, "left", {"host": "h1", "call": "a"}), told(1.2, "a", "left")
-    assert broken(history(*left, sent(1.3), sent(1.31), sent(1.32))) == set()
-    assert broken(history(*left, sent(1.4), sent(1.5))) == set()  # two are put down to chance
-    assert broken(history(*left, sent(1.4), sent(1.5), sent(1.6))) == {"gone"}
+    left = ask(1, "a"), (1.2, "left", {"host": "h1", "call": "a"}), answer(1.2, "a", "left")
+    assert breached_rules(history(*left, sent(1.3), sent(1.31), sent(1.32))) == set()
+    assert breached_rules(history(*left, sent(1.4), sent(1.5))) == set()  # two late attempts are allowed
+    assert breached_rules(history(*left, sent(1.4), sent(1.5), sent(1.6))) == {"gone"}
     frozen = fault(1.3, "freeze"), fault(1.5, "freeze", "over")
-    assert broken(history(*left, *frozen, sent(1.51), sent(1.52), sent(1.53))) == set()
+    assert breached_rules(history(*left, *frozen, sent(1.51), sent(1.52), sent(1.53))) == set()
 
 
-def test_a_cold_server_that_all_hosts_together_push_over() -> None:
+def test_a_cold_server_that_all_hosts_together_overload() -> None:
     row = {"server": "s1", "capacity": 100.0, "from": 0.3, "multiple": 3.0, "span_s": 1.0, "cold_s": 9.0}
     some = [
         (1 + number / 100, "arrive", {"host": "h1", "server": "s1", "sent": 1.0, "call": ""})
@@ -138,24 +153,24 @@
         (1 + number / 100, "arrive", {"host": "h2", "server": "s1", "sent": 1.0, "call": ""})
         for number in range(60)
     ]
-    assert broken(history((0.9, "cold", row), *some)) == set()
-    assert broken(history((0.9, "cold", row), *some, *more)) == {"cold"}
+    assert breached_rules(history((0.9, "cold", row), *some)) == set()
+    assert breached_rules(history((0.9, "cold", row), *some, *more)) == {"cold"}
 
 
-def test_ends_logs_records_and_settling() -> None:
-    assert broken(history((1, "end", {"host": "h1", "code": 1, "asked": True}))) == {"exits"}
-    assert broken(history((1, "end", {"host": "h1", "code": -9, "asked": False}))) == set()
-    assert broken(history((1, "said", {"host": "h1", "line": "Traceback (most recent call last):"}))) == {
-        "exits"
-    }
+def test_exits_logs_records_and_settling() -> None:
+    assert breached_rules(history((1, "end", {"host": "h1", "code": 1, "asked": True}))) == {"exits"}
+    assert breached_rules(history((1, "end", {"host": "h1", "code": -9, "asked": False}))) == set()
+    assert breached_rules(
+        history((1, "said", {"host": "h1", "line": "Traceback (most recent call last):"}))
+    ) == {"exits"}
     torn = (2, "said", {"host": "h1", "line": "x/fleet is not used: its checksum is wrong; set aside"})
-    assert broken(history(torn)) == {"records"}
-    assert broken(history(fault(1, "disk-torn"), torn)) == set()
-    assert broken(history((1, "disk", {"host": "h1", "broken": ["fleet"]}))) == {"records"}
-    assert broken(history()[:-1]) == {"settled"}
+    assert breached_rules(history(torn)) == {"records"}
+    assert breached_rules(history(fault(1, "disk-torn"), torn)) == set()
+    assert breached_rules(history((1, "disk", {"host": "h1", "broken": ["fleet"]}))) == {"records"}
+    assert breached_rules(history()[:-1]) == {"settled"}
 
 
-def _answered(call: str, asked: float, t: float, version: int, inside: bool = True) -> list[Event]:
+def _answered_by(call: str, asked: float, t: float, version: int, inside: bool = True) -> list[Event]:
     return [
         {"t": asked, "kind": "ask", "host": "h1", "call": call, "class": "look"},
         {
@@ -174,11 +189,13 @@
 
 
 def test_an_older_version_after_a_newer_was_served_is_a_breach() -> None:
-    newer, older = _answered("a", 1.0, 2.0, 2), _answered("b", 3.0, 4.0, 1)
+    newer, older = _answered_by("a", 1.0, 2.0, 2), _answered_by("b", 3.0, 4.0, 1)
     assert len(_policies(*newer, *older)) == 1
-    assert not _policies(*newer, *_answered("c", 1.5, 4.0, 1))  # asked before the newer one was seen
-    assert not _policies(*newer, *_answered("d", 3.0, 4.0, 1, inside=False))  # outside the promise
-    assert len(_policies(_change("x", 2.0, "in force", 2), *older)) == 1  # an operator was told so
+    assert not _policies(*newer, *_answered_by("c", 1.5, 4.0, 1))  # sent before the newer one was seen
+    assert not _policies(*newer, *_answered_by("d", 3.0, 4.0, 1, inside=False))  # outside the promise
+    assert (
+        len(_policies(_change("x", 2.0, "in force", 2), *older)) == 1
+    )  # an operator was told of the newer version
 
 
 def test_a_change_has_one_outcome() -> None:
@@ -186,8 +203,8 @@
         "t": 9.0, "kind": "decided", "host": "h1", "history": [{"version": 1, "change": "x", "void": False}],
     }  # fmt: skip
     assert not _policies(_change("x", 1.0, "in force", 1), kept)
-    assert _policies(_change("x", 1.0, "not in force", 0), kept)  # told off, and decided on
-    assert _policies(_change("y", 1.0, "in force", 2), kept)  # in force, and forgotten
+    assert _policies(_change("x", 1.0, "not in force", 0), kept)  # reported as not in force, but decided on
+    assert _policies(_change("y", 1.0, "in force", 2), kept)  # in force, but later missing
     assert _policies(_change("x", 1.0, "in force", 1), _change("y", 2.0, "in force", 1))
 
 
@@ -198,5 +215,5 @@
         {"t": 2.0 + number, "kind": "arrive", "server": "s1", "host": "h1", "sent": 2.0, "call": "a"}
         for number in range(2)
     ]
-    assert len(_policies(proposed, change, *_answered("a", 1.5, 4.0, 1), *arrivals)) == 1
-    assert not _policies(proposed, change, *_answered("a", 0.8, 4.0, 0), *arrivals)
+    assert len(_policies(proposed, change, *_answered_by("a", 1.5, 4.0, 1), *arrivals)) == 1
+    assert not _policies(proposed, change, *_answered_by("a", 0.8, 4.0, 0), *arrivals)
--- a/tests/storm/test_processes.py
+++ b/tests/storm/test_processes.py
@@ -1,4 +1,4 @@
-"""Whatever a storm started is ended, however the rig itself ends."""
+"""All processes that a storm started are ended, however the harness itself ends."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 @looped
-async def test_a_frozen_process_is_still_there_and_is_ended() -> None:
+async def test_a_stopped_process_is_found_and_killed() -> None:
     mark = uuid.uuid4().hex
     async with owned(SLEEPER, mark) as process:
         await until(lambda: process.pid in marked(mark))
         process.signal(signal.SIGSTOP)
-        assert await process.reap(0.1) is None  # its pidfd says nothing while it is frozen
+        assert await process.reap(0.1) is None  # its pidfd does not become readable while it is stopped
         assert process.pid in marked(mark)
         assert kill_all(mark)
         assert await process.reap() == -signal.SIGKILL
@@ -48,15 +48,15 @@
 
 
 @looped
-async def test_one_that_ends_before_the_first_look() -> None:
+async def test_a_process_that_ends_at_once() -> None:
     async with owned([sys.executable, "-c", "raise SystemExit(7)"], uuid.uuid4().hex) as process:
         assert await process.reap(PATIENCE_S) == 7
-        process.signal(signal.SIGKILL)  # names nobody any more
+        process.signal(signal.SIGKILL)  # the pidfd is closed: nothing is signalled
         assert process.pidfd == -1
 
 
 @looped
-async def test_children_carry_the_mark_and_one_that_begins_alike_does_not_count() -> None:
+async def test_children_carry_the_mark_and_a_common_prefix_does_not_match() -> None:
     mark = uuid.uuid4().hex
     child = f"import subprocess, time; subprocess.Popen({SLEEPER}); time.sleep(60)"
     async with (
@@ -73,13 +73,13 @@
 
 
 @looped
-async def test_a_number_that_has_passed_to_another_is_not_signalled(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_reused_pid_is_not_signalled(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = uuid.uuid4().hex
     async with owned(SLEEPER, mark) as process:
         await until(lambda: process.pid in marked(mark))
         from sorrelfront.lab.storm import processes
 
-        # As if the number had passed to a process that started at another time since the look.
+        # As if since the scan the pid had passed to a process with another start time.
         monkeypatch.setattr(processes, "marked", lambda _: {process.pid: 1})
         assert signal_all(mark, signal.SIGKILL) == 0
         assert await process.reap(0.1) is None
@@ -98,28 +98,30 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGTERM, signal.SIGINT, signal.SIGKILL])
-def test_nothing_is_left_when_the_rig_is_ended(how: signal.Signals, tmp_path: Path) -> None:
-    """Its children are looked for by an environment that only they have."""
+def test_no_process_is_left_when_the_harness_is_ended(how: signal.Signals, tmp_path: Path) -> None:
+    """The processes are found by an environment variable that only they have."""
     path, word = tmp_path / "long.toml", f"SORRELFRONT_TEST={uuid.uuid4().hex}"
     path.write_text(STORM)
     name, _, value = word.partition("=")
-    rig = subprocess.Popen(
+    harness = subprocess.Popen(
         [*STORM_RUN, str(path), "--keep", str(tmp_path / "kept")],
         cwd=ROOT, env={**os.environ, name: value}, stderr=subprocess.PIPE, stdout=subprocess.DEVNULL,
     )  # fmt: skip
     try:
         _until(lambda: b'"kind":"load"' in _content(tmp_path / "kept" / "history.jsonl"))
-        assert len(_with(word)) >= 6  # the rig, its keeper, two daemons, two instances
-        rig.send_signal(how)
-        rig.wait(PATIENCE_S)
-        _until(lambda: not _with(word))
+        assert (
+            len(_processes_with(word)) >= 6
+        )  # the harness, its clean-up process, two daemons, two instances
+        harness.send_signal(how)
+        harness.wait(PATIENCE_S)
+        _until(lambda: not _processes_with(word))
     finally:
-        for pid in _with(word):
+        for pid in _processes_with(word):
             with contextlib.suppress(ProcessLookupError):
                 os.kill(pid, signal.SIGKILL)
-        rig.wait()
-        assert rig.stderr is not None
-        rig.stderr.close()
+        harness.wait()
+        assert harness.stderr is not None
+        harness.stderr.close()
 
 
 def _content(path: Path) -> bytes:
@@ -134,8 +136,8 @@
         time.sleep(0.05)
 
 
-def _with(word: str) -> list[int]:
-    """Processes, other than those that have ended, with this word in their environment."""
+def _processes_with(word: str) -> list[int]:
+    """Return the pids of the live processes with this text in their environment."""
     found = []
     for entry in os.scandir("/proc"):
         with contextlib.suppress(OSError):
@@ -153,11 +155,11 @@
             sock.close()
     first, sock = claim_block(1)
     sock.close()
-    assert first in {block for block, _ in blocks}  # given back with the process
+    assert first in {block for block, _ in blocks}  # freed when the socket is closed
 
 
-def test_a_loop_that_never_ran_leaves_nothing(tmp_path: Path) -> None:
-    """A storm whose file cannot be read starts nothing."""
+def test_an_unreadable_scenario_starts_nothing(tmp_path: Path) -> None:
+    """A storm whose file cannot be read exits with an error and starts no process."""
     done = subprocess.run(
         [*STORM_RUN, str(tmp_path / "none.toml")],
         cwd=ROOT, capture_output=True, timeout=PATIENCE_S,
