--- a/sorrelfront/lab/storm/launch.py
+++ b/sorrelfront/lab/storm/launch.py
@@ -1,10 +1,11 @@
-"""Starts a program of the product with its seams set, and then runs the program's own main.
+"""Launcher for storms: replaces parts of a program (seams), then runs the program's own main.
 
 `python -m sorrelfront.lab.storm.launch -m MODULE ARGUMENTS`, with `SORRELFRONT_STORM_SEAMS` naming the host's
-folder of the rig. Three seams: the clock (every part reads the standard library's `time` module by name, the
-event loop too), the disk (`daemon.records.disk`), and the command by which the supervisor starts instances
-(`daemon.fleet.INSTANCE`), so that these come through here as well. Planted defects, for tests of the
-checkers, are set here as well and nowhere else."""
+folder in the harness. There are three seams: the clock (all code, including the event loop, looks up the
+functions of the standard library's `time` module by name), the disk (`daemon.records.disk`), and the command
+with which the supervisor starts instances (`daemon.fleet.INSTANCE`), so that they use this launcher as well.
+Planted defects, which test the checkers, are set only here.
+"""
 
 from __future__ import annotations
 
@@ -21,51 +22,54 @@
 SEAMS = "SORRELFRONT_STORM_SEAMS"
 PLANT = "SORRELFRONT_STORM_PLANT"
 CLOCK = "clock"
-# Rate, real monotonic ns and told monotonic ns since which it holds, and what the time of day is off by in
-# ns.
+# Rate, real and simulated monotonic time in ns from which the rate applies, offset of the time of day in ns.
 CLOCK_LAYOUT = struct.Struct("dqqq")
 PLANTS = (
     "repeats-unsafe", "forgets-drains", "skips-sync", "ignores-leases", "trusts-old-copies",
     "believes-widened", "wall-lifetimes", "asks-late", "sends-for-gone",
 )  # fmt: skip
-ASKS_LATE_US = 12_000_000  # of a planted defect: twice what a change may take to count as told
-GONE_FOR_S = 2.0
-HOSTILE = "hostile-partner"  # no defect of the program's: what a partner's program may do
+ASKS_LATE_US = 12_000_000  # of a planted defect: twice the time after which a change counts as told
+ABANDON_DELAY_S = 2.0
+HOSTILE = "hostile-partner"  # not a defect of the program: what the program of a partner might do
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """A host's clock as a line over the machine's."""
+    """A host's clock as a linear function of the machine's monotonic clock."""
 
     rate: float = 1.0
     since_ns: int = 0
-    told_ns: int = 0
-    off_ns: int = 0
+    simulated_ns: int = 0
+    offset_ns: int = 0
 
     def monotonic_ns(self, real_ns: int) -> int:
-        return self.told_ns + int((real_ns - self.since_ns) * self.rate)
+        """Return the host's monotonic time at this real monotonic time, both in ns."""
+        return self.simulated_ns + int((real_ns - self.since_ns) * self.rate)
 
     def stepped(self, by_s: float) -> Clock:
-        """The time of day jumps; elapsed time does not."""
-        return Clock(self.rate, self.since_ns, self.told_ns, self.off_ns + int(by_s * 1e9))
+        """Return a clock whose time of day is stepped by `by_s` seconds; its monotonic time is not."""
+        return Clock(self.rate, self.since_ns, self.simulated_ns, self.offset_ns + int(by_s * 1e9))
 
     def at_rate(self, rate: float, real_ns: int) -> Clock:
-        """Runs at another rate from now on, without a jump."""
-        return Clock(rate, real_ns, self.monotonic_ns(real_ns), self.off_ns)
+        """Return a clock that runs at another rate from `real_ns` on, without a step."""
+        return Clock(rate, real_ns, self.monotonic_ns(real_ns), self.offset_ns)
 
     def write(self, folder: Path) -> None:
-        data = CLOCK_LAYOUT.pack(self.rate, self.since_ns, self.told_ns, self.off_ns)
+        """Write the clock to the file that the programs of the host have mapped."""
+        data = CLOCK_LAYOUT.pack(self.rate, self.since_ns, self.simulated_ns, self.offset_ns)
         path = folder / CLOCK
         if not path.exists():
             path.write_bytes(data)
         else:
-            with path.open("r+b") as file:  # in place: it is mapped
+            with path.open("r+b") as file:  # in place, because programs have the file mapped
                 file.write(data)
 
 
 def set_clock(folder: Path) -> None:
-    """Have this process read time off the host's clock. Risk: a read while it is written mixes two lines; the
-    next read is right again."""
+    """Make this process use the host's clock.
+
+    A read during a write of the clock can mix old and new values; the next read is right again.
+    """
     with (folder / CLOCK).open("rb") as file:
         page = mmap.mmap(file.fileno(), CLOCK_LAYOUT.size, access=mmap.ACCESS_READ)
     real_monotonic, real_time = time.monotonic_ns, time.time_ns
@@ -86,46 +90,48 @@
 
 
 def plant(name: str) -> None:
-    """Make this process faulty, for a test that the checkers see it."""
+    """Plant a defect in this process, to test that the checkers find it."""
     if name == "repeats-unsafe":
         from sorrelfront.decisions import balancer as part
         from sorrelfront.decisions.interface import Outcome
 
-        told = part.Balancer.on_attempt_ended
+        original = part.Balancer.on_attempt_ended
 
         def on_attempt_ended(self: Any, ended: Any, now: int) -> Any:
-            """Holds every attempt that broke for one that never ran."""
+            """Treat every attempt that broke off as one that never ran."""
             if ended.outcome not in (Outcome.OK, Outcome.REJECTED, Outcome.UNSENT) and not ended.finished:
                 ended = ended._replace(outcome=Outcome.UNREACHABLE)
-            return told(self, ended, now)
+            return original(self, ended, now)
 
         part.Balancer.on_attempt_ended = on_attempt_ended  # type: ignore[method-assign,assignment]
     elif name == "forgets-drains":
         from sorrelfront.messages import Update
         from sorrelfront.sources.registry import Discovery
 
-        made, subscribe = Discovery.__init__, Discovery.subscribe
+        original_init, subscribe = Discovery.__init__, Discovery.subscribe
 
-        def make(self: Any, address: Any, revision: int, on_update: Any, *rest: Any) -> None:
-            def heard(update: Update) -> None:
-                self.storm_told = update if update.complete else getattr(self, "storm_told", update)
+        def init_recording_list(self: Any, address: Any, revision: int, on_update: Any, *rest: Any) -> None:
+            def on_list(update: Update) -> None:
+                self.storm_first_list = (
+                    update if update.complete else getattr(self, "storm_first_list", update)
+                )
                 on_update(update)
 
-            made(self, address, revision, heard, *rest)
+            original_init(self, address, revision, on_list, *rest)
 
-        def again(self: Any) -> None:
-            """Goes back to the whole list that it heard first, once its watch is gone."""
-            if getattr(self, "storm_told", None) is not None:
-                self._on_update(self.storm_told._replace(complete=True))
+        def subscribe_to_first_list(self: Any) -> None:
+            """Go back to the first full list that was received, once the watch is lost."""
+            if getattr(self, "storm_first_list", None) is not None:
+                self._on_update(self.storm_first_list._replace(complete=True))
             subscribe(self)
 
-        Discovery.__init__ = make  # type: ignore[method-assign,assignment]
-        Discovery.subscribe = again  # type: ignore[method-assign]
+        Discovery.__init__ = init_recording_list  # type: ignore[method-assign,assignment]
+        Discovery.subscribe = subscribe_to_first_list  # type: ignore[method-assign]
     elif name == "ignores-leases":
         from sorrelfront.fleet.council import Council, Standing
 
         def standing(self: Any) -> Standing:
-            """Serves on by the version that it has, as if its lease had no end."""
+            """Keep serving by the current version, as if its lease never expired."""
             return Standing.LEASED
 
         Council.standing = standing  # type: ignore[method-assign]
@@ -133,25 +139,25 @@
     elif name == "trusts-old-copies":
         from sorrelfront.decisions.fleet.copies import Copies, Levelled
 
-        made_copies = Copies.__init__
+        original_init_copies = Copies.__init__
 
-        def trusting(self: Any, *told: Any, **more: Any) -> None:
-            """Acts by what its own disk has, before any peer was asked."""
-            made_copies(self, *told, **more)
+        def init_and_trust(self: Any, *told: Any, **more: Any) -> None:
+            """Act on the copies from its own disk before any peer was asked."""
+            original_init_copies(self, *told, **more)
             self.level = True
             self._begin()
             self._out.append(Levelled())
 
-        Copies.__init__ = trusting  # type: ignore[method-assign]
+        Copies.__init__ = init_and_trust  # type: ignore[method-assign]
     elif name == "believes-widened":
         from sorrelfront.decisions.sites import offers, routes
         from sorrelfront.decisions.sites.offers import Why
 
-        judged = offers.fault
+        original_fault = offers.fault
 
         def fault(*told: Any) -> Any:
-            """Takes whatever terms a chain ends with for what its owner gave."""
-            why = judged(*told)
+            """Accept the terms at the end of a chain as those that the owner gave."""
+            why = original_fault(*told)
             return None if why in (Why.WIDENED, Why.NOT_PASSED_ON, Why.VALLEY) else why
 
         vars(routes)["fault"] = fault
@@ -160,7 +166,7 @@
         from sorrelfront.sites import carrier, requests
 
         def now_us() -> int:
-            """Counts lifetimes by the time of day."""
+            """Measure lifetimes by the time of day."""
             return time.time_ns() // 1_000
 
         for module in (border, carrier, requests):
@@ -169,7 +175,7 @@
         from sorrelfront.decisions.listing import BackOff
 
         def failed(self: Any, within_us: int, grace_us: int) -> int:
-            """Backs off from the list service for as long as some do, whatever counts as told."""
+            """Back off from the list service as long as some programs do, whatever counts as told."""
             return ASKS_LATE_US
 
         BackOff.failed = failed  # type: ignore[method-assign]
@@ -181,11 +187,11 @@
 
         abandon = Agent.abandon
 
-        def late(self: Any, held: Any) -> None:
-            """Goes on for a client that has left until its answer would have been of use."""
-            asyncio.get_running_loop().call_later(GONE_FOR_S, abandon, self, held)
+        def abandon_late(self: Any, held: Any) -> None:
+            """Keep working for a client that has left, for as long as its answer would have been useful."""
+            asyncio.get_running_loop().call_later(ABANDON_DELAY_S, abandon, self, held)
 
-        Agent.abandon = late  # type: ignore[method-assign]
+        Agent.abandon = abandon_late  # type: ignore[method-assign]
         Wire.hung_up = lambda self: False  # type: ignore[method-assign]
     elif name == HOSTILE:
         from random import Random
@@ -195,18 +201,19 @@
 
         on_ask = Border.on_ask
 
-        def spoilt(self: Any, *told: Any) -> Any:
-            tell = on_ask(self, *told)
+        def on_ask_spoilt(self: Any, *told: Any) -> Any:
+            reply = on_ask(self, *told)
             if not hasattr(self, "storm_hostile"):
                 self.storm_hostile = Hostile(self._sign, Random(), flood=True)
-            return None if tell is None else self.storm_hostile.spoil(self, tell)
+            return None if reply is None else self.storm_hostile.spoil(self, reply)
 
-        Border.on_ask = spoilt  # type: ignore[method-assign,assignment]
+        Border.on_ask = on_ask_spoilt  # type: ignore[method-assign,assignment]
     elif name != "skips-sync":
         raise SystemExit(f"{PLANT}: no defect is called {name!r}; there are {', '.join(PLANTS)}")
 
 
 def main() -> None:
+    """Set the seams and the planted defect, then run the module from the command line."""
     folder = Path(os.environ[SEAMS])
     if (folder / CLOCK).exists():
         set_clock(folder)
--- a/sorrelfront/lab/storm/links.py
+++ b/sorrelfront/lab/storm/links.py
@@ -1,13 +1,13 @@
-"""Links between hosts: whatever one host sends to another passes a relay that can delay, hold, lose or end
-it.
+"""TCP and UDP relays with faults: all traffic between hosts passes relays that delay, hold, drop or reset it.
 
-A `Link` says what happens to what `src` sends to `dst`; a connection has one for each direction. A relay
-stands in the place of the service that it leads to, on addresses of the storm's own, and decides nothing: it
-looks at its links whenever bytes come or a link is changed.
+A `Link` describes the faults on traffic from `src` to `dst`; a connection has one link for each direction. A
+relay listens on an address of the storm in place of the service behind it. It has no logic of its own: it
+reads its links whenever bytes arrive or a link is changed.
 
-What a cut does is what a network does that drops every packet (RFC 9293, 3.8.1): a sender sees silence, and
-what it sent passes once the link is whole again, as if sent again. A new connection through a cut link stays
-unanswered."""
+A cut behaves like a network that drops every packet (RFC 9293, 3.8.1): the sender sees silence, and what it
+sent is delivered once the link works again, as if retransmitted. A new connection through a cut link stays
+unanswered.
+"""
 
 from __future__ import annotations
 
@@ -27,36 +27,36 @@
 from sorrelfront.messages import Address
 
 BACKLOG = 1_024
-HELD_MOST = 64 * 1024  # bytes of one connection and direction that wait in the relay; then its sender waits
-PAIRS_MOST = 8_192  # connections of one relay; further ones are reset
-SOURCES_MOST = 256  # senders of datagrams that a relay tells apart; the longest silent one is forgotten
-DATAGRAMS_MOST = 1_024  # that wait in one direction of one relay; further ones are lost
-CONNECT_WITHIN_S = 5.0  # to the service behind the relay, on the same machine
-COSTS_MOST = 50_000  # of the relay's own delays that are remembered, the latest
-# of the kernel's: a burst of large datagrams is lost by the link, not by it
+MAX_BUFFERED_BYTES = 64 * 1024  # in the relay, for each connection and direction; then its sender waits
+MAX_CONNECTIONS = 8_192  # of one relay; further ones are reset
+MAX_UDP_SOURCES = 256  # of one relay; the one idle for longest is dropped
+MAX_DELAYED_DATAGRAMS = 1_024  # in one relay; further ones are lost
+CONNECT_TIMEOUT_S = 5.0  # to the service behind the relay, on the same machine
+MAX_DELAY_SAMPLES = 50_000  # of the relay's own delay; the latest are kept
+# Socket buffer: a burst of large datagrams is to be lost by the link, not by the kernel.
 DATAGRAM_BUFFER = 4 * 1024 * 1024
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER that has close() send a reset (socket(7))
-REFUSED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with which close() sends a reset (socket(7))
+NO_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 @dataclass(slots=True)
 class Link:
-    """What happens to what one host sends to another. Times in seconds, shares from 0 to 1."""
+    """The faults on traffic from one host to another. Times in seconds, probabilities from 0 to 1."""
 
     src: str
     dst: str
     cut: bool = False  # nothing passes
     refuse: bool = False  # new connections are refused
     delay: float = 0.0
-    spread: float = 0.0  # up to so much more, drawn evenly; bytes of a connection keep their order
-    loss: float = 0.0  # of datagrams
-    double: float = 0.0
-    reorder: float = 0.0  # share of datagrams that are held back behind later ones
-    rate: float = 0.0  # bytes a second; 0: any
-    free_at: float = field(default=0.0, repr=False)  # when what was sent before has passed a narrow link
+    spread: float = 0.0  # extra delay, drawn evenly up to this; a connection's bytes keep their order
+    loss: float = 0.0  # probability that a datagram is lost
+    double: float = 0.0  # probability that a datagram is duplicated
+    reorder: float = 0.0  # probability that a datagram is held back until the next one has passed
+    rate: float = 0.0  # bytes a second; 0: unlimited
+    free_at: float = field(default=0.0, repr=False)  # when a rate-limited link has passed all earlier bytes
 
     def due(self, now: float, size: int, rng: np.random.Generator) -> float:
-        """When so many bytes, sent now, come out at the other end."""
+        """Return when `size` bytes that are sent now arrive at the other end, in monotonic seconds."""
         if not self.delay and not self.spread and not self.rate:
             return now
         at = now + self.delay + (self.spread * float(rng.random()) if self.spread else 0.0)
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Who sent what a server takes from a relay's connection."""
+    """The host behind a connection that a service accepted from a relay."""
 
     host: str
     sent_at: float  # of its latest bytes, in monotonic seconds, when they reached the relay
@@ -81,18 +81,21 @@
     """All links of one storm and the relays on them."""
 
     def __init__(self, rng: np.random.Generator) -> None:
+        """Create a network without links or relays; `rng` decides on losses and delays."""
         self.rng = rng
         self.links: dict[tuple[str, str], Link] = {}
         self.relays: list[TcpRelay | UdpRelay] = []
-        self.costs: deque[float] = deque(maxlen=COSTS_MOST)  # seconds that undelayed bytes spent in a relay
-        self.refused = 0  # connections that a relay had no room for
-        self.places: dict[Address, _Pair] = {}  # by our address at the service
+        # Seconds that undelayed bytes spent in a relay.
+        self.own_delays: deque[float] = deque(maxlen=MAX_DELAY_SAMPLES)
+        self.refused = 0  # connections over a relay's limit or without a file descriptor
+        self.connections: dict[Address, _RelayedConnection] = {}  # by the relay's own address
 
     def link(self, src: str, dst: str) -> Link:
+        """Return the link from `src` to `dst`; it is created without faults if there is none."""
         return self.links.setdefault((src, dst), Link(src, dst))
 
     def change(self, pairs: Iterable[tuple[str, str]], **fields: Any) -> None:
-        """Have these links be otherwise from now on."""
+        """Set these fields on the links of these pairs, and have the relays apply them."""
         changed = set(pairs)
         for src, dst in changed:
             link = self.link(src, dst)
@@ -100,54 +103,57 @@
                 assert name in FIELDS
                 setattr(link, name, value)
         for relay in self.relays:
-            if relay.on(changed):
-                relay.changed()
+            if relay.carries(changed):
+                relay.apply_links()
 
     def reset(self, pairs: Iterable[tuple[str, str]]) -> int:
-        """End every connection between these hosts at both sides at once. How many."""
+        """Reset every connection between these hosts on both sides at once; return how many."""
         wanted = set(pairs)
         return sum(relay.reset(wanted) for relay in self._tcp(wanted))
 
     def forget(self, pairs: Iterable[tuple[str, str]]) -> int:
-        """Leave every connection between these hosts half open for good: each side believes in it, and
-        nothing passes any more. How many."""
+        """Leave every connection between these hosts half open for good; return how many.
+
+        Each side takes the connection to be open, but nothing passes any more.
+        """
         wanted = set(pairs)
         return sum(relay.forget(wanted) for relay in self._tcp(wanted))
 
     def _tcp(self, wanted: set[tuple[str, str]]) -> list[TcpRelay]:
-        return [item for item in self.relays if isinstance(item, TcpRelay) and item.on(wanted)]
+        return [item for item in self.relays if isinstance(item, TcpRelay) and item.carries(wanted)]
 
     def origin(self, peer: Address) -> Origin | None:
-        """Who is behind the connection that a service sees from `peer`."""
-        pair = self.places.get(peer)
-        return None if pair is None else Origin(pair.src, pair.sent_at)
+        """Return the host behind the connection that a service sees from `peer`, or None."""
+        connection = self.connections.get(peer)
+        return None if connection is None else Origin(connection.src, connection.sent_at)
 
     def figures(self) -> dict[str, float]:
-        """The relays' own delay in microseconds: of the bytes that no link delayed."""
-        if not self.costs:
+        """Return the relays' own delay in microseconds, measured on bytes that no link delayed."""
+        if not self.own_delays:
             return {"relayed": 0, "relay_p50_us": 0.0, "relay_p99_us": 0.0}
-        p50, p99 = np.percentile(np.fromiter(self.costs, float), [50, 99]) * 1e6
+        p50, p99 = np.percentile(np.fromiter(self.own_delays, float), [50, 99]) * 1e6
         return {
-            "relayed": len(self.costs), "relay_p50_us": round(float(p50), 1),
+            "relayed": len(self.own_delays), "relay_p50_us": round(float(p50), 1),
             "relay_p99_us": round(float(p99), 1),
         }  # fmt: skip
 
     def close(self) -> None:
+        """Close all relays and their connections."""
         for relay in self.relays:
             relay.close()
 
 
-class _End(asyncio.Protocol):
-    """One side of a relayed connection, and the way from it to the other side."""
+class _Endpoint(asyncio.Protocol):
+    """One side of a relayed connection, with the queue of bytes from it to the other side."""
 
-    def __init__(self, pair: _Pair, link: Link) -> None:
-        self.pair = pair
+    def __init__(self, connection: _RelayedConnection, link: Link) -> None:
+        self.connection = connection
         self.link = link
-        self.other: _End = self
+        self.other: _Endpoint = self
         self.transport: asyncio.Transport | None = None
-        self.full = False  # the kernel takes nothing more to this side for now
-        self.waiting: deque[tuple[float, bytes | None]] = deque()  # None: the end
-        self.held = 0
+        self.full = False  # the kernel's send buffer to this side is full
+        self.waiting: deque[tuple[float, bytes | None]] = deque()  # time due and data; None: end of stream
+        self.buffered = 0
         self._paused = False
         self._ended = False
         self._timer: asyncio.TimerHandle | None = None
@@ -160,25 +166,31 @@
         self.other.pump()
 
     def data_received(self, data: bytes) -> None:
-        pair = self.pair
-        if pair.silent:
+        connection = self.connection
+        if connection.half_open:
             return
-        came = time.monotonic()
-        if self is pair.near:
-            pair.sent_at = came
-            if pair.relay.sent is not None:
-                pair.relay.sent(pair.number, data)
-        due = self.link.due(came, len(data), pair.relay.network.rng)
+        received_at = time.monotonic()
+        if self is connection.client_side:
+            connection.sent_at = received_at
+            if connection.relay.sent is not None:
+                connection.relay.sent(connection.number, data)
+        due = self.link.due(received_at, len(data), connection.relay.network.rng)
         other = self.other
-        if due <= came and not self.waiting and not self.link.cut and not other.full and other.transport:
+        if (
+            due <= received_at
+            and not self.waiting
+            and not self.link.cut
+            and not other.full
+            and other.transport
+        ):
             self._pass(data)
-            pair.relay.network.costs.append(time.monotonic() - came)
+            connection.relay.network.own_delays.append(time.monotonic() - received_at)
             return
         self._last_due = max(due, self._last_due)
         self.waiting.append((self._last_due, data))
-        self.held += len(data)
-        # Risk: a fast sender on a narrow or cut link. Harm: none, a real one would wait as well.
-        if self.held > HELD_MOST and not self._paused and self.transport is not None:
+        self.buffered += len(data)
+        # A fast sender on a rate-limited or cut link has to wait, as it would on a real network.
+        if self.buffered > MAX_BUFFERED_BYTES and not self._paused and self.transport is not None:
             self._paused = True
             self.transport.pause_reading()
         self.pump()
@@ -187,25 +199,29 @@
         assert self.other.transport is not None
         other_ended = self.other._ended
         self.other.transport.write(data)
-        # What comes after its own end is read by nobody at the near side: it has closed.
-        if self.pair.relay.passed is not None and self is self.pair.far and not other_ended:
-            self.pair.relay.passed(self.pair.number, data)
+        # Data for the client after the client's own end is not read any more: the client has closed.
+        if (
+            self.connection.relay.passed is not None
+            and self is self.connection.service_side
+            and not other_ended
+        ):
+            self.connection.relay.passed(self.connection.number, data)
 
     def eof_received(self) -> bool:
         self._end()
-        return True  # the other direction goes on: a half-close
+        return True  # keep the transport: the other direction stays open (half-close)
 
     def connection_lost(self, fault: Exception | None) -> None:
         self.transport = None
         if self._timer is not None:
             self._timer.cancel()
         if fault is not None:
-            self.pair.broken = True
+            self.connection.broken = True
         self._end()
-        self.pair.lost(self)
+        self.connection.lost(self)
 
     def _end(self) -> None:
-        if self._ended or self.pair.silent:
+        if self._ended or self.connection.half_open:
             return
         self._ended = True
         self.waiting.append((self._last_due, None))
@@ -219,30 +235,30 @@
         self.other.pump()
 
     def pump(self) -> None:
-        """Pass on what is due."""
+        """Forward the bytes that are due, in order."""
         now = time.monotonic()
         other = self.other
         while self.waiting and not self.link.cut and not other.full and other.transport is not None:
             due, data = self.waiting[0]
             if due > now:
-                self._wake(due - now)
+                self._schedule_pump(due - now)
                 break
             self.waiting.popleft()
             if data is None:
-                if self.pair.broken:
+                if self.connection.broken:
                     _reset(other.transport)
                 elif other.transport.can_write_eof():
-                    with contextlib.suppress(OSError):  # it was reset a moment ago, and is told in a moment
+                    with contextlib.suppress(OSError):  # already reset; connection_lost follows
                         other.transport.write_eof()
                 continue
-            self.held -= len(data)
+            self.buffered -= len(data)
             self._pass(data)
-        if self._paused and self.held <= HELD_MOST // 2 and self.transport is not None:
+        if self._paused and self.buffered <= MAX_BUFFERED_BYTES // 2 and self.transport is not None:
             self._paused = False
             self.transport.resume_reading()
-        self.pair.settle()
+        self.connection.settle()
 
-    def _wake(self, delay: float) -> None:
+    def _schedule_pump(self, delay: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(delay, self.pump)
@@ -256,80 +272,85 @@
 
 
 def _reset(transport: asyncio.Transport) -> None:
-    """End it by a reset, whatever the kernel still holds to send."""
+    """Close the transport with a reset, discarding what the kernel still has to send."""
     sock = transport.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     transport.abort()
 
 
-class _Pair:
-    """A connection at the relay and the one that it made to the service."""
+class _RelayedConnection:
+    """A connection from a client to the relay, and the relay's connection to the service."""
 
     def __init__(self, relay: TcpRelay, number: int, src: str) -> None:
         network = relay.network
         self.relay = relay
         self.number = number
         self.src = src
-        self.near = _End(self, network.link(src, relay.dst))
-        self.far = _End(self, network.link(relay.dst, src))
-        self.near.other, self.far.other = self.far, self.near
+        self.client_side = _Endpoint(self, network.link(src, relay.dst))
+        self.service_side = _Endpoint(self, network.link(relay.dst, src))
+        self.client_side.other, self.service_side.other = self.service_side, self.client_side
         self.sent_at = time.monotonic()
-        self.silent = False  # half open for good
+        self.half_open = False  # left half open for good
         self.broken = False  # ended by a reset
         self.opening: asyncio.Task[None] | None = None
-        self._place: Address | None = None
+        self._local_address: Address | None = None
 
     async def open(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await loop.connect_accepted_socket(lambda: self.near, sock)
+            await loop.connect_accepted_socket(lambda: self.client_side, sock)
         except OSError:
             sock.close()
-            self.relay.forget_pair(self)
+            self.relay.discard_connection(self)
             return
         try:
-            async with asyncio.timeout(CONNECT_WITHIN_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 ours, _ = await loop.create_connection(
-                    lambda: self.far, *self.relay.target, local_addr=(self.relay.target[0], 0)
+                    lambda: self.service_side, *self.relay.target, local_addr=(self.relay.target[0], 0)
                 )
         except OSError:
-            # Harm: the caller sees a reset where the service itself would have refused the connection.
-            if self.near.transport is not None:
-                _reset(self.near.transport)
+            # The client sees a reset here, where the service itself would have refused the connection.
+            if self.client_side.transport is not None:
+                _reset(self.client_side.transport)
             return
-        place: Address = ours.get_extra_info("sockname")
-        self._place = place
-        self.relay.network.places[place] = self
-        if self.near.transport is None:
-            self.near.pump()
+        local_address: Address = ours.get_extra_info("sockname")
+        self._local_address = local_address
+        self.relay.network.connections[local_address] = self
+        if self.client_side.transport is None:
+            self.client_side.pump()
 
-    def lost(self, end: _End) -> None:
+    def lost(self, end: _Endpoint) -> None:
         self.settle()
 
     def settle(self) -> None:
-        """Close what nothing can come from any more, and forget it once both sides are gone."""
-        for end in (self.near, self.far):
+        """Close sides that cannot receive anything more, and drop the connection once both are closed."""
+        for end in (self.client_side, self.service_side):
             if end._ended and not end.waiting and end.transport is None and end.other.transport is not None:
-                # Its peer has gone for good, and has all that was sent.
+                # This side is closed, and everything that it sent has been forwarded.
                 if self.broken:
                     _reset(end.other.transport)
                 elif end.other._ended or not end.other.transport.can_write_eof():
                     end.other.transport.close()
-        both_said = self.near._ended and self.far._ended and not self.near.waiting and not self.far.waiting
-        for end in (self.near, self.far):
-            if both_said and end.transport is not None:
+        both_ended = (
+            self.client_side._ended
+            and self.service_side._ended
+            and not self.client_side.waiting
+            and not self.service_side.waiting
+        )
+        for end in (self.client_side, self.service_side):
+            if both_ended and end.transport is not None:
                 end.transport.close()
         if (
-            self.near.transport is None
-            and self.far.transport is None
+            self.client_side.transport is None
+            and self.service_side.transport is None
             and (self.opening is None or self.opening.done())
         ):
-            self.relay.forget_pair(self)
+            self.relay.discard_connection(self)
 
     def reset(self) -> None:
         self.broken = True
-        for end in (self.near, self.far):
+        for end in (self.client_side, self.service_side):
             end.waiting.clear()
             if end.transport is not None:
                 _reset(end.transport)
@@ -337,12 +358,12 @@
     def stop(self) -> None:
         if self.opening is not None:
             self.opening.cancel()
-        for end in (self.near, self.far):
+        for end in (self.client_side, self.service_side):
             end.stop()
 
 
 class TcpRelay:
-    """Stands on an address of `dst` for connections that come from `src`."""
+    """Listens on an address of `dst` for connections from `src`, and forwards them to the service."""
 
     def __init__(
         self,
@@ -354,34 +375,40 @@
         hosts: dict[str, str] | None = None,
         address: Address | None = None,
     ) -> None:
-        """`passed` is called with a connection's number and what `src` has been sent on it. With `hosts`,
-        names by addresses, it is for all hosts, each told by where its connections come from; a cut then
-        holds a new connection open and silent, since the kernel's queue is one for all."""
+        """Start to listen, and add the relay to the network.
+
+        `passed` is called with the number of a connection and the bytes that `src` was sent on it. With
+        `hosts` (names by address) the relay serves all hosts, identified by the source address of their
+        connections; a cut then holds a new connection open and silent, because the hosts share one accept
+        queue in the kernel.
+        """
         self.network = network
         self.src, self.dst = src, dst
         self.target = target
         self.passed = passed
-        # Called with a connection's number and what `src` sends on it, as it comes.
+        # Called with the number of a connection and the bytes that `src` sends on it, as they arrive.
         self.sent: Callable[[int, bytes], None] | None = None
         self.address: Address = address or (target[0], 0)
         self._hosts = hosts
-        self.down = False  # nobody listens behind it
+        self.down = False  # the service behind it does not listen
         self.accepted = 0
-        self._pairs: set[_Pair] = set()
+        self._connections: set[_RelayedConnection] = set()
         self._sock: socket.socket | None = None
         self._fillers: list[socket.socket] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._listen()
         network.relays.append(self)
 
-    def on(self, pairs: set[tuple[str, str]]) -> bool:
+    def carries(self, pairs: set[tuple[str, str]]) -> bool:
+        """Return whether the relay forwards traffic of one of these pairs of hosts."""
         if self._hosts is not None:
             return any(self.dst in pair for pair in pairs)
         return (self.src, self.dst) in pairs or (self.dst, self.src) in pairs
 
     @property
     def open(self) -> int:
-        return len(self._pairs)
+        """Return the number of open connections."""
+        return len(self._connections)
 
     def _listen(self) -> None:
         self._sock = socket.create_server(self.address, backlog=BACKLOG)
@@ -390,7 +417,7 @@
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(64):  # then others have their turn
+        for _ in range(64):  # then other callbacks of the loop run
             if self._sock is None:
                 return
             try:
@@ -398,16 +425,16 @@
             except BlockingIOError:
                 return
             except OSError as fault:
-                if fault.errno in REFUSED:
+                if fault.errno in NO_RESOURCES:
                     self.network.refused += 1
                 return
-            self._take(sock)
+            self._relay_accepted(sock)
 
-    def _take(self, sock: socket.socket) -> None:
+    def _relay_accepted(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        if len(self._pairs) >= PAIRS_MOST:
+        if len(self._connections) >= MAX_CONNECTIONS:
             self.network.refused += 1
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             return
         self.accepted += 1
@@ -415,38 +442,42 @@
         if self._hosts is not None:
             try:
                 peer = sock.getpeername()[0]
-            except OSError:  # it has ended already
+            except OSError:  # already closed by its client
                 sock.close()
                 return
             src = self._hosts.get(peer, peer)
             if self.network.link(src, self.dst).refuse:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 sock.close()
                 return
-        pair = _Pair(self, self.accepted, src)
-        self._pairs.add(pair)
-        task = asyncio.create_task(pair.open(sock))
-        pair.opening = task
+        connection = _RelayedConnection(self, self.accepted, src)
+        self._connections.add(connection)
+        task = asyncio.create_task(connection.open(sock))
+        connection.opening = task
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(lambda _: pair.settle())
+        task.add_done_callback(lambda _: connection.settle())
 
-    def forget_pair(self, pair: _Pair) -> None:
-        self._pairs.discard(pair)
-        if pair._place is not None and self.network.places.get(pair._place) is pair:
-            del self.network.places[pair._place]
+    def discard_connection(self, connection: _RelayedConnection) -> None:
+        """Drop a connection whose sides are both closed."""
+        self._connections.discard(connection)
+        if (
+            connection._local_address is not None
+            and self.network.connections.get(connection._local_address) is connection
+        ):
+            del self.network.connections[connection._local_address]
 
     def serve(self, up: bool) -> None:
-        """Whether anybody listens behind it: if not, connections are refused as by the service's kernel."""
+        """Set whether the service behind it listens; if not, new connections are refused as by its kernel."""
         self.down = not up
-        self.changed()
-
-    def changed(self) -> None:
-        """Go by the links as they are now."""
-        there, back = self.network.link(self.src, self.dst), self.network.link(self.dst, self.src)
-        alone = self._hosts is None
-        stalled = alone and (there.cut or back.cut) and not self.down
-        if self.down or (alone and there.refuse):
+        self.apply_links()
+
+    def apply_links(self) -> None:
+        """Apply the current state of the links."""
+        forward, reverse = self.network.link(self.src, self.dst), self.network.link(self.dst, self.src)
+        one_source = self._hosts is None
+        stalled = one_source and (forward.cut or reverse.cut) and not self.down
+        if self.down or (one_source and forward.refuse):
             self._unstall()
             if self._sock is not None:
                 asyncio.get_running_loop().remove_reader(self._sock.fileno())
@@ -459,13 +490,16 @@
                 self._stall()
             elif not stalled:
                 self._unstall()
-        for pair in list(self._pairs):
-            pair.near.pump()
-            pair.far.pump()
+        for connection in list(self._connections):
+            connection.client_side.pump()
+            connection.service_side.pump()
 
     def _stall(self) -> None:
-        """Leave new connections unanswered, as if their first packet were lost: the queue is made as short as
-        it can be and filled by connections of our own (listen(2): the kernel then drops what comes)."""
+        """Leave new connections unanswered, as if their SYN were lost.
+
+        The accept queue is made as short as possible and filled with connections of the relay itself; the
+        kernel then drops further SYNs (listen(2)).
+        """
         assert self._sock is not None
         asyncio.get_running_loop().remove_reader(self._sock.fileno())
         self._accept_waiting()
@@ -486,7 +520,7 @@
             if peer in own:
                 sock.close()
             else:
-                self._take(sock)
+                self._relay_accepted(sock)
 
     def _unstall(self) -> None:
         if not self._fillers:
@@ -499,41 +533,46 @@
             filler.close()
         self._fillers.clear()
 
-    def _between(self, wanted: set[tuple[str, str]]) -> list[_Pair]:
+    def _between(self, wanted: set[tuple[str, str]]) -> list[_RelayedConnection]:
         return [
-            pair for pair in self._pairs if (pair.src, self.dst) in wanted or (self.dst, pair.src) in wanted
+            connection
+            for connection in self._connections
+            if (connection.src, self.dst) in wanted or (self.dst, connection.src) in wanted
         ]
 
     def reset(self, wanted: set[tuple[str, str]]) -> int:
-        pairs = self._between(wanted)
-        for pair in pairs:
-            pair.reset()
-        return len(pairs)
+        """Reset the connections between these hosts; return how many."""
+        connections = self._between(wanted)
+        for connection in connections:
+            connection.reset()
+        return len(connections)
 
     def forget(self, wanted: set[tuple[str, str]]) -> int:
-        pairs = [pair for pair in self._between(wanted) if not pair.silent]
-        for pair in pairs:
-            pair.silent = True
-            for end in (pair.near, pair.far):
+        """Leave the connections between these hosts half open; return how many."""
+        connections = [connection for connection in self._between(wanted) if not connection.half_open]
+        for connection in connections:
+            connection.half_open = True
+            for end in (connection.client_side, connection.service_side):
                 end.waiting.clear()
-                end.held = 0
-        return len(pairs)
+                end.buffered = 0
+        return len(connections)
 
     def close(self) -> None:
+        """Stop listening and abort all connections."""
         if self._sock is not None:
             asyncio.get_running_loop().remove_reader(self._sock.fileno())
             self._sock.close()
             self._sock = None
         for filler in self._fillers:
             filler.close()
-        for pair in list(self._pairs):
-            pair.stop()
+        for connection in list(self._connections):
+            connection.stop()
         for task in self._tasks:
             task.cancel()
 
 
-class _Back(asyncio.DatagramProtocol):
-    """Brings what the service answers back to the one who asked."""
+class _ReplyProtocol(asyncio.DatagramProtocol):
+    """Receives the service's replies to one source and sends them back to it."""
 
     def __init__(self, relay: UdpRelay, source: Address) -> None:
         self.relay = relay
@@ -542,12 +581,15 @@
     def datagram_received(self, data: bytes, _: Any) -> None:
         relay = self.relay
         link = relay.network.link(relay.dst, relay.host_of(self.source))
-        relay.send(link, data, lambda: relay.back(data, self.source))
+        relay.send(link, data, lambda: relay.reply(data, self.source))
 
 
 class UdpRelay(asyncio.DatagramProtocol):
-    """Stands on an address of `dst` for datagrams; who sent one is told by its source address. What is cut or
-    lost is gone."""
+    """Listens on an address of `dst` for datagrams, and forwards them to the service.
+
+    The sending host is identified by the source address. Datagrams on a cut link are lost, not delivered
+    later.
+    """
 
     def __init__(
         self,
@@ -557,7 +599,7 @@
         hosts: dict[str, str],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """`hosts`: names of hosts by their addresses. Use `start`."""
+        """Create the relay, which `start` opens; `hosts` has the names of hosts by address."""
         self.network = network
         self.dst = dst
         self.target = target
@@ -566,39 +608,45 @@
         self._hosts = hosts
         self._loop = loop
         self._transport: asyncio.DatagramTransport | None = None
-        self._ways: dict[Address, asyncio.DatagramTransport] = {}  # by source, the longest silent first
+        # By source; the one idle for longest is first.
+        self._transports: dict[Address, asyncio.DatagramTransport] = {}
         self._opening: dict[Address, asyncio.Task[None]] = {}
         self._timers: set[asyncio.TimerHandle] = set()
-        self._after: dict[tuple[str, str], Callable[[], None]] = {}  # held back until the next one has gone
+        # By link: the datagram that is held back until the next one has passed.
+        self._held_back: dict[tuple[str, str], Callable[[], None]] = {}
         network.relays.append(self)
 
     async def start(self, address: Address | None = None) -> UdpRelay:
+        """Open the socket, at this address or any free port; raises OSError."""
         transport, _ = await self._loop.create_datagram_endpoint(
             lambda: self, local_addr=address or self.address
         )
-        _roomy(transport)
+        _enlarge_buffers(transport)
         self._transport = transport
         self.address = transport.get_extra_info("sockname")
         return self
 
-    def on(self, pairs: set[tuple[str, str]]) -> bool:
+    def carries(self, pairs: set[tuple[str, str]]) -> bool:
+        """Return whether the relay's service is in one of these pairs of hosts."""
         return any(self.dst in pair for pair in pairs)
 
-    def changed(self) -> None:
-        """Each datagram looks at the links when it comes."""
+    def apply_links(self) -> None:
+        """Do nothing: the links are read anew for each datagram."""
 
     def host_of(self, source: Address) -> str:
+        """Return the name of the host with this address, or the IP address itself if it is unknown."""
         return self._hosts.get(source[0], source[0])
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        came = time.monotonic()
+        """Forward a datagram to the service as the link allows."""
+        received_at = time.monotonic()
         link = self.network.link(self.host_of(source), self.dst)
         self.send(link, data, lambda: self._forward(data, source))
         if not link.delay and not link.spread and not link.rate:
-            self.network.costs.append(time.monotonic() - came)
+            self.network.own_delays.append(time.monotonic() - received_at)
 
-    def send(self, link: Link, data: bytes, go: Callable[[], None]) -> None:
-        """Have the datagram fare as the link has it."""
+    def send(self, link: Link, data: bytes, deliver: Callable[[], None]) -> None:
+        """Lose, duplicate, delay or deliver a datagram as the link says; `deliver` delivers it."""
         rng = self.network.rng
         if link.cut or (link.loss and rng.random() < link.loss):
             self.lost += 1
@@ -607,42 +655,42 @@
             now = time.monotonic()
             due = link.due(now, len(data), rng)
             if due <= now:
-                self._pass(link, go)
-            elif len(self._timers) < DATAGRAMS_MOST:
-                self._later(due - now, lambda: self._pass(link, go))
+                self._pass(link, deliver)
+            elif len(self._timers) < MAX_DELAYED_DATAGRAMS:
+                self._later(due - now, lambda: self._pass(link, deliver))
             else:
                 self.lost += 1
 
-    def _pass(self, link: Link, go: Callable[[], None]) -> None:
+    def _pass(self, link: Link, deliver: Callable[[], None]) -> None:
         key = (link.src, link.dst)
-        earlier = self._after.pop(key, None)
+        earlier = self._held_back.pop(key, None)
         if earlier is None and link.reorder and self.network.rng.random() < link.reorder:
-            self._after[key] = go
-            self._later(0.05, lambda: self._release(key, go))  # if nothing comes after it
+            self._held_back[key] = deliver
+            self._later(0.05, lambda: self._release(key, deliver))  # if no other datagram follows
             return
-        go()
+        deliver()
         if earlier is not None:
             earlier()
 
-    def _release(self, key: tuple[str, str], go: Callable[[], None]) -> None:
-        if self._after.get(key) is go:
-            del self._after[key]
-            go()
+    def _release(self, key: tuple[str, str], deliver: Callable[[], None]) -> None:
+        if self._held_back.get(key) is deliver:
+            del self._held_back[key]
+            deliver()
 
-    def _later(self, delay: float, then: Callable[[], None]) -> None:
+    def _later(self, delay: float, action: Callable[[], None]) -> None:
         def run() -> None:
             self._timers.discard(timer)
-            then()
+            action()
 
         timer = self._loop.call_later(delay, run)
         self._timers.add(timer)
 
     def _forward(self, data: bytes, source: Address) -> None:
-        way = self._ways.pop(source, None)
-        if way is not None:
-            self._ways[source] = way
-            way.sendto(data)
-        elif source not in self._opening and len(self._opening) < SOURCES_MOST:
+        transport = self._transports.pop(source, None)
+        if transport is not None:
+            self._transports[source] = transport
+            transport.sendto(data)
+        elif source not in self._opening and len(self._opening) < MAX_UDP_SOURCES:
             task = self._loop.create_task(self._open(data, source))
             self._opening[source] = task
             task.add_done_callback(lambda _: self._opening.pop(source, None))
@@ -651,34 +699,36 @@
 
     async def _open(self, data: bytes, source: Address) -> None:
         try:
-            way, _ = await self._loop.create_datagram_endpoint(
-                lambda: _Back(self, source), local_addr=(self.target[0], 0), remote_addr=self.target
+            transport, _ = await self._loop.create_datagram_endpoint(
+                lambda: _ReplyProtocol(self, source), local_addr=(self.target[0], 0), remote_addr=self.target
             )
         except OSError:
             self.lost += 1
             return
-        _roomy(way)
-        if len(self._ways) >= SOURCES_MOST:
-            self._ways.pop(next(iter(self._ways))).close()
-        self._ways[source] = way
-        way.sendto(data)
-
-    def back(self, data: bytes, source: Address) -> None:
+        _enlarge_buffers(transport)
+        if len(self._transports) >= MAX_UDP_SOURCES:
+            self._transports.pop(next(iter(self._transports))).close()
+        self._transports[source] = transport
+        transport.sendto(data)
+
+    def reply(self, data: bytes, source: Address) -> None:
+        """Send a reply of the service to the source."""
         if self._transport is not None:
             self._transport.sendto(data, source)
 
     def close(self) -> None:
+        """Cancel delayed datagrams and close all sockets."""
         for timer in self._timers:
             timer.cancel()
         for task in list(self._opening.values()):
             task.cancel()
-        for way in self._ways.values():
-            way.close()
+        for transport in self._transports.values():
+            transport.close()
         if self._transport is not None:
             self._transport.close()
 
 
-def _roomy(transport: asyncio.DatagramTransport) -> None:
+def _enlarge_buffers(transport: asyncio.DatagramTransport) -> None:
     sock = transport.get_extra_info("socket")
     for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
         sock.setsockopt(socket.SOL_SOCKET, option, DATAGRAM_BUFFER)
--- a/sorrelfront/lab/storm/report.py
+++ b/sorrelfront/lab/storm/report.py
@@ -1,5 +1,7 @@
-"""A storm on one page: a self-contained HTML file with a timeline in SVG, verdicts, and the log around each
-breach."""
+"""The HTML report of a storm: one self-contained page.
+
+It has a timeline in SVG, the verdicts, and the log around each breach.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +31,10 @@
 
 
 def write(folder: Path) -> Path:
-    """Write `report.html` into a kept storm's folder. Raises OSError and ValueError."""
+    """Write `report.html` into the folder of a kept storm and return its path.
+
+    Raises OSError, and ValueError if the history or the verdict cannot be read.
+    """
     events = read(folder / HISTORY)
     verdict = msgspec.json.decode((folder / VERDICT).read_bytes())
     path = folder / "report.html"
@@ -38,7 +43,7 @@
 
 
 def page(events: list[Event], verdict: dict[str, Any], folder: Path) -> str:
-    """The whole page."""
+    """Return the HTML of the whole page."""
     result = verdict["result"]
     rules = "".join(
         f"<tr><td>{html.escape(name)}</td><td class={'broken' if row['breaches'] else 'held'}>"
@@ -69,7 +74,7 @@
 
 
 def _breaches(events: list[Event], verdict: dict[str, Any]) -> str:
-    """The log around each of the first breaches."""
+    """Return the HTML of the first breaches, each with the log around it."""
     said = [event for event in events if event["kind"] in ("said", "fault")]
     times = [event["t"] for event in said]
     parts = []
@@ -91,8 +96,10 @@
 
 
 def bars(events: list[Event], host: str, end: float, instance: str = "") -> list[tuple[float, float, str]]:
-    """States in a row, since when, until when, and which: of a host's supervisor, or of one of its
-    instances."""
+    """Return consecutive states as (begin, end, state), in seconds.
+
+    They are those of a host's supervisor, or of one of its instances if `instance` is given.
+    """
     state, ready, wanted, running, phase = "down", 0, 1, 0, "down"
     marks: list[tuple[float, str]] = [(0.0, "down")]
     freezes: set[int] = set()
@@ -106,7 +113,7 @@
             if event["phase"] == "begin" and event["what"] in ("kill", "power"):
                 running, ready, phase = 0, 0, "down"
             elif event["phase"] == "begin" and event["what"] == "kill-supervisor":
-                running = 0  # its instances go on
+                running = 0  # its instances keep running
         elif event.get("host") != host:
             continue
         elif kind == "start":
@@ -133,8 +140,8 @@
     return [(at, until, name) for (at, name), until in zip(marks, times, strict=True)]
 
 
-def _rows(events: list[Event]) -> list[tuple[str, str, str]]:
-    """What there is a row for: a label, the host, and the instance or nothing."""
+def _timeline_rows(events: list[Event]) -> list[tuple[str, str, str]]:
+    """Return the rows of the timeline: label, host, and instance or an empty text."""
     head = next(event for event in events if event["kind"] == "storm")
     told = {(event["host"], event["instance"]) for event in events if event["kind"] == "phase"}
     rows = []
@@ -145,7 +152,7 @@
 
 
 def timeline(events: list[Event]) -> str:
-    """The picture: hosts, faults, service, latency."""
+    """Return the SVG with hosts, faults, answers and latency over time."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -153,26 +160,26 @@
     from matplotlib.patches import Patch
 
     end = events[-1]["t"]
-    rows = _rows(events)
+    rows = _timeline_rows(events)
     faults = _faults(events, end)
-    figure, (top, middle, rate, slow) = pyplot.subplots(
+    figure, (host_axes, fault_axes, rate_axes, latency_axes) = pyplot.subplots(
         4, 1, sharex=True, figsize=(11, 5.0 + 0.2 * len(rows) + 0.24 * len(faults)),
         height_ratios=[0.5 + 0.3 * len(rows), 0.5 + 0.4 * max(1, len(faults)), 3, 2], layout="constrained",
     )  # fmt: skip
     for row, (_, host, instance) in enumerate(rows):
         for since, until, state in bars(events, host, end, instance):
             height = 0.5 if instance else 0.8
-            top.barh(row, until - since, left=since, height=height, color=COLOURS[state])
-    top.set_yticks(range(len(rows)), [label for label, _, _ in rows], fontsize=8)
-    top.invert_yaxis()
-    top.legend(
+            host_axes.barh(row, until - since, left=since, height=height, color=COLOURS[state])
+    host_axes.set_yticks(range(len(rows)), [label for label, _, _ in rows], fontsize=8)
+    host_axes.invert_yaxis()
+    host_axes.legend(
         handles=[Patch(color=colour, label=name) for name, colour in COLOURS.items()], ncols=5, fontsize=8,
         loc="lower left", bbox_to_anchor=(0, 1.0), frameon=False,
     )  # fmt: skip
     for row, (since, until, words) in enumerate(faults):
-        middle.barh(row, max(until - since, end / 200), left=since, height=0.6, color="#c96f4a")
+        fault_axes.barh(row, max(until - since, end / 200), left=since, height=0.6, color="#c96f4a")
         near = since < end * 0.6
-        middle.annotate(
+        fault_axes.annotate(
             words,
             (until if near else since, row),
             xytext=(4 if near else -4, 0),
@@ -181,15 +188,15 @@
             ha="left" if near else "right",
             fontsize=8,
         )
-    middle.set_yticks([])
-    middle.set_ylabel("faults")
-    middle.invert_yaxis()
-    _service(events, end, rate, slow)
+    fault_axes.set_yticks([])
+    fault_axes.set_ylabel("faults")
+    fault_axes.invert_yaxis()
+    _plot_answers(events, end, rate_axes, latency_axes)
     text = io.StringIO()
     figure.savefig(text, format="svg")
     pyplot.close(figure)
-    drawn = text.getvalue()
-    return drawn[drawn.index("<svg") :]
+    svg = text.getvalue()
+    return svg[svg.index("<svg") :]
 
 
 def _faults(events: list[Event], end: float) -> list[tuple[float, float, str]]:
@@ -205,13 +212,13 @@
     ]
 
 
-def _legend(axes: Any) -> None:
-    """Above the axes: it hides nothing there."""
+def _add_legend(axes: Any) -> None:
+    """Put the legend above the axes, where it hides nothing."""
     place = {"loc": "lower right", "bbox_to_anchor": (1, 0.98), "borderaxespad": 0}
     axes.legend(fontsize=8, frameon=False, ncols=3, **place)
 
 
-def _service(events: list[Event], end: float, rate: Any, slow: Any) -> None:
+def _plot_answers(events: list[Event], end: float, rate_axes: Any, latency_axes: Any) -> None:
     edges = np.arange(0.0, end + STEP_S, STEP_S)
     groups: dict[str, list[float]] = defaultdict(list)
     latencies: dict[int, list[float]] = defaultdict(list)
@@ -225,21 +232,21 @@
             latencies[int(event["t"] / STEP_S)].append(event["ms"])
     for name, colour in (("served", "#2c6b2a"), ("refused", "#c49a1a"), ("failed or lost", "#a61b1b")):
         counts, _ = np.histogram(groups[name], edges)
-        rate.step(edges[:-1], counts / STEP_S, where="post", color=colour, label=name, lw=1.2)
-    rate.set_ylabel("answers / s")
-    _legend(rate)
+        rate_axes.step(edges[:-1], counts / STEP_S, where="post", color=colour, label=name, lw=1.2)
+    rate_axes.set_ylabel("answers / s")
+    _add_legend(rate_axes)
     steps = sorted(latencies)
-    for share, colour in ((50, "#5b7db1"), (99, "#333333")):
-        slow.plot(
+    for percentile, colour in ((50, "#5b7db1"), (99, "#333333")):
+        latency_axes.plot(
             [step * STEP_S for step in steps],
-            [float(np.percentile(latencies[step], share)) for step in steps],
+            [float(np.percentile(latencies[step], percentile)) for step in steps],
             color=colour,
             lw=1.1,
-            label=f"{share}th percentile",
+            label=f"{percentile}th percentile",
         )
     if steps:
-        slow.set_yscale("log")
-    slow.set_ylabel("ms to 200")
-    _legend(slow)
-    slow.set_xlabel("seconds since the storm's set-up began")
-    slow.set_xlim(0, end)
+        latency_axes.set_yscale("log")
+    latency_axes.set_ylabel("ms to 200")
+    _add_legend(latency_axes)
+    latency_axes.set_xlabel("seconds since the storm's set-up began")
+    latency_axes.set_xlim(0, end)
--- a/tests/storm/test_links.py
+++ b/tests/storm/test_links.py
@@ -1,4 +1,4 @@
-"""Relays between hosts: what passes, what does not, and what each side is left to believe."""
+"""Relays between hosts: what passes, what does not, and what each side observes."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 import pytest
 
 from sorrelfront.lab.http1 import PATIENCE_S, Backend, answer, connect, request
-from sorrelfront.lab.storm.links import HELD_MOST, Network, TcpRelay, UdpRelay
+from sorrelfront.lab.storm.links import MAX_BUFFERED_BYTES, Network, TcpRelay, UdpRelay
 from tests.loopback import looped, until
 
 BOTH = [("a", "b"), ("b", "a")]
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]
 
 
-class Way:
-    """A service, a relay before it, and the network that they are on."""
+class RelayedService:
+    """A service behind a relay, and the network of the relay."""
 
     def __init__(self, network: Network, relay: TcpRelay) -> None:
         self.network = network
@@ -33,7 +33,7 @@
         return await asyncio.open_connection(*self.relay.address)
 
     async def answers(self, sock: socket.socket) -> bool:
-        """Whether a connection is made soon: a cut link leaves its first packet unanswered."""
+        """Return whether a connection is made soon: a cut link leaves its SYN unanswered."""
         sock.setblocking(False)
         try:
             await asyncio.wait_for(asyncio.get_running_loop().sock_connect(sock, self.relay.address), 0.3)
@@ -43,12 +43,12 @@
 
 
 @contextlib.asynccontextmanager
-async def way(serve: Serve) -> AsyncIterator[Way]:
+async def relayed(serve: Serve) -> AsyncIterator[RelayedService]:
     server = await asyncio.start_server(serve, "127.0.0.1", 0, backlog=1_024)
     network = Network(np.random.default_rng(1))
     relay = TcpRelay(network, "a", "b", server.sockets[0].getsockname())
     try:
-        yield Way(network, relay)
+        yield RelayedService(network, relay)
     finally:
         network.close()
         server.close()
@@ -63,38 +63,38 @@
 
 
 @looped
-async def test_bytes_pass_and_both_ends_are_closed() -> None:
-    async with way(echo) as there:
-        reader, writer = await there.open()
+async def test_bytes_pass_and_both_sides_are_closed() -> None:
+    async with relayed(echo) as service:
+        reader, writer = await service.open()
         writer.write(b"x" * 1_000_000)
-        writer.write_eof()  # a half-close: what comes back still passes
+        writer.write_eof()  # half-close: the reply still passes
         got = await asyncio.wait_for(reader.read(-1), PATIENCE_S)
         assert len(got) == 1_000_000
         writer.close()
-        await until(lambda: there.relay.open == 0)
-        assert not there.network.places
-        assert there.network.figures()["relayed"] > 0
+        await until(lambda: service.relay.open == 0)
+        assert not service.network.connections
+        assert service.network.figures()["relayed"] > 0
 
 
 @looped
-async def test_both_sides_end_at_once() -> None:
+async def test_both_sides_close_at_once() -> None:
     writers: list[asyncio.StreamWriter] = []
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
         await reader.read(1)
 
-    async with way(take) as there:
+    async with relayed(take) as service:
         for _ in range(50):
-            _, writer = await there.open()
+            _, writer = await service.open()
             await until(lambda: bool(writers))
             writer.close()
             writers.pop().close()
-        await until(lambda: there.relay.open == 0)
+        await until(lambda: service.relay.open == 0)
 
 
 @looped
-async def test_a_reset_reaches_the_other_side_as_one_with_bytes_still_queued() -> None:
+async def test_a_reset_reaches_the_other_side_as_a_reset_with_bytes_still_queued() -> None:
     ended: list[str] = []
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -107,102 +107,104 @@
         finally:
             writer.close()
 
-    async with way(take) as there:
-        there.network.change(BOTH, rate=50_000)
-        _, writer = await there.open()
+    async with relayed(take) as service:
+        service.network.change(BOTH, rate=50_000)
+        _, writer = await service.open()
         writer.write(b"y" * 30_000)
         sock = writer.get_extra_info("socket")
-        await until(lambda: there.relay.open == 1)
+        await until(lambda: service.relay.open == 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
-        there.network.change(BOTH, rate=0.0)
+        service.network.change(BOTH, rate=0.0)
         await until(lambda: ended == ["reset"])
-        await until(lambda: there.relay.open == 0)
+        await until(lambda: service.relay.open == 0)
 
 
 @looped
 async def test_a_cut_holds_what_was_sent_and_leaves_new_connections_unanswered() -> None:
-    async with way(echo) as there:
-        reader, writer = await there.open()
+    async with relayed(echo) as service:
+        reader, writer = await service.open()
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        there.network.change(BOTH, cut=True)
+        service.network.change(BOTH, cut=True)
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.2)
         with socket.socket() as late:
-            assert not await there.answers(late)
-            there.network.change(BOTH, cut=False)
+            assert not await service.answers(late)
+            service.network.change(BOTH, cut=False)
             assert await asyncio.wait_for(reader.readexactly(3), PATIENCE_S) == b"two"
-            # The kernel repeats the first packet, as it would on a real link that is whole again.
+            # The kernel retransmits the SYN, as it would on a real link that works again.
             await asyncio.wait_for(
-                asyncio.get_running_loop().sock_connect(late, there.relay.address), PATIENCE_S
+                asyncio.get_running_loop().sock_connect(late, service.relay.address), PATIENCE_S
             )
         writer.close()
-        await until(lambda: there.relay.open == 0)
+        await until(lambda: service.relay.open == 0)
 
 
 @looped
-async def test_one_way_only() -> None:
-    heard: list[bytes] = []
+async def test_a_one_way_cut() -> None:
+    received: list[bytes] = []
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(100):
-                heard.append(data)
+                received.append(data)
                 writer.write(data)
         writer.close()
 
-    async with way(take) as there:
-        reader, writer = await there.open()
+    async with relayed(take) as service:
+        reader, writer = await service.open()
         writer.write(b"1")
         assert await reader.readexactly(1) == b"1"
-        there.network.change([("b", "a")], cut=True)
+        service.network.change([("b", "a")], cut=True)
         writer.write(b"2")
-        await until(lambda: heard[-1] == b"2")  # it is heard, and its answer does not come back
+        await until(lambda: received[-1] == b"2")  # it arrives, and the reply is lost
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.1)
         writer.close()
 
 
 @looped
-async def test_a_cut_sender_waits_once_the_relay_holds_enough() -> None:
-    async with way(echo) as there:
-        _, writer = await there.open()
-        await until(lambda: there.relay.open == 1)
-        there.network.change(BOTH, cut=True)
+async def test_a_cut_sender_waits_once_the_buffer_is_full() -> None:
+    async with relayed(echo) as service:
+        _, writer = await service.open()
+        await until(lambda: service.relay.open == 1)
+        service.network.change(BOTH, cut=True)
         writer.write(b"z" * 50_000_000)
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(writer.drain(), 0.3)
-        (pair,) = there.relay._pairs
-        assert pair.near.held <= HELD_MOST + 262_144  # what one read brings comes on top
+        (connection,) = service.relay._connections
+        assert (
+            connection.client_side.buffered <= MAX_BUFFERED_BYTES + 262_144
+        )  # the data of one read may exceed the limit
         writer.transport.abort()
 
 
 @looped
-async def test_refused_reset_and_forgotten() -> None:
-    async with way(echo) as there:
-        reader, writer = await there.open()
+async def test_refused_reset_and_half_open_connections() -> None:
+    async with relayed(echo) as service:
+        reader, writer = await service.open()
         writer.write(b"a")
         await reader.readexactly(1)
-        there.network.change(BOTH, refuse=True)
+        service.network.change(BOTH, refuse=True)
         with pytest.raises(ConnectionRefusedError):
-            await there.open()
+            await service.open()
         writer.write(b"b")
-        assert await reader.readexactly(1) == b"b"  # what is open goes on
-        there.network.change(BOTH, refuse=False)
-        assert there.network.reset(BOTH) == 1
+        assert await reader.readexactly(1) == b"b"  # open connections go on
+        service.network.change(BOTH, refuse=False)
+        assert service.network.reset(BOTH) == 1
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.readexactly(1), PATIENCE_S)
 
-        reader, writer = await there.open()
+        reader, writer = await service.open()
         writer.write(b"c")
         await reader.readexactly(1)
-        assert there.network.forget(BOTH) == 1
+        assert service.network.forget(BOTH) == 1
         writer.write(b"d")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.2)
-        fresh, other = await there.open()  # new ones are well
+        fresh, other = await service.open()  # new connections work
         other.write(b"e")
         assert await asyncio.wait_for(fresh.readexactly(1), PATIENCE_S) == b"e"
         writer.close()
@@ -211,9 +213,9 @@
 
 @looped
 async def test_a_delay_keeps_the_order_of_bytes() -> None:
-    async with way(echo) as there:
-        there.network.change(BOTH, delay=0.002, spread=0.02)
-        reader, writer = await there.open()
+    async with relayed(echo) as service:
+        service.network.change(BOTH, delay=0.002, spread=0.02)
+        reader, writer = await service.open()
         sent = b"".join(b"%06d" % number for number in range(500))
         for at in range(0, len(sent), 100):
             writer.write(sent[at : at + 100])
@@ -243,39 +245,38 @@
 
 @looped
 async def test_five_thousand_connections_through_one_pair() -> None:
-    """The service is a process of its own, for the sake of descriptors: three of each connection are here."""
+    """The service runs in its own process, because three descriptors of each connection are in this one."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     count = min(5_000, (hard - 500) // 3)
-    service = await asyncio.create_subprocess_exec(sys.executable, "-c", ECHO, stdout=asyncio.subprocess.PIPE)
-    assert service.stdout is not None
+    process = await asyncio.create_subprocess_exec(sys.executable, "-c", ECHO, stdout=asyncio.subprocess.PIPE)
+    assert process.stdout is not None
     try:
-        port = int(await service.stdout.readline())
+        port = int(await process.stdout.readline())
         network = Network(np.random.default_rng(1))
-        there = Way(network, TcpRelay(network, "a", "b", ("127.0.0.1", port)))
+        service = RelayedService(network, TcpRelay(network, "a", "b", ("127.0.0.1", port)))
         with contextlib.closing(network):
             made: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
             for _ in range(0, count, 100):
-                made += await asyncio.gather(*(there.open() for _ in range(min(100, count - len(made)))))
-            await until(lambda: there.relay.open == count)
+                made += await asyncio.gather(*(service.open() for _ in range(min(100, count - len(made)))))
+            await until(lambda: service.relay.open == count)
             for number, (_, writer) in enumerate(made):
                 writer.write(b"%08d" % number)
             for number, (reader, _) in enumerate(made):
                 assert await asyncio.wait_for(reader.readexactly(8), PATIENCE_S) == b"%08d" % number
-            assert there.network.reset(BOTH) == count
-            await until(lambda: there.relay.open == 0)
+            assert service.network.reset(BOTH) == count
+            await until(lambda: service.relay.open == 0)
             for _, writer in made:
                 writer.close()
     finally:
-        service.kill()
-        await service.wait()
+        process.kill()
+        await process.wait()
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
 @looped
 async def test_a_cut_in_the_middle_of_a_request_leaves_the_sender_in_doubt() -> None:
-    """The last byte has not passed: the sender believes that all is sent, and the server's book has
-    nothing."""
+    """A cut holds back the last byte: the request looks sent, but the server has not seen it."""
     backend = await Backend(answer(b"done")).start()
     network = Network(np.random.default_rng(1))
     host, _, port = backend.address.rpartition(":")
@@ -284,10 +285,10 @@
         client = await connect(relay.address)
         whole = request("n1", "pay", b"body")
         client.send(whole[:-1])
-        await until(lambda: bool(network.places))
+        await until(lambda: bool(network.connections))
         await until(lambda: backend.connections == 1)
         network.change(BOTH, cut=True)
-        client.send(whole[-1:])  # taken by the kernel: as good as sent
+        client.send(whole[-1:])  # accepted by the kernel: it looks sent
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(client.reader.read(1), 0.2)
         assert not backend.seen
@@ -300,7 +301,7 @@
         backend.stop()
 
 
-class Heard(asyncio.DatagramProtocol):
+class ReceivingProtocol(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.got: list[bytes] = []
 
@@ -312,21 +313,21 @@
         self.got.append(data)
 
 
-class Echoing(Heard):
+class EchoProtocol(ReceivingProtocol):
     def datagram_received(self, data: bytes, peer: Any) -> None:
         super().datagram_received(data, peer)
         self.transport.sendto(data, peer)
 
 
 @contextlib.asynccontextmanager
-async def datagrams() -> AsyncIterator[tuple[Network, UdpRelay, Heard, Echoing]]:
+async def datagrams() -> AsyncIterator[tuple[Network, UdpRelay, ReceivingProtocol, EchoProtocol]]:
     loop = asyncio.get_running_loop()
-    _, service = await loop.create_datagram_endpoint(Echoing, local_addr=("127.0.0.1", 0))
+    _, service = await loop.create_datagram_endpoint(EchoProtocol, local_addr=("127.0.0.1", 0))
     network = Network(np.random.default_rng(5))
     target = service.transport.get_extra_info("sockname")
     relay = await UdpRelay(network, "b", target, {"127.0.0.9": "a"}, loop).start()
     _, client = await loop.create_datagram_endpoint(
-        Heard, local_addr=("127.0.0.9", 0), remote_addr=relay.address
+        ReceivingProtocol, local_addr=("127.0.0.9", 0), remote_addr=relay.address
     )
     try:
         yield network, relay, client, service
@@ -369,4 +370,4 @@
         network.change([("b", "a")], cut=False)
         client.transport.sendto(b"again")
         await until(lambda: b"again" in client.got)
-        assert b"one way" not in client.got  # a datagram does not wait for a link
+        assert b"one way" not in client.got  # a cut drops datagrams, it does not delay them
--- a/tests/storm/test_scenario.py
+++ b/tests/storm/test_scenario.py
@@ -1,4 +1,4 @@
-"""Storms' files: checked whole, and the same faults for the same seed."""
+"""Scenario files: all errors are reported at once, and a seed always gives the same faults."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from sorrelfront.lab.storm.run import listed
 from sorrelfront.lab.storm.scenario import KINDS, parse, read
 
-PLACE = Path("x.toml")
+FILE_PATH = Path("x.toml")
 HEAD = "[storm]\nname = 'x'\nseconds = 8\nhosts = 3\n"
 
 
-def faults(text: str) -> list[str]:
+def errors(text: str) -> list[str]:
     with pytest.raises(BadDocument) as bad:
-        parse((HEAD + text).encode(), PLACE)
+        parse((HEAD + text).encode(), FILE_PATH)
     return bad.value.lines()
 
 
-def test_every_fault_of_a_file_is_named_at_once() -> None:
-    said = "\n".join(
-        faults(
+def test_all_errors_of_a_file_are_reported_at_once() -> None:
+    lines = "\n".join(
+        errors(
             """
 [load]
 clinets = 3
@@ -36,9 +36,9 @@
         "[load] clinets: is not a key known here; the nearest is 'clients'",
         "nonsense: is not a key known here",
     ):
-        assert wanted in said
-    more = "\n".join(
-        faults(
+        assert wanted in lines
+    fault_lines = "\n".join(
+        errors(
             """
 [[faults]]
 what = "kil"
@@ -90,52 +90,52 @@
         "[faults.8] part: there are 2 instances",
         "[faults.9] given_up: needs a cut that lasts, and [storm] fleet",
     ):
-        assert wanted in more, wanted
+        assert wanted in fault_lines, wanted
 
 
-def test_faults_that_overlap_on_one_link_or_host_are_refused() -> None:
+def test_faults_that_overlap_on_a_link_or_host_are_rejected() -> None:
     row = '[[faults]]\nwhat = "{}"\nat = {}\nlasts = 2\nhosts = ["h1"]\n{}\n'
     cut, slow = row.format("cut", 1, 'to = ["s1", "s2"]'), row.format("delay", 2, 'to = ["s2"]\nsize = 5')
-    assert "[faults.2] at: overlaps with [faults.1] on link:h1>s2" in faults(cut + slow)[0]
+    assert "[faults.2] at: overlaps with [faults.1] on link:h1>s2" in errors(cut + slow)[0]
     frozen, killed = row.format("freeze", 1, ""), row.format("kill", 3, "")
-    assert "overlaps with [faults.1] on process:h1" in faults(frozen + killed)[0]
-    # other links, and the host
-    parse((HEAD + cut + row.format("cut", 1, 'to = ["s3"]') + frozen).encode(), PLACE)
+    assert "overlaps with [faults.1] on process:h1" in errors(frozen + killed)[0]
+    # faults on other links, and on the host, do not overlap
+    parse((HEAD + cut + row.format("cut", 1, 'to = ["s3"]') + frozen).encode(), FILE_PATH)
 
 
-def test_bytes_of_any_kind_are_refused_or_taken() -> None:
+def test_arbitrary_bytes_are_rejected_or_accepted() -> None:
     @given(st.binary(max_size=200))
     def check(data: bytes) -> None:
         try:
-            parse(data, PLACE)
+            parse(data, FILE_PATH)
         except BadDocument as bad:
             assert bad.lines()
 
     check()
 
 
-def test_a_seed_always_draws_the_same_and_never_an_overlap() -> None:
+def test_a_seed_always_draws_the_same_faults_without_overlap() -> None:
     drawn = next(path for path in listed() if path.stem == "drawn")
-    made = read(drawn)
+    scenario = read(drawn)
     seen = set()
     for seed in range(300):
-        plan = made.schedule(seed)
+        plan = scenario.schedule(seed)
         assert plan == read(drawn).schedule(seed)
         seen |= {item.what for item in plan}
         for at, item in enumerate(plan):
-            assert item.until <= made.storm["seconds"]
+            assert item.until <= scenario.storm["seconds"]
             assert not any(
                 item.targets & other.targets and item.at <= other.until and other.at <= item.until
                 for other in plan[:at]
             )
-    assert seen == set(made.draw["kinds"] if made.draw else ())
+    assert seen == set(scenario.draw["kinds"] if scenario.draw else ())
 
 
-def test_the_storms_that_come_with_the_program_are_sound() -> None:
+def test_the_bundled_scenarios_are_valid() -> None:
     names = {path.stem for path in listed()}
     assert names >= {"calm", "host-dies", "cut-from-servers", "cut-from-list", "cut-from-both", "slow-host",
                      "rolling-restart", "power", "drawn", "policies"}  # fmt: skip
     for path in listed():
-        made = read(path)
-        assert made.storm["name"] == path.stem
-        assert all(item.what in KINDS and item.words() for item in made.schedule(1))
+        scenario = read(path)
+        assert scenario.storm["name"] == path.stem
+        assert all(item.what in KINDS and item.words() for item in scenario.schedule(1))
