--- a/sorrelfront/lab/storm/checkers.py
+++ b/sorrelfront/lab/storm/checkers.py
@@ -208,7 +208,7 @@
                 continue
             notified_watches[key] += 1
             if notified_watches[key] == instances:
-                # From outside it is unknown which instance sent a request: the last one told counts for all.
+                # From outside it is unknown which instance sent a request: the last told one counts for all.
                 told[key] = event["t"]
         elif event["kind"] == "arrive" and event["host"]:
             at = told.get((event["host"], event["server"]))
@@ -233,7 +233,7 @@
     disturbances = Disturbances(events)
     excused = STOPPED | {"starve", "restart"}
     cut: dict[int, Event] = {}
-    free: dict[str, float] = {}  # since when a host can reach the list again
+    reachable_since: dict[str, float] = {}  # when a host could reach the list again
     drained: dict[str, float] = {}
     found = []
     for event in events:
@@ -247,13 +247,15 @@
             elif number in cut:
                 over = cut.pop(number)
                 if over["what"] == "list-down":
-                    free[ALL_HOSTS] = event["t"]
-                free |= {host: event["t"] for host in over["hosts"]}
+                    reachable_since[ALL_HOSTS] = event["t"]
+                reachable_since |= {host: event["t"] for host in over["hosts"]}
         elif event["kind"] == "arrive" and event["host"] and event["server"] in drained:
             host = event["host"]
             if any(item["what"] == "list-down" or host in item["hosts"] for item in cut.values()):
                 continue
-            since = max(drained[event["server"]], free.get(host, 0.0), free.get(ALL_HOSTS, 0.0))
+            since = max(
+                drained[event["server"]], reachable_since.get(host, 0.0), reachable_since.get(ALL_HOSTS, 0.0)
+            )
             over_s = (
                 event["sent"]
                 - since
--- a/sorrelfront/lab/storm/launch.py
+++ b/sorrelfront/lab/storm/launch.py
@@ -76,8 +76,8 @@
     unpack = CLOCK_LAYOUT.unpack_from
 
     def monotonic_ns() -> int:
-        rate, since, told, _ = unpack(page)
-        return int(told + (real_monotonic() - since) * rate)
+        rate, since, simulated, _ = unpack(page)
+        return int(simulated + (real_monotonic() - since) * rate)
 
     def time_ns() -> int:
         now = real_monotonic()
@@ -141,9 +141,9 @@
 
         original_init_copies = Copies.__init__
 
-        def init_and_trust(self: Any, *told: Any, **more: Any) -> None:
+        def init_and_trust(self: Any, *args: Any, **more: Any) -> None:
             """Act on the copies from its own disk before any peer was asked."""
-            original_init_copies(self, *told, **more)
+            original_init_copies(self, *args, **more)
             self.level = True
             self._begin()
             self._out.append(Levelled())
@@ -155,9 +155,9 @@
 
         original_fault = offers.fault
 
-        def fault(*told: Any) -> Any:
+        def fault(*args: Any) -> Any:
             """Accept the terms at the end of a chain as those that the owner gave."""
-            why = original_fault(*told)
+            why = original_fault(*args)
             return None if why in (Why.WIDENED, Why.NOT_PASSED_ON, Why.VALLEY) else why
 
         vars(routes)["fault"] = fault
@@ -201,8 +201,8 @@
 
         on_ask = Border.on_ask
 
-        def on_ask_spoilt(self: Any, *told: Any) -> Any:
-            reply = on_ask(self, *told)
+        def on_ask_spoilt(self: Any, *args: Any) -> Any:
+            reply = on_ask(self, *args)
             if not hasattr(self, "storm_hostile"):
                 self.storm_hostile = Hostile(self._sign, Random(), flood=True)
             return None if reply is None else self.storm_hostile.spoil(self, reply)
--- a/sorrelfront/lab/storm/links.py
+++ b/sorrelfront/lab/storm/links.py
@@ -201,11 +201,11 @@
         self.other.transport.write(data)
         # Data for the client after the client's own end is not read any more: the client has closed.
         if (
-            self.connection.relay.passed is not None
+            self.connection.relay.on_service_data is not None
             and self is self.connection.service_side
             and not other_ended
         ):
-            self.connection.relay.passed(self.connection.number, data)
+            self.connection.relay.on_service_data(self.connection.number, data)
 
     def eof_received(self) -> bool:
         self._end()
@@ -371,13 +371,13 @@
         src: str,
         dst: str,
         target: Address,
-        passed: Callable[[int, bytes], None] | None = None,
+        on_service_data: Callable[[int, bytes], None] | None = None,
         hosts: dict[str, str] | None = None,
         address: Address | None = None,
     ) -> None:
         """Start to listen, and add the relay to the network.
 
-        `passed` is called with the number of a connection and the bytes that `src` was sent on it. With
+        `on_service_data` is called with the number of a connection and the bytes that `src` was sent on it. With
         `hosts` (names by address) the relay serves all hosts, identified by the source address of their
         connections; a cut then holds a new connection open and silent, because the hosts share one accept
         queue in the kernel.
@@ -385,7 +385,7 @@
         self.network = network
         self.src, self.dst = src, dst
         self.target = target
-        self.passed = passed
+        self.on_service_data = on_service_data
         # Called with the number of a connection and the bytes that `src` sends on it, as they arrive.
         self.sent: Callable[[int, bytes], None] | None = None
         self.address: Address = address or (target[0], 0)
--- a/sorrelfront/lab/storm/processes.py
+++ b/sorrelfront/lab/storm/processes.py
@@ -53,14 +53,14 @@
     return count
 
 
-def kill_all(mark: str, within_s: float = EXIT_TIMEOUT_S) -> bool:
+def kill_all(mark: str, timeout_s: float = EXIT_TIMEOUT_S) -> bool:
     """Repeat SIGKILL until no process carries this mark; return whether that succeeded in time.
 
     One pass is not enough, since a process may be starting another one at that moment.
     """
-    until = time.monotonic() + within_s
+    deadline = time.monotonic() + timeout_s
     while signal_all(mark, signal.SIGKILL):
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             return False
         time.sleep(0.005)
     return True
@@ -104,10 +104,10 @@
         if self.pidfd >= 0:
             send_signal(self.pidfd, number)
 
-    async def reap(self, within_s: float = EXIT_TIMEOUT_S) -> int | None:
+    async def reap(self, timeout_s: float = EXIT_TIMEOUT_S) -> int | None:
         """Wait for the end and return the exit code, or None if the process does not end in time."""
         try:
-            await asyncio.wait_for(self.ended.wait(), within_s)
+            await asyncio.wait_for(self.ended.wait(), timeout_s)
         except TimeoutError:
             return None
         return self.code
--- a/sorrelfront/lab/storm/report.py
+++ b/sorrelfront/lab/storm/report.py
@@ -75,15 +75,15 @@
 
 def _breaches(events: list[Event], verdict: dict[str, Any]) -> str:
     """Return the HTML of the first breaches, each with the log around it."""
-    said = [event for event in events if event["kind"] in ("said", "fault")]
-    times = [event["t"] for event in said]
+    log_events = [event for event in events if event["kind"] in ("said", "fault")]
+    times = [event["t"] for event in log_events]
     parts = []
     found = [item for row in verdict["rules"].values() for item in row["first"]]
     for item in sorted(found, key=lambda one: float(one["t"]))[:BREACHES_SHOWN]:
         at = int(np.searchsorted(times, item["t"]))
         lines = "\n".join(
             f"{event['t']:8.3f}  {event.get('host', '--')}  {event.get('line') or event.get('words', 'over')}"
-            for event in said[max(0, at - LINES_AROUND) : at + LINES_AROUND]
+            for event in log_events[max(0, at - LINES_AROUND) : at + LINES_AROUND]
         )
         parts.append(
             f"<h2 class=broken>{item['rule']} at {item['t']:.3f} s: {html.escape(item['what'])}</h2>"
@@ -143,11 +143,11 @@
 def _timeline_rows(events: list[Event]) -> list[tuple[str, str, str]]:
     """Return the rows of the timeline: label, host, and instance or an empty text."""
     head = next(event for event in events if event["kind"] == "storm")
-    told = {(event["host"], event["instance"]) for event in events if event["kind"] == "phase"}
+    host_instances = {(event["host"], event["instance"]) for event in events if event["kind"] == "phase"}
     rows = []
     for host in head["hosts"]:
         rows.append((host, host, ""))
-        rows += [(f"{host}/{name}", host, name) for owner, name in sorted(told) if owner == host]
+        rows += [(f"{host}/{name}", host, name) for owner, name in sorted(host_instances) if owner == host]
     return rows
 
 
@@ -214,8 +214,8 @@
 
 def _add_legend(axes: Any) -> None:
     """Put the legend above the axes, where it hides nothing."""
-    place = {"loc": "lower right", "bbox_to_anchor": (1, 0.98), "borderaxespad": 0}
-    axes.legend(fontsize=8, frameon=False, ncols=3, **place)
+    position = {"loc": "lower right", "bbox_to_anchor": (1, 0.98), "borderaxespad": 0}
+    axes.legend(fontsize=8, frameon=False, ncols=3, **position)
 
 
 def _plot_answers(events: list[Event], end: float, rate_axes: Any, latency_axes: Any) -> None:
--- a/tests/storm/test_checkers.py
+++ b/tests/storm/test_checkers.py
@@ -90,9 +90,7 @@
     assert breached_rules(history(drains, sent(1.6, "h2"))) == set()  # the other host was not told
     two = history(drains, sent(1.6), sent(2.7), (2.0, "told", drains[2]))
     two[0]["instances"] = 2
-    assert [item.t for item in judge(two)["drains"]] == [
-        2.71
-    ]  # counted from the time its second watch was told
+    assert [item.t for item in judge(two)["drains"]] == [2.71]  # from when its second watch was told
     ready = (1.2, "told", {"host": "h1", "server": "s1", "phase": "ready"})
     assert breached_rules(history(drains, ready, sent(1.6))) == set()
     assert (
@@ -193,9 +191,7 @@
     assert len(_policies(*newer, *older)) == 1
     assert not _policies(*newer, *_answered_by("c", 1.5, 4.0, 1))  # sent before the newer one was seen
     assert not _policies(*newer, *_answered_by("d", 3.0, 4.0, 1, inside=False))  # outside the promise
-    assert (
-        len(_policies(_change("x", 2.0, "in force", 2), *older)) == 1
-    )  # an operator was told of the newer version
+    assert len(_policies(_change("x", 2.0, "in force", 2), *older)) == 1  # an operator was told of it
 
 
 def test_a_change_has_one_outcome() -> None:
