--- a/sorrelfront/lab/storm/links.py
+++ b/sorrelfront/lab/storm/links.py
@@ -377,8 +377,8 @@
     ) -> None:
         """Start to listen, and add the relay to the network.
 
-        `on_service_data` is called with the number of a connection and the bytes that `src` was sent on it. With
-        `hosts` (names by address) the relay serves all hosts, identified by the source address of their
+        `on_service_data` is called with the number of a connection and the bytes that `src` was sent on it.
+        With `hosts` (names by address) the relay serves all hosts, identified by the source address of their
         connections; a cut then holds a new connection open and silent, because the hosts share one accept
         queue in the kernel.
         """
