--- a/sorrelfront/lab/__init__.py
+++ b/sorrelfront/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted servers, registries and clients, with books of what really ran."""
+"""Scripted servers, registries and clients, with a ledger of the requests that really ran."""
--- a/sorrelfront/lab/crowd.py
+++ b/sorrelfront/lab/crowd.py
@@ -1,4 +1,4 @@
-"""Clients that keep their connections and ask without pause, and the books of what became of it."""
+"""A load generator: clients on persistent connections, and counts of the outcome of each request."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 RESET = b"reset"
 LOST = b"lost"
-LEFT = b"left"  # the client closed its connection without waiting for the answer
+LEFT = b"left"  # the client closed its connection before the answer
 CLASSES = ("look", "pay", "book")
 
 
 class Peer:
-    """A client by its socket alone: what it sends is in the agent's kernel when `send` returns."""
+    """A client on a plain socket: the data is in the kernel of the agent's host when `send` returns."""
 
     def __init__(self, address: tuple[str, int], sock: socket.socket | None = None) -> None:
         self.sock = sock or socket.create_connection(address)
         self.sock.setblocking(False)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a second piece goes out at once too
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # sends a second segment at once
         self._read = bytearray()
         self.head = b""  # of the latest answer
         self.told_to_close = False
@@ -29,19 +29,20 @@
         self.port = int(self.sock.getsockname()[1])
 
     def send(self, data: bytes) -> None:
+        """Send all of `data` in one call; raises AssertionError on a partial write."""
         assert self.sock.send(data) == len(data)
 
     async def answer(self) -> bytes:
-        """The next answer's status line; "reset" if the kernel says that bytes were never read."""
+        """Return the next answer's status line, RESET if the agent never read some sent bytes, or LOST."""
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(PATIENCE_S):
             while b"\r\n\r\n" not in self._read:
-                if not await self._more(loop):
+                if not await self._receive(loop):
                     return b"reset" if await self.was_reset() else b"lost"
             head, _, rest = bytes(self._read).partition(b"\r\n\r\n")
             (length,) = (int(x[15:]) for x in head.lower().split(b"\r\n") if x.startswith(b"content-length"))
             while len(rest) < length:
-                if not await self._more(loop):
+                if not await self._receive(loop):
                     return b"lost"
                 rest = bytes(self._read).partition(b"\r\n\r\n")[2]
             del self._read[: len(head) + 4 + length]
@@ -49,7 +50,7 @@
             self.told_to_close = b"connection: close" in head.lower()
             return head.split(b"\r\n")[0]
 
-    async def _more(self, loop: asyncio.AbstractEventLoop) -> bool:
+    async def _receive(self, loop: asyncio.AbstractEventLoop) -> bool:
         try:
             data = await loop.sock_recv(self.sock, 65_536)
         except ConnectionError:
@@ -58,8 +59,11 @@
         return bool(data)
 
     async def was_reset(self) -> bool:
-        """After an end: the kernel's state is CLOSE (7) once a reset came, too, and stays CLOSE_WAIT (8) if
-        all that was sent has been read. What crossed the end is reset a moment after it."""
+        """Return whether the agent reset the connection after it had closed it.
+
+        The kernel's state is CLOSE (7) after a reset, and stays CLOSE_WAIT (8) if all sent bytes were read.
+        Data that was in flight during the close is reset a moment later, hence the polling (up to 0.5 s).
+        """
         for _ in range(100):
             if self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == 7:
                 return True
@@ -67,16 +71,17 @@
         return False
 
     def leave(self) -> None:
-        """Close without waiting for what is owed."""
+        """Close the connection without waiting for outstanding answers."""
         self.left = True
         self.close()
 
     def close(self) -> None:
+        """Close the socket."""
         self.sock.close()
 
 
 class Crowd:
-    """A number of clients, each with a connection of its own; they repeat nothing."""
+    """Generates load from a number of clients, each on its own connection; they never retry."""
 
     def __init__(
         self,
@@ -87,43 +92,43 @@
         name: str = "c",
     ) -> None:
         self.address = address
-        self.book: Counter[bytes] = Counter()  # status lines, RESET, LOST, and "unsent"
+        self.book: Counter[bytes] = Counter()  # by status line, RESET, LOST, LEFT or "unsent"
         self.by_class: Counter[tuple[str, bytes]] = Counter()
         self.lost: list[str] = []  # names of requests
         self.served: set[str] = set()
         self.answered = 0
-        self.latencies: list[float] = []  # seconds, of what was served
-        self.gap_s = 0.0  # the longest time without an answer to anybody
-        self.longest_wait_s = 0.0  # of one client, from wanting an answer to having one, connects and all
+        self.latencies: list[float] = []  # seconds, of served requests
+        self.gap_s = 0.0  # the longest time without an answer to any client
+        self.longest_wait_s = 0.0  # of one client for an answer, including its connects
         self.refused_connects = 0
-        self.cut_ports: list[int] = []  # our ports of connections that ended without an answer
-        self.recovery_s: list[float] = []  # from the next connect after it to that client's next answer
-        self._last = time.monotonic()
+        self.cut_ports: list[int] = []  # local ports of connections that ended without an answer
+        self.recovery_s: list[float] = []  # from such an end to that client's next answer
+        self._last_answer_at = time.monotonic()
         self._pause_s = pause_s
         self._classes = classes
-        self._asking = True
+        self._running = True
         self._name = name
-        self.head = b""  # of the answer that is being told
-        self._tasks = [asyncio.create_task(self._ask(number)) for number in range(clients)]
+        self.head = b""  # of the answer that `heard` is called with
+        self._tasks = [asyncio.create_task(self._run_client(number)) for number in range(clients)]
 
     def asks(self, name: str, cls: str) -> None:
-        """Called as a request is sent, for whoever keeps a book of its own."""
+        """Handle a sent request; a hook for subclasses that keep their own records."""
 
     def heard(self, name: str, cls: str, got: bytes, seconds: float) -> None:
-        """Called with each request's status line, or RESET or LOST, and how long it took."""
+        """Handle the outcome of a request, as of `await_answer`, and its duration; a hook for subclasses."""
 
     async def await_answer(self, peer: Peer, name: str) -> bytes:
-        """The status line, RESET, LOST, or LEFT by a client that has closed its connection by then."""
+        """Return the status line, RESET or LOST, or LEFT if the client has closed its connection itself."""
         return await peer.answer()
 
-    async def _ask(self, number: int) -> None:
+    async def _run_client(self, number: int) -> None:
         peer: Peer | None = None
         asked = 0
         cut_at: float | None = None
-        wants_at: float | None = None
+        waiting_since: float | None = None
         try:
-            while self._asking:
-                wants_at = wants_at or time.monotonic()
+            while self._running:
+                waiting_since = waiting_since or time.monotonic()
                 if peer is None:
                     try:
                         peer = await self._connect()
@@ -132,12 +137,12 @@
                         await asyncio.sleep(0.02)
                         continue
                 asked += 1
-                before = self.answered
-                goes_on = await self._one(peer, f"{self._name}{number}-{asked}", asked)
-                if self.answered > before:
-                    self.longest_wait_s = max(self.longest_wait_s, time.monotonic() - wants_at)
-                    wants_at = None
-                if not goes_on:
+                answered_before = self.answered
+                reusable = await self._send_request(peer, f"{self._name}{number}-{asked}", asked)
+                if self.answered > answered_before:
+                    self.longest_wait_s = max(self.longest_wait_s, time.monotonic() - waiting_since)
+                    waiting_since = None
+                if not reusable:
                     if not peer.told_to_close and not peer.left and cut_at is None:
                         cut_at = time.monotonic()
                     peer.close()
@@ -151,8 +156,8 @@
             if peer is not None:
                 peer.close()
 
-    async def _one(self, peer: Peer, name: str, asked: int) -> bool:
-        """Ask once. Whether the connection can be used again."""
+    async def _send_request(self, peer: Peer, name: str, asked: int) -> bool:
+        """Send one request and return whether the connection can be reused."""
         cls = self._classes[asked % len(self._classes)]
         began = time.monotonic()
         try:
@@ -173,8 +178,8 @@
         if not got.startswith(b"HTTP/1.1 "):
             return False
         now = time.monotonic()
-        self.gap_s = max(self.gap_s, now - self._last)
-        self._last = now
+        self.gap_s = max(self.gap_s, now - self._last_answer_at)
+        self._last_answer_at = now
         self.answered += 1
         if got.startswith(b"HTTP/1.1 200"):
             self.served.add(name)
@@ -192,32 +197,33 @@
         return Peer(self.address, sock)
 
     async def more(self, count: int) -> None:
-        """Wait until so many more have had an answer."""
+        """Wait until `count` more requests have been answered; raises TimeoutError after PATIENCE_S."""
         wanted = self.answered + count
         async with asyncio.timeout(PATIENCE_S):
             while self.answered < wanted:
-                self._raise_faults()
+                self._raise_client_errors()
                 await asyncio.sleep(0.01)
 
-    def _raise_faults(self) -> None:
+    def _raise_client_errors(self) -> None:
         for task in self._tasks:
             if task.done():
                 task.result()
 
     async def finish(self) -> None:
-        """Ask nothing more, and wait for what is owed."""
-        self._asking = False
+        """Send no new requests, wait for outstanding answers, and stop."""
+        self._running = False
         await asyncio.wait(self._tasks, timeout=PATIENCE_S)
         await self.stop()
 
     async def stop(self) -> None:
+        """Cancel all clients at once."""
         for task in self._tasks:
             task.cancel()
         await asyncio.wait(self._tasks)
 
 
 def ran_twice(seen: list[bytes]) -> list[str]:
-    """Names of requests that a server's book holds more than once and that no server may run twice."""
+    """Return the names of side-effecting requests (POST /pay) that the servers received more than once."""
     counts: Counter[str] = Counter()
     for whole in seen:
         head = whole.lower()
--- a/sorrelfront/lab/http1.py
+++ b/sorrelfront/lab/http1.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback addresses: HTTP backends, a registry and clients, for tests, demo and benchmarks."""
+"""Loopback stand-ins for tests, demo and benchmarks: HTTP backends, a registry and clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-PATIENCE_S = 30.0  # generous: only a failing test waits for so long
+PATIENCE_S = 30.0  # only a failing test waits this long
 
 CLASSES = [
     {"name": "look", "repeat": "pure", "aimUs": 3_000_000, "giveUpUs": 5_000_000},
@@ -18,7 +18,7 @@
 
 
 def table(discovery: str, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
-    """A configuration; `changes` go to the limits of its settings."""
+    """Return a configuration; `changes` override the limits of its settings."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",  # taken from the environment, or any free port in World
@@ -54,10 +54,12 @@
 
 
 def member(name: str, address: str, phase: str = "ready") -> dict[str, Any]:
+    """Return a registry record of a server."""
     return {"id": name, "host_port": address, "locality": "a", "flavor": "m", "cell": 0, "phase": phase}
 
 
 def answer(body: bytes, status: str = "200 OK", headers: str = "") -> bytes:
+    """Return an HTTP/1.1 answer; each line of `headers` ends with CRLF."""
     return b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status.encode(), headers.encode(), len(body), body,
     )  # fmt: skip
@@ -67,7 +69,7 @@
 
 
 def gate(data: bytes) -> tuple[asyncio.Event, Script]:
-    """A script that answers once the event is set."""
+    """Return an event and a script that answers with `data` once the event is set."""
     go = asyncio.Event()
 
     async def later(_: bytes, writer: asyncio.StreamWriter) -> None:
@@ -78,7 +80,7 @@
 
 
 class Backend:
-    """Takes requests one after the other on each connection and hands each to its script."""
+    """Reads the requests of each connection in order and passes each to its script."""
 
     def __init__(self, script: Script | bytes) -> None:
         self.script = script
@@ -88,6 +90,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> Backend:
+        """Listen on `host`:`port`; port 0 takes any free port."""
         self.server = await asyncio.start_server(self._serve, host, port)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
         return self
@@ -110,22 +113,24 @@
         writer.close()
 
     def stop(self) -> None:
+        """Stop listening and close all connections."""
         self.server.close()
         for writer in self._writers:
             writer.close()
 
 
 class Registry:
-    """Discovery: every watch gets the lines told so far that came after its revision, then the new ones."""
+    """Discovery: every watch gets the complete list, if there is one, and then each update."""
 
     def __init__(self) -> None:
         self.watches = 0
         self.asked = asyncio.Event()
-        self.known: list[dict[str, Any]] = []  # the whole list, told first on each watch if there is one
+        self.known: list[dict[str, Any]] = []  # the complete list, sent first on each watch unless empty
         self.revision = 1
         self._open: set[asyncio.StreamWriter] = set()
 
     async def start(self, host: str = "127.0.0.1") -> Registry:
+        """Listen on any free port of `host`."""
         self.server = await asyncio.start_server(self._serve, host, 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
         return self
@@ -150,11 +155,12 @@
         writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def tell(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
+        """Send an update to every open watch, without storing it."""
         for writer in self._open:
             self._line(writer, revision, complete, list(members))
 
     def change(self, *members: dict[str, Any]) -> None:
-        """Tell every watch what is otherwise with these, and remember it for the watches to come."""
+        """Send these changed members to every watch, and store them for later watches."""
         self.revision += 1
         for changed in members:
             self.known = [item for item in self.known if item["id"] != changed["id"]]
@@ -170,29 +176,33 @@
 
     @property
     def open(self) -> int:
+        """The number of open watches."""
         return len(self._open)
 
     def stop(self) -> None:
+        """Stop listening and close all watches."""
         self.server.close()
         for writer in self._open:
             writer.close()
 
 
 class Client:
-    """One connection to an agent, for bytes as a test wants them."""
+    """One connection to an agent that sends arbitrary bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     def send(self, data: bytes) -> None:
+        """Queue `data` for sending."""
         self.writer.write(data)
 
     async def head(self) -> bytes:
+        """Read the head of the next answer; raises TimeoutError after PATIENCE_S."""
         return await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
 
     async def answer(self) -> tuple[int, bytes, bytes]:
-        """Status, head and body of the next answer."""
+        """Return status, head and body of the next answer."""
         head = await self.head()
         lines = head.lower().split(b"\r\n")
         (length,) = (int(line[15:]) for line in lines if line.startswith(b"content-length:"))
@@ -200,22 +210,24 @@
         return int(head.split()[1]), head, body
 
     async def ended(self) -> bool:
-        """Wait for the agent's close, whatever comes before it."""
+        """Wait until the agent closes the connection, discarding any data before that."""
         with contextlib.suppress(OSError):
             while await asyncio.wait_for(self.reader.read(65_536), PATIENCE_S):
                 pass
         return True
 
     def close(self) -> None:
+        """Close the connection."""
         self.writer.close()
 
 
 async def connect(address: tuple[str, int]) -> Client:
+    """Open a connection to an agent."""
     return Client(*await asyncio.open_connection(*address))
 
 
 def request(name: str, cls: str = "look", body: bytes = b"", budget: str = "4500m", more: str = "") -> bytes:
-    """A request as usual clients send it."""
+    """Return a request of class `cls`; `more` is added to its header lines."""
     method = "GET" if cls == "look" else "POST"
     key = f"Idempotency-Key: k{name}\r\n" if cls == "book" else ""
     length = f"Content-Length: {len(body)}\r\n" if cls != "look" else ""
--- a/sorrelfront/lab/listing.py
+++ b/sorrelfront/lab/listing.py
@@ -1,4 +1,4 @@
-"""The ways in which a stand-in list of servers is kept: by an HTTP registry, or by ephemeral nodes."""
+"""Stand-in sources of membership: an HTTP registry, or ephemeral nodes of an ensemble."""
 
 from __future__ import annotations
 
@@ -11,60 +11,77 @@
 
 PATH = "/services/demo"
 FLEET = "/fleets/demo"
-SESSION_S = 1.0  # of the servers, and of the instances
+SESSION_S = 1.0  # session timeout of the servers and of the instances
 
 
 class Listing(Protocol):
-    """Servers are told of here, and the daemon's file says where to look."""
+    """A source of membership, which servers are added to and the daemon reads."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Start listening."""
+        ...
 
     def toml(self) -> str:
-        """The keys of [membership]."""
+        """Return the keys of the [membership] table of the daemon's file."""
 
-    async def add(self, name: str, address: str, cold: bool = False) -> None: ...
+    async def add(self, name: str, address: str, cold: bool = False) -> None:
+        """Add a server; a cold one is listed as started just now."""
+        ...
 
-    async def drain(self, name: str) -> None: ...
+    async def drain(self, name: str) -> None:
+        """Mark a server as draining."""
+        ...
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """Stop listening and close all connections."""
+        ...
 
 
 class RegistryListing:
+    """Lists the servers in an HTTP registry."""
+
     def __init__(self) -> None:
         self.registry = Registry()
         self._addresses: dict[str, str] = {}
 
     async def start(self) -> None:
+        """Start the registry."""
         await self.registry.start()
 
     def toml(self) -> str:
+        """Return the keys of [membership] that point to the registry."""
         return f'address = "{self.registry.address}"'
 
     async def add(self, name: str, address: str, cold: bool = False) -> None:
+        """Add a server; a cold one is listed as started just now."""
         self._addresses[name] = address
         started = {"up_since_ms": int(time.time() * 1000)} if cold else {}
         self.registry.change({**member(name, address), **started})
 
     async def drain(self, name: str) -> None:
+        """Change the server's phase to draining."""
         self.registry.change(member(name, self._addresses[name], "draining"))
 
     async def stop(self) -> None:
+        """Stop the registry."""
         self.registry.stop()
 
 
 class EphemeralListing:
-    """An ensemble of three, and servers that register themselves."""
+    """Lists the servers as ephemeral nodes of an ensemble, which they create themselves."""
 
     def __init__(self, members: int = 3, session_s: float = SESSION_S) -> None:
         self.ensemble = Ensemble(members)
         self.session_s = session_s
 
     async def start(self) -> None:
+        """Start the ensemble and create the path of the registrations."""
         await self.ensemble.start()
         self.registrar = Registrar(self.ensemble.hosts, PATH, self.session_s)
         await self.registrar.make_path()
 
     def toml(self) -> str:
+        """Return the keys of [membership] that point to the ensemble."""
         hosts = ", ".join(f'"{host}"' for host in self.ensemble.hosts.split(","))
         return (
             f'source = "zookeeper"\nhosts = [{hosts}]\npath = "{PATH}"\nfleet = "{FLEET}"\n'
@@ -72,16 +89,19 @@
         )
 
     async def add(self, name: str, address: str, cold: bool = False) -> None:
+        """Register a server; a cold one is registered as started just now."""
         more: dict[str, Any] = {"started_ms": int(time.time() * 1000)} if cold else {}
         await self.registrar.register(name, address, **more)
 
     async def drain(self, name: str) -> None:
+        """Write the draining phase into the server's node."""
         await self.registrar.drain(name)
 
     def crowd(self) -> None:
-        """The sessions of all servers expire at once, as after a stall."""
+        """Expire the sessions of all servers at once, as after a stall."""
         self.ensemble.expire_under(PATH)
 
     async def stop(self) -> None:
+        """Close all sessions and stop the ensemble."""
         await self.registrar.close()
         await self.ensemble.stop()
--- a/sorrelfront/lab/shop.py
+++ b/sorrelfront/lab/shop.py
@@ -1,4 +1,4 @@
-"""Servers with scripted trouble and one book of what really ran on any of them."""
+"""Servers with scripted faults and one ledger of the requests that really ran on any of them."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 
 from sorrelfront.lab.http1 import Backend, answer
 
-DRAIN_S = 0.5  # nothing new later than this after the list said so
-DRAIN_SLACK_S = 0.05  # sockets' own: the rules on sockets give each time limit so much more
-ARRIVALS_MOST = 100_000  # remembered of each server, for the cold budget
+DRAIN_S = 0.5  # a drained server gets no new request later than this after the list said so
+DRAIN_SLACK_S = 0.05  # tolerance that the rules for sockets add to each time limit
+MAX_ARRIVALS = 100_000  # kept of each server, to check the cold start limit
 
 
 class Mode(Enum):
+    """How a server handles requests."""
+
     WELL = "well"
-    SLOW = "slow"  # `slower` times its time
-    HUNG = "hung"  # takes requests and answers none
-    FAILING = "failing"  # answers 500 at once, and nothing has run
+    SLOW = "slow"  # the service time is multiplied by `slower`
+    HUNG = "hung"  # reads requests and answers none
+    FAILING = "failing"  # answers 500 at once without running the request
 
 
 class Book:
-    """What ran, over all servers. A request whose key is remembered is answered and does not run again."""
+    """A ledger of what ran on all servers; a key seen within `window_s` does not run again."""
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        self.ran: Counter[str] = Counter()  # effects of unsafe and keyed requests, by name or key
+        self.ran: Counter[str] = Counter()  # executions of unsafe and keyed requests, by name or key
         self._keys: dict[str, float] = {}
 
     def run(self, name: str, key: str) -> None:
+        """Record an execution, unless `key` was seen within the window; an empty key is none."""
         now = time.monotonic()
         if key:
             if now - self._keys.get(key, -1e9) < self.window_s:
@@ -39,38 +42,39 @@
 
     @property
     def doubled(self) -> list[str]:
+        """The names or keys that ran more than once."""
         return [name for name, count in self.ran.items() if count > 1]
 
 
 class Server(Backend):
-    """`slots` requests in work at once, each for `service_s`; the others wait in a queue of their own."""
+    """Runs up to `slots` requests at once, each for `service_s` seconds; the others wait in a queue."""
 
     def __init__(self, name: str, book: Book, service_s: float = 0.01, slots: int = 8) -> None:
         super().__init__(self._serve_one)
         self.name = name
         self.book = book
         self.mode = Mode.WELL
-        self.slower = 10.0  # times its time, while it is slow
-        self.gone = False  # killed: nothing that it holds runs any more
+        self.slower = 10.0  # factor on the service time in Mode.SLOW
+        self.gone = False  # killed: queued and running requests have no effect any more
         self.requests = 0
         self.late_drains = 0
         self.service_s = service_s
         self.slots = slots
         self.drained_at: float | None = None
-        self.began_at: float | None = None  # None: long ago, and warm
-        self.arrivals: deque[float] = deque(maxlen=ARRIVALS_MOST)
-        self._room = asyncio.Semaphore(slots)
+        self.began_at: float | None = None  # None: started long ago and warm
+        self.arrivals: deque[float] = deque(maxlen=MAX_ARRIVALS)
+        self._free_slots = asyncio.Semaphore(slots)
 
     def drain(self) -> None:
-        """The list says from now on that it wants nothing new."""
+        """Note that the list now shows this server as draining."""
         self.drained_at = time.monotonic()
 
     def begin(self) -> None:
-        """It has just been started, and is cold."""
+        """Note that the server has just started and is cold."""
         self.began_at = time.monotonic()
 
     async def _serve_one(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
-        self.seen.clear()  # the book holds what counts
+        self.seen.clear()  # the ledger holds what is checked
         now = time.monotonic()
         self.requests += 1
         self.arrivals.append(now)
@@ -85,7 +89,7 @@
         if self.mode is Mode.HUNG:
             while self.mode is Mode.HUNG and not writer.is_closing():
                 await asyncio.sleep(0.02)
-        async with self._room:
+        async with self._free_slots:
             await asyncio.sleep(self.service_s * (self.slower if self.mode is Mode.SLOW else 1))
         if self.gone:
             return
@@ -95,8 +99,11 @@
         writer.write(answer(b"served"))
 
     def cold_overruns(self, cold_s: float, cold_from: float, multiple: float, span_s: float) -> int:
-        """Windows of `span_s` in which more came than `multiple` x what a server as cold as this can do. The
-        capacity is `slots / service_s`, and rises evenly from `cold_from` of it over `cold_s`."""
+        """Count the arrivals at which more than `multiple` times the cold capacity came within `span_s`.
+
+        The full capacity is `slots / service_s`. That of a cold server rises linearly from the share
+        `cold_from` of it to all of it over `cold_s` seconds.
+        """
         if self.began_at is None:
             return 0
         full = self.slots / self.service_s
--- a/tests/lab/test_books.py
+++ b/tests/lab/test_books.py
@@ -1,4 +1,4 @@
-"""The books that prove the rules can tell when one is broken."""
+"""Tests that the ledger and the counters that check the rules detect a broken rule."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 from sorrelfront.lab.shop import Book, Server
 
 
-def test_a_request_that_runs_twice_is_in_the_book_and_one_whose_key_is_remembered_is_not() -> None:
-    book = Book(window_s=60.0)
+def test_ledger_counts_a_request_that_ran_twice_but_not_a_deduplicated_key() -> None:
+    """A ledger that misses a second execution would hide unsafe retries in every test that uses it."""
+    ledger = Book(window_s=60.0)
     for _ in range(2):
-        book.run("stamp", "")
-        book.run("booking", "key")
-    assert book.doubled == ["stamp"]
-    forgetful = Book(window_s=0.0)
+        ledger.run("stamp", "")
+        ledger.run("booking", "key")
+    assert ledger.doubled == ["stamp"]
+    without_window = Book(window_s=0.0)
     for _ in range(2):
-        forgetful.run("booking", "key")
-    assert forgetful.doubled == ["key"]
+        without_window.run("booking", "key")
+    assert without_window.doubled == ["key"]
     assert ran_twice([request("a", "pay"), request("a", "pay"), request("b", "pay")]) == ["a"]
 
 
-def test_what_comes_to_a_drained_server_too_late_is_counted() -> None:
-    async def play() -> None:
+def test_requests_to_a_drained_server_after_the_limit_are_counted() -> None:
+    """Without the count, an agent that goes on sending to a draining server would pass unnoticed."""
+
+    async def run() -> None:
         server = Server("a", Book(4.0), service_s=0.0)
         host, _, port = (await server.start()).address.rpartition(":")
         client = await connect((host, int(port)))
@@ -40,41 +43,46 @@
         client.close()
         server.stop()
 
-    asyncio.run(play())
+    asyncio.run(run())
+
 
+def test_overload_of_a_cold_server_is_counted() -> None:
+    """Without the count, an agent that ignores the slow start of a new server would pass unnoticed."""
 
-def test_a_cold_server_that_is_pushed_over_is_counted() -> None:
-    async def play() -> None:
-        server = Server("a", Book(4.0), service_s=0.01, slots=1)  # 100 a second, 30 while cold
+    async def run() -> None:
+        server = Server("a", Book(4.0), service_s=0.01, slots=1)  # 100 requests a second, 30 at the start
         server.begin()
         assert server.began_at is not None
         server.arrivals.extend(server.began_at + 0.001 * number for number in range(100))
-        assert server.cold_overruns(9.0, 0.3, 3.0, 1.5) == 0  # 135 may come in 1.5 s
+        assert server.cold_overruns(9.0, 0.3, 3.0, 1.5) == 0  # 135 are allowed in 1.5 s
         server.arrivals.extend(server.began_at + 0.1 + 0.001 * number for number in range(100))
         assert server.cold_overruns(9.0, 0.3, 3.0, 1.5) > 0
 
-    asyncio.run(play())
+    asyncio.run(run())
+
 
+def test_a_connection_closed_after_the_request_was_read_counts_as_lost() -> None:
+    """The server reads the request and closes: counting that as a reset would hide lost requests."""
 
-def test_a_connection_that_ends_on_a_request_it_has_read_is_lost_and_an_unread_one_is_reset() -> None:
-    async def play() -> None:
+    async def run() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        crowd = Crowd(server.sockets[0].getsockname()[:2], 1, classes=("look",))
+        load = Crowd(server.sockets[0].getsockname()[:2], 1, classes=("look",))
         async with asyncio.timeout(PATIENCE_S):
-            while not crowd.book[LOST]:
+            while not load.book[LOST]:
                 await asyncio.sleep(0.01)
-        await crowd.stop()
-        assert crowd.lost
+        await load.stop()
+        assert load.lost
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_any_broken_rule_has_the_demo_say_so() -> None:
+def test_the_demo_reports_each_broken_rule() -> None:
+    """A figure left out of the check would let the demo succeed although the rule was broken."""
     kept = {"lost": 0, "doubled": 0, "late_drains": 0, "cold_overruns": 0}
     assert broken(kept) == []
     for name in kept:
