--- a/sorrelfront/lab/demo.py
+++ b/sorrelfront/lab/demo.py
@@ -1,7 +1,7 @@
-"""`sorrelfront demo`: a daemon between stand-ins that get into trouble, and a count of what it cost.
+"""`sorrelfront demo`: a daemon between stand-ins with injected faults, and a count of the failures.
 
-What is lost is counted from the clients' books, what ran twice or too late from the servers'; never from the
-daemon's own figures.
+Lost requests are counted from the clients' records, and requests that ran twice or came too late from those
+of the servers; never from the daemon's own figures.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 READY_WITHIN_S = 30.0
 END_WITHIN_S = 30.0
 
-FILE = """
+CONFIG_TEMPLATE = """
 [daemon]
 control = "control.sock"
 instances = {instances}
@@ -66,22 +66,22 @@
 
 
 class CannotRun(SorrelfrontError):
-    """The demo could not be brought up, in one line."""
+    """The demo could not be started; the message is one line."""
 
     remedy = "Free the ports that are named, or run the demo on a machine with less beside it."
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Something that happens at this share of the time."""
+    """A scripted event, at a share (0 to 1) of the demo's duration."""
 
     at: float
-    what: str
-    do: Callable[[Demo], Any]
+    description: str
+    action: Callable[[Demo], Any]
 
 
 class Demo:
-    """The stand-ins, the daemon and the load."""
+    """Runs the stand-ins, the daemon and the load."""
 
     def __init__(
         self, folder: Path, seconds: float, instances: int, seed: int, membership: str = "registry"
@@ -99,12 +99,12 @@
         self.log = folder / "daemon.log"
         self.servers: dict[str, Server] = {}
         self.book = Book(WINDOW_S)
-        self.happened: list[str] = []
+        self.events: list[str] = []
         self.reloads = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, show: Callable[[Demo], None]) -> dict[str, Any]:
-        """Play it and return the figures. Raises CannotRun."""
+        """Run the demo, calling `show` ten times a second, and return the figures. Raises CannotRun."""
         await self.listing.start()
         for number in range(SERVERS):
             server = await self.add(f"b{number}")
@@ -118,7 +118,7 @@
         try:
             await self._ready(process)
             self.crowd = Crowd(("127.0.0.1", self.port), CLIENTS, PAUSE_S)
-            await self._play(show)
+            await self._run_steps(show)
             await self.crowd.finish()
             with contextlib.suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGTERM)
@@ -145,14 +145,14 @@
             await asyncio.sleep(0.02)
         raise CannotRun(f"the daemon did not become ready: {self.log.read_text()[-500:].strip()}")
 
-    async def _play(self, show: Callable[[Demo], None]) -> None:
+    async def _run_steps(self, show: Callable[[Demo], None]) -> None:
         began = time.monotonic()
         steps = list(self.steps)
         while (now := time.monotonic() - began) < self.seconds:
             while steps and now >= steps[0].at * self.seconds:
                 step = steps.pop(0)
-                self.happened.append(f"{now:5.1f} s  {step.what}")
-                done = step.do(self)
+                self.events.append(f"{now:5.1f} s  {step.description}")
+                done = step.action(self)
                 if asyncio.iscoroutine(done):
                     task = asyncio.create_task(done)
                     self._tasks.add(task)
@@ -160,59 +160,66 @@
             show(self)
             await asyncio.sleep(0.1)
 
-    # What happens
+    # Scripted events
 
     def write(self, held: int) -> None:
-        text = FILE.format(
+        """Write the daemon's file; it is replaced atomically, so that the daemon never reads a part of it."""
+        text = CONFIG_TEMPLATE.format(
             instances=self.instances, seed=self.seed, port=self.port, held=held,
             membership=self.listing.toml(),
         )  # fmt: skip
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(text)
-        fresh.replace(self.path)
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(text)
+        new_path.replace(self.path)
 
     async def add(self, name: str) -> Server:
+        """Start a server, without listing it."""
         server = self.servers[name] = Server(name, self.book)
         await server.start()
         return server
 
-    def mode(self, name: str, mode: Mode) -> None:
+    def set_mode(self, name: str, mode: Mode) -> None:
+        """Change how a server handles requests."""
         self.servers[name].mode = mode
 
     async def drain(self, name: str) -> None:
+        """List a server as draining, and count its late requests from then on."""
         await self.listing.drain(name)
         self.servers[name].drain()
 
-    async def newcomer(self, name: str) -> None:
+    async def start_cold_server(self, name: str) -> None:
+        """Start a cold server and list it."""
         server = await self.add(name)
         server.begin()
         await self.listing.add(name, server.address, cold=True)
 
     def expire_all(self) -> None:
-        """All servers' sessions expire, and all register again."""
+        """Expire the sessions of all servers, which then register again."""
         assert isinstance(self.listing, EphemeralListing)
         self.listing.crowd()
 
     async def stall(self, seconds: float) -> None:
-        """The service answers nobody for a while."""
+        """Make the coordination service answer no requests for `seconds`."""
         assert isinstance(self.listing, EphemeralListing)
         self.listing.ensemble.stall()
         await asyncio.sleep(seconds)
         self.listing.ensemble.go_on()
 
-    def vanish(self, at: int) -> None:
+    def stop_member(self, at: int) -> None:
+        """Stop the ensemble member with index `at`."""
         assert isinstance(self.listing, EphemeralListing)
         self.listing.ensemble.members[at].vanish()
 
     async def reload(self) -> None:
+        """Change a limit in the daemon's file and have the daemon reload it."""
         self.write(900)
         answered = await control.ask(self.folder / "control.sock", {"op": "reload"})
         self.reloads += bool(answered.get("ok"))
 
-    # What it cost
+    # Figures
 
     def counts(self, cls: str | None = None) -> dict[str, int]:
-        """What clients saw, of one class or of all."""
+        """Count the outcomes that clients saw, of one class or of all."""
         found = {"offered": 0, "served": 0, "refused": 0, "failed": 0}
         for (name, got), count in self.crowd.by_class.items():
             if cls is not None and name != cls:
@@ -227,6 +234,7 @@
         return found
 
     def figures(self, code: int) -> dict[str, Any]:
+        """Return the figures; `code` is the daemon's exit code."""
         ms = sorted(1000 * latency for latency in self.crowd.latencies)
         cuts = statistics.quantiles(ms, n=100) if len(ms) > 1 else [0.0] * 99
         servers = self.servers.values()
@@ -250,27 +258,27 @@
 
 
 STEPS = (
-    Step(0.15, "b0 takes ten times as long", lambda demo: demo.mode("b0", Mode.SLOW)),
-    Step(0.30, "b0 is well again", lambda demo: demo.mode("b0", Mode.WELL)),
+    Step(0.15, "b0 takes ten times as long", lambda demo: demo.set_mode("b0", Mode.SLOW)),
+    Step(0.30, "b0 is well again", lambda demo: demo.set_mode("b0", Mode.WELL)),
     Step(0.32, "b1 drains", lambda demo: demo.drain("b1")),
     Step(0.40, "the file is changed and reloaded", lambda demo: demo.reload()),
-    Step(0.50, "b2 hangs", lambda demo: demo.mode("b2", Mode.HUNG)),
-    Step(0.65, "b2 is well again", lambda demo: demo.mode("b2", Mode.WELL)),
-    Step(0.67, "b5 is started, cold", lambda demo: demo.newcomer("b5")),
-    Step(0.80, "b3 fails everything", lambda demo: demo.mode("b3", Mode.FAILING)),
-    Step(0.90, "b3 is well again", lambda demo: demo.mode("b3", Mode.WELL)),
+    Step(0.50, "b2 hangs", lambda demo: demo.set_mode("b2", Mode.HUNG)),
+    Step(0.65, "b2 is well again", lambda demo: demo.set_mode("b2", Mode.WELL)),
+    Step(0.67, "b5 is started, cold", lambda demo: demo.start_cold_server("b5")),
+    Step(0.80, "b3 fails everything", lambda demo: demo.set_mode("b3", Mode.FAILING)),
+    Step(0.90, "b3 is well again", lambda demo: demo.set_mode("b3", Mode.WELL)),
 )
 
 
 EPHEMERAL_STEPS = (
     Step(0.10, "the service stalls for 2 s", lambda demo: demo.stall(2.0)),
-    Step(0.45, "a member of the service vanishes", lambda demo: demo.vanish(0)),
+    Step(0.45, "a member of the service vanishes", lambda demo: demo.stop_member(0)),
     Step(0.55, "the sessions of all servers expire", lambda demo: demo.expire_all()),
 )
 
 
 def broken(figures: dict[str, Any]) -> list[str]:
-    """The rules that were broken, by their figures."""
+    """Return the names of the figures that show a broken rule."""
     return [name for name in ("lost", "doubled", "late_drains", "cold_overruns") if figures[name]]
 
 
@@ -279,7 +287,7 @@
         return int(sock.getsockname()[1])
 
 
-def _picture(demo: Demo) -> Group:
+def _render(demo: Demo) -> Group:
     classes = Table("class", "offered", "served", "refused", "failed")
     for cls in (*CLASSES, None):
         counts = demo.counts(cls)
@@ -288,7 +296,7 @@
     for server in demo.servers.values():
         state = "draining" if server.drained_at is not None else server.mode.value
         servers.add_row(server.name, str(server.requests), state)
-    return Group(classes, servers, "\n".join(demo.happened))
+    return Group(classes, servers, "\n".join(demo.events))
 
 
 def play(
@@ -302,6 +310,6 @@
             if quiet:
                 return await demo.run(lambda _: None)
             with Live(console=Console(), refresh_per_second=5) as live:
-                return await demo.run(lambda playing: live.update(_picture(playing)))
+                return await demo.run(lambda playing: live.update(_render(playing)))
 
     return asyncio.run(run())
--- a/sorrelfront/lab/faults/__init__.py
+++ b/sorrelfront/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of one process's system calls, put between it and its C library."""
+"""Fault injection into one process: LD_PRELOAD shims between it and its C library."""
--- a/sorrelfront/lab/faults/page.h
+++ b/sorrelfront/lab/faults/page.h
@@ -1,4 +1,4 @@
-/* The page of memory by which a shim is steered: a file that an environment variable names, mapped and shared. */
+/* Maps the shared memory page that controls a shim: a file that an environment variable names. */
 
 #include <fcntl.h>
 #include <stdlib.h>
--- a/sorrelfront/lab/faults/shim.py
+++ b/sorrelfront/lab/faults/shim.py
@@ -1,4 +1,4 @@
-"""Libraries of our own that stand between one process and its C library, built where they are used."""
+"""LD_PRELOAD shims between a process and its C library, compiled at the time of use."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 
 
 def compiler() -> str | None:
-    """The C compiler of this machine, if it has one."""
+    """Return the path of this machine's C compiler, or None."""
     return shutil.which("cc")
 
 
 class Shim:
-    """A library that is loaded into processes, and the page of memory that steers it while they run."""
+    """A library that is loaded into processes, and the shared page that controls it while they run."""
 
     def __init__(self, folder: Path, name: str, size: int) -> None:
-        """Builds `name`.c of this package in `folder`. `size`: bytes of the page, all zero at first. Raises
-        CalledProcessError if it does not compile."""
+        """Compile `name`.c of this package into `folder` and create a zeroed page of `size` bytes.
+
+        Raises CalledProcessError if it does not compile.
+        """
         command = compiler()
         assert command is not None
         source = Path(__file__).with_name(f"{name}.c")
@@ -35,15 +37,16 @@
 
     @property
     def environ(self) -> dict[str, str]:
-        """What a process's environment needs for it, beside what it has."""
+        """The variables to add to the environment of a process that loads the shim."""
         return {"LD_PRELOAD": str(self.library), self._variable: str(self._path)}
 
     def close(self) -> None:
+        """Unmap the page in this process."""
         self.page.close()
 
 
 def loaded(*shims: Shim) -> dict[str, str]:
-    """The environment of a process that loads all of these."""
+    """Return the variables to add to the environment of a process that loads all these shims."""
     environ: dict[str, str] = {}
     for shim in shims:
         environ.update(shim.environ)
--- a/sorrelfront/lab/faults/system_calls.c
+++ b/sorrelfront/lab/faults/system_calls.c
@@ -1,8 +1,9 @@
-/* Lets system calls of one process fail, as they do in production.
+/* Injects errors into the system calls of one process, as they occur in production.
  *
- * Loaded with LD_PRELOAD. SYSTEM_CALLS_PAGE names a file that holds `struct page`: what fails how often may change
- * at any moment, and each fault injected is counted there. Only IPv4 stream sockets are touched, so that what the
- * program's own parts say to each other goes on. Randomness is a linear congruential generator, seeded there. */
+ * Loaded with LD_PRELOAD. SYSTEM_CALLS_PAGE names a file that holds `struct page`: the probability of each fault,
+ * which may change at any time, and the count of its injections. Only IPv4 sockets are affected, so that the
+ * program's internal communication goes on. Random numbers come from a linear congruential generator, whose seed
+ * is in the page. */
 
 #define _GNU_SOURCE
 #include "page.h"
@@ -16,10 +17,10 @@
 enum call { ACCEPT, SOCKET, CONNECT, POLL, SHORT_READ, SHORT_WRITE, BROKEN, CALLS };
 
 #define MILLION 1000000U
-#define SHORT_BYTES 7U /* at most, of a short read or write */
+#define SHORT_BYTES 7U /* the maximum length of a short read or write */
 
 struct fault {
-    volatile uint32_t chance; /* in a million calls */
+    volatile uint32_t chance; /* probability in millionths */
     uint32_t hits;
 };
 
@@ -40,15 +41,15 @@
     page = map_page("SYSTEM_CALLS_PAGE", sizeof *page);
 }
 
-static uint32_t draw(uint32_t below)
+static uint32_t random_below(uint32_t below)
 {
     page->state = page->state * 6364136223846793005ULL + 1442695040888963407ULL;
     return (uint32_t)(page->state >> 33) % below;
 }
 
-static int hit(enum call call)
+static int inject(enum call call)
 {
-    if (!page || !page->faults[call].chance || draw(MILLION) >= page->faults[call].chance)
+    if (!page || !page->faults[call].chance || random_below(MILLION) >= page->faults[call].chance)
         return 0;
     page->faults[call].hits++;
     return 1;
@@ -66,7 +67,7 @@
 
 static int fail(const int *errors, uint32_t count)
 {
-    errno = errors[draw(count)];
+    errno = errors[random_below(count)];
     return -1;
 }
 
@@ -74,7 +75,7 @@
 {
     static const int errors[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EINTR};
     REAL(accept4);
-    if (page && is_ipv4(fd) && hit(ACCEPT))
+    if (page && is_ipv4(fd) && inject(ACCEPT))
         return fail(errors, 6);
     return real(fd, address, length, flags);
 }
@@ -83,7 +84,7 @@
 {
     static const int errors[] = {ENFILE, EMFILE, ENOBUFS, ENOMEM};
     REAL(socket);
-    if (domain == AF_INET && hit(SOCKET))
+    if (domain == AF_INET && inject(SOCKET))
         return fail(errors, 4);
     return real(domain, type, protocol);
 }
@@ -92,9 +93,9 @@
 {
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, EINTR};
     REAL(connect);
-    if (page && address->sa_family == AF_INET && hit(CONNECT)) {
+    if (page && address->sa_family == AF_INET && inject(CONNECT)) {
         int failed = fail(errors, 3);
-        if (errno == EINTR) { /* it goes on in the background */
+        if (errno == EINTR) { /* an interrupted connect goes on in the background */
             real(fd, address, length);
             errno = EINTR;
         }
@@ -106,18 +107,18 @@
 int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
 {
     REAL(epoll_wait);
-    if (hit(POLL)) {
+    if (inject(POLL)) {
         errno = EINTR;
         return -1;
     }
     return real(fd, events, most, timeout);
 }
 
-/* How a connection that is broken shows. */
-static ssize_t broken(ssize_t result)
+/* Replaces some resets by the other errors that a broken connection may report. */
+static ssize_t replace_reset(ssize_t result)
 {
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH};
-    if (result < 0 && (errno == ECONNRESET || errno == EPIPE) && hit(BROKEN))
+    if (result < 0 && (errno == ECONNRESET || errno == EPIPE) && inject(BROKEN))
         return fail(errors, 2);
     return result;
 }
@@ -125,15 +126,15 @@
 ssize_t recv(int fd, void *data, size_t size, int flags)
 {
     REAL(recv);
-    if (page && size > SHORT_BYTES && !(flags & MSG_PEEK) && is_ipv4(fd) && hit(SHORT_READ))
-        size = 1 + draw(SHORT_BYTES);
-    return broken(real(fd, data, size, flags));
+    if (page && size > SHORT_BYTES && !(flags & MSG_PEEK) && is_ipv4(fd) && inject(SHORT_READ))
+        size = 1 + random_below(SHORT_BYTES);
+    return replace_reset(real(fd, data, size, flags));
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags)
 {
     REAL(send);
-    if (page && size > 1 && is_ipv4(fd) && hit(SHORT_WRITE))
-        size = 1 + draw(size - 1 < SHORT_BYTES ? size - 1 : SHORT_BYTES);
-    return broken(real(fd, data, size, flags));
+    if (page && size > 1 && is_ipv4(fd) && inject(SHORT_WRITE))
+        size = 1 + random_below(size - 1 < SHORT_BYTES ? size - 1 : SHORT_BYTES);
+    return replace_reset(real(fd, data, size, flags));
 }
--- a/sorrelfront/lab/faults/system_calls.py
+++ b/sorrelfront/lab/faults/system_calls.py
@@ -1,4 +1,4 @@
-"""System calls of another process that fail now and then (`system_calls.c`)."""
+"""Random errors of the system calls of another process (`system_calls.c`)."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from sorrelfront.lab.faults.shim import Shim
 
 STATE = struct.Struct("=Q")
-FAULT = struct.Struct("=II")  # chance in a million calls, hits so far
+FAULT = struct.Struct("=II")  # probability in millionths, injections so far
 MILLION = 1_000_000
 
 
 class Call(IntEnum):
-    """What may fail, in the order of the page."""
+    """The kinds of fault, in the order of the page."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -22,7 +22,7 @@
     POLL = 3  # a wait is interrupted
     SHORT_READ = 4
     SHORT_WRITE = 5
-    BROKEN = 6  # a reset shows as a time-out or an unreachable host
+    BROKEN = 6  # a reset is reported as a timeout or an unreachable host
 
 
 class SystemCalls(Shim):
@@ -33,12 +33,12 @@
         STATE.pack_into(self.page, 0, seed)
 
     def set(self, call: Call, chance: float) -> None:
-        """From now on this call fails with this chance."""
-        struct.pack_into("=I", self.page, self._at(call), int(chance * MILLION))
+        """Inject this fault with probability `chance` (0 to 1) from now on."""
+        struct.pack_into("=I", self.page, self._offset(call), int(chance * MILLION))
 
     def hits(self, call: Call) -> int:
-        """How many faults of this kind were injected."""
-        return int(FAULT.unpack_from(self.page, self._at(call))[1])
+        """Return how many faults of this kind were injected."""
+        return int(FAULT.unpack_from(self.page, self._offset(call))[1])
 
-    def _at(self, call: Call) -> int:
+    def _offset(self, call: Call) -> int:
         return STATE.size + call * FAULT.size
--- a/sorrelfront/lab/faults/wall_clock.c
+++ b/sorrelfront/lab/faults/wall_clock.c
@@ -1,8 +1,8 @@
-/* Shifts the wall clock of one process, and of nothing else, by what a mapped page says.
+/* Shifts the wall clock of one process only, by the offset in a mapped page.
  *
  * Loaded with LD_PRELOAD. WALL_CLOCK_PAGE names a file of two native 64-bit integers: the offset in nanoseconds,
- * which may change at any moment, and how often the wall clock was read, which is counted here. The monotonic
- * clock is left alone. */
+ * which may change at any time, and the number of reads of the wall clock, which this library counts. The monotonic
+ * clock is not changed. */
 
 #define _GNU_SOURCE
 #include "page.h"
--- a/sorrelfront/lab/faults/wall_clock.py
+++ b/sorrelfront/lab/faults/wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock of another process, stepped while it runs (`wall_clock.c`)."""
+"""Steps of the wall clock of another process while it runs (`wall_clock.c`)."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
         super().__init__(folder, "wall_clock", LAYOUT.size)
 
     def set(self, offset_s: float) -> None:
-        """From now on the wall clock is this far from the host's."""
+        """Set the offset from the host's wall clock, in seconds."""
         struct.pack_into("=q", self.page, 0, int(offset_s * 1e9))
 
     @property
     def reads(self) -> int:
-        """How often the processes have read it."""
+        """How often the processes have read their wall clock."""
         return int(LAYOUT.unpack_from(self.page)[1])
