--- a/sorrelfront/lab/crowd.py
+++ b/sorrelfront/lab/crowd.py
@@ -197,7 +197,7 @@
         return Peer(self.address, sock)
 
     async def more(self, count: int) -> None:
-        """Wait until `count` more requests have been answered; raises TimeoutError after PATIENCE_S."""
+        """Wait until `count` more requests have been answered; raises TimeoutError after WAIT_TIMEOUT_S."""
         wanted = self.answered + count
         async with asyncio.timeout(PATIENCE_S):
             while self.answered < wanted:
--- a/sorrelfront/lab/http1.py
+++ b/sorrelfront/lab/http1.py
@@ -198,7 +198,7 @@
         self.writer.write(data)
 
     async def head(self) -> bytes:
-        """Read the head of the next answer; raises TimeoutError after PATIENCE_S."""
+        """Read the head of the next answer; raises TimeoutError after WAIT_TIMEOUT_S."""
         return await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
 
     async def answer(self) -> tuple[int, bytes, bytes]:
--- a/sorrelfront/lab/shop.py
+++ b/sorrelfront/lab/shop.py
@@ -61,7 +61,7 @@
         self.service_s = service_s
         self.slots = slots
         self.drained_at: float | None = None
-        self.began_at: float | None = None  # None: started long ago and warm
+        self.started_at: float | None = None  # None: started long ago and warm
         self.arrivals: deque[float] = deque(maxlen=MAX_ARRIVALS)
         self._free_slots = asyncio.Semaphore(slots)
 
@@ -71,7 +71,7 @@
 
     def begin(self) -> None:
         """Note that the server has just started and is cold."""
-        self.began_at = time.monotonic()
+        self.started_at = time.monotonic()
 
     async def _serve_one(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
         self.seen.clear()  # the ledger holds what is checked
@@ -104,13 +104,13 @@
         The full capacity is `slots / service_s`. That of a cold server rises linearly from the share
         `cold_from` of it to all of it over `cold_s` seconds.
         """
-        if self.began_at is None:
+        if self.started_at is None:
             return 0
         full = self.slots / self.service_s
         overruns = 0
         window: deque[float] = deque()
         for at in self.arrivals:
-            age = at - self.began_at
+            age = at - self.started_at
             if age >= cold_s:
                 break
             window.append(at)
--- a/sorrelfront/lab/zookeeper/__init__.py
+++ b/sorrelfront/lab/zookeeper/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for a coordination service, with trouble on demand."""
+"""A stand-in for a ZooKeeper ensemble, with faults on demand."""
--- a/sorrelfront/lab/zookeeper/__main__.py
+++ b/sorrelfront/lab/zookeeper/__main__.py
@@ -1,14 +1,14 @@
 """`python -m sorrelfront.lab.zookeeper --listen HOST:PORT [--listen HOST:PORT ...]`: one ensemble.
 
-It tells its addresses in one JSON line, then takes one JSON object a line on standard input, and ends with
-that:
+It prints its addresses as one JSON line, then reads commands from standard input, one JSON object per line,
+and exits at the end of the input:
 
     {"do": "stall"}  {"do": "go_on"}  {"do": "drop"}  {"do": "vanish"}  {"do": "come_back"}
     {"do": "quorum", "how": "lost" | "read-only" | "kept"}  {"do": "slow", "s": 0.1}  {"do": "late", "s": 0.1}
     {"do": "freeze"}  {"do": "thaw"}  {"do": "expire", "session": 17}  {"do": "expire_under", "path": "/p"}
     {"do": "restore_from_nothing"}  {"do": "asked"}
 
-`"member": N` names one member; without it all are meant. Each line is answered by one.
+`"member": N` selects one member by index; without it a command goes to all. Each line is answered by one.
 """
 
 from __future__ import annotations
@@ -24,48 +24,49 @@
 from sorrelfront.lists import Malformed, parse_address
 
 
-async def obey(ensemble: Ensemble, told: dict[str, Any]) -> dict[str, Any]:
-    """Carry out one order. Raises KeyError, ValueError, TypeError or IndexError for one that is none."""
-    members = ensemble.members if "member" not in told else [ensemble.members[int(told["member"])]]
-    do = told["do"]
+async def execute(ensemble: Ensemble, command: dict[str, Any]) -> dict[str, Any]:
+    """Execute one command. Raises KeyError, ValueError, TypeError or IndexError if it is invalid."""
+    members = ensemble.members if "member" not in command else [ensemble.members[int(command["member"])]]
+    do = command["do"]
     if do == "asked":
         return {"asked": dict(ensemble.asked), "open": ensemble.open, "watches": ensemble.watches}
     if do == "expire":
-        ensemble.expire(int(told["session"]))
+        ensemble.expire(int(command["session"]))
     elif do == "expire_under":
-        ensemble.expire_under(str(told["path"]))
+        ensemble.expire_under(str(command["path"]))
     elif do == "restore_from_nothing":
         ensemble.restore_from_nothing()
     else:
         for member in members:
-            await _trouble(member, do, told)
+            await _inject_fault(member, do, command)
     return {"ok": True}
 
 
-async def _trouble(member: Member, do: str, told: dict[str, Any]) -> None:
+async def _inject_fault(member: Member, do: str, command: dict[str, Any]) -> None:
     match do:
         case "stall" | "go_on" | "drop" | "vanish" | "freeze" | "thaw":
             getattr(member, do)()
         case "come_back":
             await member.come_back()
-        case "quorum" if told["how"] in ("lost", "read-only", "kept"):
-            member.quorum = told["how"]
+        case "quorum" if command["how"] in ("lost", "read-only", "kept"):
+            member.quorum = command["how"]
             member.drop()
         case "slow":
-            member.delay_s = float(told["s"])
+            member.delay_s = float(command["s"])
         case "late":
-            member.watch_delay_s = float(told["s"])
+            member.watch_delay_s = float(command["s"])
         case _:
             raise ValueError(do)
 
 
 async def serve(addresses: list[tuple[str, int]], seed: int) -> None:
+    """Run an ensemble at these addresses until standard input ends."""
     ensemble = await Ensemble(len(addresses), seed).start(addresses)
     print(json.dumps({"hosts": ensemble.hosts}), flush=True)
     loop = asyncio.get_running_loop()
     while line := await loop.run_in_executor(None, sys.stdin.readline):
         try:
-            answer = await obey(ensemble, json.loads(line))
+            answer = await execute(ensemble, json.loads(line))
         except (KeyError, ValueError, TypeError, IndexError, OSError) as fault:
             answer = {"ok": False, "fault": f"{type(fault).__name__}: {fault}"}
         print(json.dumps(answer), flush=True)
--- a/sorrelfront/lab/zookeeper/ensemble.py
+++ b/sorrelfront/lab/zookeeper/ensemble.py
@@ -1,11 +1,11 @@
-"""Servers of the stand-in: one ensemble, presented by several members, each with a listening socket.
+"""The ensemble of the stand-in: several members over one shared tree, each with a listening socket.
 
-A member answers each connection's requests in their order and keeps the watches that were set through it. It
-counts what it is asked. Trouble is attributes and calls: a test or `python -m sorrelfront.lab.zookeeper` sets
-them while clients are connected.
+A member answers each connection's requests in order, keeps the watches that were set through it and counts
+requests by operation. Faults are injected by attributes and methods: a test or
+`python -m sorrelfront.lab.zookeeper` uses them while clients are connected.
 
-Sources: ZooKeeper's programmer's guide (watches are one-shot, and come ahead of the new data),
-zookeeper.jute, and, for a client that has seen more than its member, what the same guide says of sessions.
+Sources: ZooKeeper's programmer's guide (watches are one-shot, and arrive before the new data is visible),
+zookeeper.jute, and, for a client with a higher zxid than its member, the same guide on sessions.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
     parent,
 )
 
-CONNECTED = 3  # the state that watch events tell
-TICK_S = 0.05  # between looks at who has been silent for too long
-CONNECTIONS_MOST = 4_096
-WATCHES_MOST = 100_000  # of one connection
-MULTI_MOST = 1_000  # operations in one transaction
-WORDS = (b"ruok", b"srvr")
+CONNECTED = 3  # the session state in watch events
+TICK_S = 0.05  # between checks for expired sessions
+MAX_CONNECTIONS = 4_096
+MAX_WATCHES = 100_000  # of one connection
+MAX_MULTI_OPERATIONS = 1_000  # operations of one transaction
+FOUR_LETTER_WORDS = (b"ruok", b"srvr")
 WRITES = frozenset((Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.MULTI, Op.SYNC))
 
 
@@ -52,22 +52,24 @@
     writer: asyncio.StreamWriter
     session: Session
     ids: set[tuple[str, str]]
-    data: set[str] = field(default_factory=set)  # watched for change or end
-    exists: set[str] = field(default_factory=set)  # watched though absent
+    data: set[str] = field(default_factory=set)  # watched for change or deletion
+    exists: set[str] = field(default_factory=set)  # watched for creation
     children: set[str] = field(default_factory=set)
 
     @property
     def watches(self) -> int:
+        """The number of watches set through this connection."""
         return len(self.data) + len(self.exists) + len(self.children)
 
 
 class Member:
-    """One server. Its trouble:
+    """One server of the ensemble, and the faults that can be injected into it.
 
-    `stalled`: it reads and answers nothing while set. `delay_s`: before each request is looked at.
-    `answer_delay_s`: between doing it and answering, so that watches overtake. `watch_delay_s`: before each
-    watch event. `quorum`: "kept", "lost" (new connections are dropped, old ones too) or "read-only".
-    `freeze()`: it serves what it holds now until `thaw()`.
+    `stall()`: it handles and answers no request until `go_on()`. `delay_s`: delay before each request is
+    handled. `answer_delay_s`: delay between executing a request and answering it, so that watch events
+    overtake the answer. `watch_delay_s`: delay before each watch event. `quorum`: "kept", "lost" (new
+    connections are dropped, old ones too) or "read-only". `freeze()`: it serves a snapshot of its state until
+    `thaw()`.
     """
 
     def __init__(self, ensemble: Ensemble) -> None:
@@ -78,75 +80,84 @@
         self.quorum = "kept"
         self.asked: Counter[str] = Counter()  # requests by operation, since the start
         self.connections = 0  # so far
-        self._flowing = asyncio.Event()
-        self._flowing.set()
-        self._behind: Tree | None = None
+        self._resumed = asyncio.Event()
+        self._resumed.set()
+        self._snapshot: Tree | None = None
         self._peers: set[Peer] = set()
         self._streams: set[asyncio.StreamWriter] = set()
-        self._late: set[asyncio.TimerHandle] = set()
+        self._delayed: set[asyncio.TimerHandle] = set()
         self._server: asyncio.Server | None = None
-        self._place: tuple[str, int] = ("127.0.0.1", 0)
+        self._listen_address: tuple[str, int] = ("127.0.0.1", 0)
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> Member:
+        """Listen on `host`:`port`; port 0 takes any free port."""
         self._server = await asyncio.start_server(self._serve, host, port, backlog=1_024)
-        self._place = self._server.sockets[0].getsockname()[:2]
+        self._listen_address = self._server.sockets[0].getsockname()[:2]
         return self
 
     @property
     def address(self) -> str:
-        return "{}:{}".format(*self._place)
+        """The listening address as host:port."""
+        return "{}:{}".format(*self._listen_address)
 
     @property
     def open(self) -> int:
+        """The number of connections with a session."""
         return len(self._peers)
 
     @property
     def watches(self) -> int:
+        """The number of watches set through this member."""
         return sum(peer.watches for peer in self._peers)
 
-    # Trouble
+    # Faults
 
     @property
     def stalled(self) -> bool:
-        return not self._flowing.is_set()
+        """Whether the member handles no requests at present."""
+        return not self._resumed.is_set()
 
     def stall(self) -> None:
-        self._flowing.clear()
+        """Stop handling requests; connections stay open."""
+        self._resumed.clear()
 
     def go_on(self) -> None:
-        self._flowing.set()
+        """Handle requests again after `stall`."""
+        self._resumed.set()
 
     def drop(self) -> None:
-        """Cut every connection; clients may come again at once."""
+        """Abort every connection; clients may reconnect at once."""
         for writer in [*self._streams]:
             writer.transport.abort()
 
     def vanish(self) -> None:
-        """Nobody listens any more."""
+        """Close the listening socket and abort every connection."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self.drop()
 
     async def come_back(self) -> None:
-        await self.listen(*self._place)
+        """Listen again on the same address after `vanish`."""
+        await self.listen(*self._listen_address)
 
     def lose_quorum(self, read_only: bool = False) -> None:
+        """Abort every connection, and accept none, or with `read_only` those that ask for read-only."""
         self.quorum = "read-only" if read_only else "lost"
         self.drop()
 
     def freeze(self) -> None:
-        """Fall behind: what changes from here on is not seen by clients of this member."""
-        self._behind = self.ensemble.tree.snapshot()
+        """Serve a snapshot: this member's clients do not see later changes until `thaw`."""
+        self._snapshot = self.ensemble.tree.snapshot()
 
     def thaw(self) -> None:
-        """Catch up; watches of what has changed meanwhile fire."""
-        before, self._behind = self._behind, None
+        """Serve the current state again, and fire the watches of nodes that changed since `freeze`."""
+        before, self._snapshot = self._snapshot, None
         if before is None:
             return
         now = self.ensemble.tree.nodes
         for path in sorted(before.nodes.keys() | now.keys()):
-            event = _changed(before.nodes.get(path), now.get(path))
+            event = _difference(before.nodes.get(path), now.get(path))
             if event is not None:
                 self.fire(event, path, self.ensemble.tree.zxid)
             old, new = before.nodes.get(path), now.get(path)
@@ -155,13 +166,14 @@
 
     @property
     def tree(self) -> Tree:
-        """What its clients read."""
-        return self._behind or self.ensemble.tree
+        """The tree that the member's clients read: the snapshot while frozen."""
+        return self._snapshot or self.ensemble.tree
 
     # Watches
 
     def fire(self, event: Event, path: str, zxid: int) -> None:
-        if self._behind is not None:
+        """Send an event to each client that watches `path` for it, and remove the watch."""
+        if self._snapshot is not None:
             return
         for peer in [*self._peers]:
             held = []
@@ -173,18 +185,18 @@
                 held = [peer.data, peer.exists, peer.children]
             else:
                 held = [peer.data, peer.exists]
-            told = False
+            watched = False
             for watches in held:
-                told |= path in watches
+                watched |= path in watches
                 watches.discard(path)
-            if told:
-                self._tell(peer, event, path)
+            if watched:
+                self._send_event(peer, event, path)
 
-    def _tell(self, peer: Peer, event: Event, path: str) -> None:
+    def _send_event(self, peer: Peer, event: Event, path: str) -> None:
         record = Writer().int32(XID_WATCH).int64(-1).int32(0).int32(event).int32(CONNECTED).text(path)
-        self._later(self.watch_delay_s, peer, record.frame())
+        self._send(self.watch_delay_s, peer, record.frame())
 
-    def _later(self, delay_s: float, peer: Peer, data: bytes) -> None:
+    def _send(self, delay_s: float, peer: Peer, data: bytes) -> None:
         if peer.writer.is_closing():
             return
         if delay_s <= 0:
@@ -192,17 +204,17 @@
             return
 
         def write() -> None:
-            self._late.discard(timer)
+            self._delayed.discard(timer)
             if not peer.writer.is_closing():
                 peer.writer.write(data)
 
         timer = asyncio.get_running_loop().call_later(delay_s, write)
-        self._late.add(timer)
+        self._delayed.add(timer)
 
     # Connections
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.quorum == "lost" or len(self._streams) >= CONNECTIONS_MOST:
+        if self.quorum == "lost" or len(self._streams) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
         self.connections += 1
@@ -210,49 +222,51 @@
         peer = None
         try:
             head = await reader.readexactly(4)
-            if head in WORDS:
-                writer.write(self._said_of_itself(head))
+            if head in FOUR_LETTER_WORDS:
+                writer.write(self._four_letter_answer(head))
                 await writer.drain()
                 return
-            peer = await self._connect(await self._framed(reader, head), writer)
+            peer = await self._connect(await self._read_frame(reader, head), writer)
             if peer is None:
                 return
             self._peers.add(peer)
-            while await self._one(reader, peer):
+            while await self._handle_request(reader, peer):
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, Malformed, struct.error):
-            pass  # whoever cannot be read is cut off, as in a real one
+            pass  # a malformed request ends the connection, as in a real ensemble
         finally:
             self._streams.discard(writer)
             if peer is not None:
                 self._peers.discard(peer)
             writer.close()
 
-    async def _framed(self, reader: asyncio.StreamReader, head: bytes) -> Reader:
+    async def _read_frame(self, reader: asyncio.StreamReader, head: bytes) -> Reader:
         data = await reader.readexactly(frame_length(head))
-        await self._flowing.wait()
+        await self._resumed.wait()
         return Reader(data)
 
-    def _said_of_itself(self, word: bytes) -> bytes:
-        """An answer to a four-letter word, which some clients ask ahead of a connection (administrator's
-        guide, the four letter words)."""
+    def _four_letter_answer(self, word: bytes) -> bytes:
+        """Return the answer to a four-letter word, which some clients send before they connect.
+
+        See "the four letter words" in the administrator's guide.
+        """
         if word == b"ruok":
             return b"imok"
         mode = "read-only" if self.quorum == "read-only" else "standalone"
-        told = f"Zookeeper version: 3.9.0-standin\nZxid: {self.tree.zxid:#x}\nMode: {mode}\n"
-        return told.encode() + b"Node count: %d\n" % len(self.tree.nodes)
-
-    async def _connect(self, said: Reader, writer: asyncio.StreamWriter) -> Peer | None:
-        if said.int32() != 0:
-            raise Malformed("another protocol")
-        last_zxid, timeout_ms, number = said.int64(), said.int32(), said.int64()
-        password = said.buffer() or b""
-        asks_read_only = said.left > 0
-        may_read_only = asks_read_only and said.flag()
+        text = f"Zookeeper version: 3.9.0-standin\nZxid: {self.tree.zxid:#x}\nMode: {mode}\n"
+        return text.encode() + b"Node count: %d\n" % len(self.tree.nodes)
+
+    async def _connect(self, request: Reader, writer: asyncio.StreamWriter) -> Peer | None:
+        if request.int32() != 0:
+            raise Malformed("unsupported protocol version")
+        last_zxid, timeout_ms, number = request.int64(), request.int32(), request.int64()
+        password = request.buffer() or b""
+        asks_read_only = request.left > 0
+        may_read_only = asks_read_only and request.flag()
         if self.quorum == "read-only" and not may_read_only:
             return None
         if last_zxid > self.tree.zxid:
-            return None  # it has seen more than this member: let it find another
+            return None  # the client's zxid is higher than this member's: it must try another
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         now = self.ensemble.now_ms()
@@ -272,17 +286,17 @@
         host = writer.get_extra_info("peername")[0]
         return Peer(writer, session, {("ip", str(host))})
 
-    async def _one(self, reader: asyncio.StreamReader, peer: Peer) -> bool:
-        """Serve a request; False ends the connection."""
-        said = await self._framed(reader, await reader.readexactly(4))
+    async def _handle_request(self, reader: asyncio.StreamReader, peer: Peer) -> bool:
+        """Handle one request and return whether the connection stays open."""
+        request = await self._read_frame(reader, await reader.readexactly(4))
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        xid, number = said.int32(), said.int32()
+        xid, number = request.int32(), request.int32()
         tree = self.ensemble.tree
         if peer.session.id not in tree.sessions:
             return False
         peer.session = tree.sessions[peer.session.id]
-        peer.session.heard_ms = self.ensemble.now_ms()
+        peer.session.last_heard_ms = self.ensemble.now_ms()
         op = Op(number) if number in Op.__members__.values() else None
         self.asked[op.name if op is not None else "unknown"] += 1
         body = Writer()
@@ -293,14 +307,14 @@
             xid = XID_PING
         elif op is Op.AUTH:
             xid = XID_AUTH
-            err = self._auth(said, peer)
+            err = self._auth(request, peer)
         elif op in WRITES and self.quorum != "kept":
             err = Err.NOT_READ_ONLY
         elif op is None:
             err = Err.UNIMPLEMENTED
         else:
             try:
-                body = self._do(op, said, peer)
+                body = self._execute(op, request, peer)
             except Refused as refused:
                 err = refused.err
         if self.answer_delay_s:
@@ -312,9 +326,9 @@
             return False
         return True
 
-    def _auth(self, said: Reader, peer: Peer) -> Err:
-        said.int32()
-        scheme, secret = said.text(), said.buffer() or b""
+    def _auth(self, request: Reader, peer: Peer) -> Err:
+        request.int32()
+        scheme, secret = request.text(), request.buffer() or b""
         user, _, password = secret.decode("utf-8", "replace").partition(":")
         if scheme != "digest" or not user:
             return Err.AUTH_FAILED
@@ -323,33 +337,33 @@
 
     # Operations
 
-    def _do(self, op: Op, said: Reader, peer: Peer) -> Writer:
+    def _execute(self, op: Op, request: Reader, peer: Peer) -> Writer:
         match op:
             case Op.EXISTS | Op.GET_DATA | Op.GET_CHILDREN | Op.GET_CHILDREN2 | Op.GET_ACL:
-                return self._read(op, said, peer)
+                return self._read(op, request, peer)
             case Op.SYNC:
-                return Writer().text(self._path(said))
+                return Writer().text(self._path(request))
             case Op.SET_WATCHES:
-                return self._set_watches(said, peer)
+                return self._set_watches(request, peer)
             case Op.MULTI:
-                return self._multi(said, peer)
+                return self._multi(request, peer)
             case _:
-                result = self._change(op, said, peer, self.ensemble.tree)
-                said.end()
+                result = self._change(op, request, peer, self.ensemble.tree)
+                request.end()
                 return result
 
     @staticmethod
-    def _path(said: Reader) -> str:
+    def _path(request: Reader) -> str:
         try:
-            return checked_path(said.text())
+            return checked_path(request.text())
         except Malformed:
             raise Refused(Err.BAD_ARGUMENTS) from None
 
-    def _read(self, op: Op, said: Reader, peer: Peer) -> Writer:
-        path = self._path(said)
-        watch = said.flag() if op is not Op.GET_ACL else False
-        said.end()
-        if watch and peer.watches >= WATCHES_MOST:
+    def _read(self, op: Op, request: Reader, peer: Peer) -> Writer:
+        path = self._path(request)
+        watch = request.flag() if op is not Op.GET_ACL else False
+        request.end()
+        if watch and peer.watches >= MAX_WATCHES:
             raise Refused(Err.RUNTIME_INCONSISTENCY)
         node = self.tree.nodes.get(path)
         if node is None:
@@ -362,7 +376,7 @@
             return Writer().stat(node.stat())
         if op is Op.GET_ACL:
             return Writer().acls(node.acls).stat(node.stat())
-        self.tree.allow(node, Perm.READ, peer.ids)
+        self.tree.check_access(node, Perm.READ, peer.ids)
         if op is Op.GET_DATA:
             if watch:
                 peer.data.add(path)
@@ -372,90 +386,90 @@
         answer = Writer().texts(sorted(node.children))
         return answer.stat(node.stat()) if op is Op.GET_CHILDREN2 else answer
 
-    def _set_watches(self, said: Reader, peer: Peer) -> Writer:
-        """Set watches again after a re-connect; what has changed since the client's zxid is told at once."""
-        since = said.int64()
-        data, exists, children = said.texts(), said.texts(), said.texts()
-        said.end()
+    def _set_watches(self, request: Reader, peer: Peer) -> Writer:
+        """Restore watches after a reconnect; changes since the client's zxid are sent as events at once."""
+        since = request.int64()
+        data, exists, children = request.texts(), request.texts(), request.texts()
+        request.end()
         nodes = self.tree.nodes
         for path in data:
             node = nodes.get(path)
             if node is None:
-                self._tell(peer, Event.DELETED, path)
+                self._send_event(peer, Event.DELETED, path)
             elif node.mzxid > since:
-                self._tell(peer, Event.CHANGED, path)
+                self._send_event(peer, Event.CHANGED, path)
             else:
                 peer.data.add(path)
         for path in exists:
             if path in nodes:
-                self._tell(peer, Event.CREATED, path)
+                self._send_event(peer, Event.CREATED, path)
             else:
                 peer.exists.add(path)
         for path in children:
             node = nodes.get(path)
             if node is None:
-                self._tell(peer, Event.DELETED, path)
+                self._send_event(peer, Event.DELETED, path)
             elif node.pzxid > since:
-                self._tell(peer, Event.CHILD, path)
+                self._send_event(peer, Event.CHILD, path)
             else:
                 peer.children.add(path)
         return Writer()
 
-    def _change(self, op: Op, said: Reader, peer: Peer, tree: Tree) -> Writer:
+    def _change(self, op: Op, request: Reader, peer: Peer, tree: Tree) -> Writer:
         now = self.ensemble.now_ms()
-        path = said.text()
+        path = request.text()
         if op in (Op.CREATE, Op.CREATE2):
-            data, acls, flags = said.buffer() or b"", said.acls(), said.int32()
+            data, acls, flags = request.buffer() or b"", request.acls(), request.int32()
             made = tree.create(path, data, acls, flags, peer.session.id, peer.ids, now)
             answer = Writer().text(made)
             return answer.stat(tree.find(made).stat()) if op is Op.CREATE2 else answer
         if op is Op.DELETE:
-            tree.delete(path, said.int32(), peer.ids)
+            tree.delete(path, request.int32(), peer.ids)
             return Writer()
         if op is Op.SET_DATA:
-            data, version = said.buffer() or b"", said.int32()
+            data, version = request.buffer() or b"", request.int32()
             return Writer().stat(tree.set(path, data, version, peer.ids, now))
         if op is Op.CHECK:
-            tree.check(path, said.int32())
+            tree.check(path, request.int32())
             return Writer()
         raise Refused(Err.UNIMPLEMENTED)
 
-    def _multi(self, said: Reader, peer: Peer) -> Writer:
-        """All or nothing; watches fire only if it was all."""
+    def _multi(self, request: Reader, peer: Peer) -> Writer:
+        """Execute a transaction, all operations or none; watches fire only if all succeeded."""
         tree = self.ensemble.tree
         before, listeners = tree.snapshot(), tree.changed
         events: list[tuple[Event, str]] = []
         tree.changed = [lambda event, path, _: events.append((event, path))]
         results: list[tuple[int, Writer]] = []
         failed: Err | None = None
-        behind = 0  # operations that come after the one that failed
+        after_failure = 0  # operations after the one that failed
         try:
             while True:
-                number, done = said.int32(), said.flag()
-                said.int32()
+                number, done = request.int32(), request.flag()
+                request.int32()
                 if done:
                     break
-                if len(results) + behind >= MULTI_MOST:
-                    raise Malformed("a transaction without end")
+                if len(results) + after_failure >= MAX_MULTI_OPERATIONS:
+                    raise Malformed("a transaction with too many operations")
                 op = Op(number) if number in Op.__members__.values() else Op.ERROR
                 try:
-                    result = self._change(op, said, peer, tree)
+                    result = self._change(op, request, peer, tree)
                 except Refused as refused:
-                    behind += failed is not None
+                    after_failure += failed is not None
                     failed = failed or refused.err
                 else:
-                    behind += failed is not None
+                    after_failure += failed is not None
                     if failed is None:
                         results.append((number, result))
         except (Malformed, struct.error):
-            tree.become(before)
+            tree.restore(before)
             raise
         finally:
             tree.changed = listeners
         answer = Writer()
         if failed is not None:
-            tree.become(before)
-            for err in [Err.OK] * len(results) + [failed] + [Err.RUNTIME_INCONSISTENCY] * behind:
+            tree.restore(before)
+            for err in [Err.OK] * len(results) + [failed] + [Err.RUNTIME_INCONSISTENCY] * after_failure:
                 answer.int32(Op.ERROR).flag(False).int32(err).int32(err)
         else:
             tree.zxid = before.zxid + 1
@@ -467,7 +481,7 @@
         return answer.int32(Op.ERROR).flag(True).int32(-1)
 
 
-def _changed(before: Node | None, now: Node | None) -> Event | None:
+def _difference(before: Node | None, now: Node | None) -> Event | None:
     if before is None:
         return Event.CREATED
     if now is None:
@@ -476,60 +490,66 @@
 
 
 class Ensemble:
-    """The members and what they hold in common."""
+    """The members, their shared tree and the expiry of sessions."""
 
     def __init__(self, members: int = 1, seed: int = 1) -> None:
         self.tree = Tree(seed)
         self.members = [Member(self) for _ in range(members)]
         self.tree.changed.append(self._fire)
-        self._ticking: asyncio.Task[None] | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
 
     async def start(self, addresses: Iterable[tuple[str, int]] = ()) -> Ensemble:
+        """Listen on these addresses, one per member; by default on free ports of 127.0.0.1."""
         places = [*addresses] or [("127.0.0.1", 0)] * len(self.members)
         for member, (host, port) in zip(self.members, places, strict=True):
             await member.listen(host, port)
-        self._ticking = asyncio.create_task(self._tick())
+        self._expiry_task = asyncio.create_task(self._expire_sessions())
         return self
 
     @property
     def hosts(self) -> str:
+        """The addresses of all members, separated by commas."""
         return ",".join(member.address for member in self.members)
 
     @staticmethod
     def now_ms() -> int:
+        """Return the wall clock in milliseconds."""
         return time.time_ns() // 1_000_000
 
     @property
     def asked(self) -> Counter[str]:
+        """Requests to all members, by operation."""
         return sum((member.asked for member in self.members), Counter[str]())
 
     @property
     def watches(self) -> int:
+        """The number of watches set through all members."""
         return sum(member.watches for member in self.members)
 
     @property
     def open(self) -> int:
+        """The number of connections with a session, at all members."""
         return sum(member.open for member in self.members)
 
     def _fire(self, event: Event, path: str, zxid: int) -> None:
         for member in self.members:
             member.fire(event, path, zxid)
 
-    async def _tick(self) -> None:
+    async def _expire_sessions(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
             if all(member.stalled or member.quorum != "kept" for member in self.members):
-                # Nobody leads, so nobody expires sessions; a new leader gives each its whole time again.
+                # Without a leader no session expires; a new leader restarts each session's timeout.
                 for session in self.tree.sessions.values():
-                    session.heard_ms = self.now_ms()
+                    session.last_heard_ms = self.now_ms()
                 continue
             for number in self.tree.overdue(self.now_ms()):
                 self.expire(number)
 
-    # Trouble of them all
+    # Faults of the whole ensemble
 
     def expire(self, number: int) -> None:
-        """End a session as if it had been silent; its connections are cut."""
+        """End a session as if it had timed out, and abort its connections."""
         self.tree.close(number)
         for member in self.members:
             for peer in [*member._peers]:
@@ -537,40 +557,43 @@
                     peer.writer.transport.abort()
 
     def expire_under(self, path: str) -> None:
-        """End the sessions that own children of this node, as after a stall."""
+        """Expire the sessions that own children of this node, as after a stall."""
         below = (node.owner for at, node in self.tree.nodes.items() if parent(at) == path)
         for number in {owner for owner in below if owner}:
             self.expire(number)
 
     def restore_from_nothing(self) -> None:
-        """Come back empty: no nodes, no sessions, and zxids from the start."""
+        """Drop all connections, nodes and sessions, and start zxids anew, as after the loss of all data."""
         for member in self.members:
             member.drop()
-            member._behind = None
-        self.tree.become(Tree(seed=self.tree.zxid + 2))
+            member._snapshot = None
+        self.tree.restore(Tree(seed=self.tree.zxid + 2))
 
     def stall(self) -> None:
+        """Stall every member."""
         for member in self.members:
             member.stall()
 
     def go_on(self) -> None:
+        """End the stall of every member; each session gets its whole timeout again."""
         now = self.now_ms()
         for session in self.tree.sessions.values():
-            session.heard_ms = now
+            session.last_heard_ms = now
         for member in self.members:
             member.go_on()
 
     async def stop(self) -> None:
-        if self._ticking is not None:
-            self._ticking.cancel()
+        """Stop all members, and wait for their connections to end (100 polls of 1 ms at most)."""
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._ticking
+                await self._expiry_task
         for member in self.members:
             member.go_on()
             member.vanish()
-            for timer in member._late:
+            for timer in member._delayed:
                 timer.cancel()
-        for _ in range(100):  # until each connection's task has seen its end
+        for _ in range(100):  # until the task of each connection has ended
             if not any(member._streams for member in self.members):
                 return
             await asyncio.sleep(0.001)
--- a/sorrelfront/lab/zookeeper/registrar.py
+++ b/sorrelfront/lab/zookeeper/registrar.py
@@ -1,4 +1,4 @@
-"""Servers that register themselves: a session each, a node each, and the record in it."""
+"""Stand-ins for servers that register themselves: each has a session and an ephemeral node."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from sorrelfront.net import zookeeper as net
 from sorrelfront.net.jute import Err, Event, Flag
 
-PATIENCE_S = 30.0  # only a failing test waits for so long
+WAIT_TIMEOUT_S = 30.0  # only a failing test waits this long
 
 
 @dataclass(slots=True)
-class Registered:
-    """One server's registration; it registers again whenever its session has been lost."""
+class Registration:
+    """One server's registration; unless `again` is false, an expired session is followed by a new one."""
 
     name: str
     record: dict[str, Any]
@@ -28,96 +28,100 @@
 
 
 class Registrar:
-    """Makes the path, and registers servers below it."""
+    """Creates the path and registers servers below it."""
 
     def __init__(self, hosts: str, path: str, timeout_s: float = 1.0, seed: int = 1) -> None:
         self.hosts = tuple(parse_address(host) for host in hosts.split(","))
         self.path, self.timeout_s, self._seed = path, timeout_s, seed
-        self.servers: dict[str, Registered] = {}
-        self.admin = net.Session(net.Terms(self.hosts, timeout_s), seed, _no_life, _no_event)
+        self.servers: dict[str, Registration] = {}
+        self.admin = net.Session(net.Terms(self.hosts, timeout_s), seed, _ignore_state, _ignore_event)
 
     async def make_path(self) -> None:
+        """Create each node of the path that does not exist yet."""
         for depth in range(2, len(self.path.split("/")) + 1):
             with contextlib.suppress(net.NotDone):
                 await self.admin.create("/".join(self.path.split("/")[:depth]), b"")
 
-    async def register(self, name: str, address: str, node: str = "", **more: Any) -> Registered:
-        """Returns once its node is there."""
+    async def register(self, name: str, address: str, node: str = "", **more: Any) -> Registration:
+        """Register a server and return once its node exists; raises TimeoutError after WAIT_TIMEOUT_S."""
         record = {"id": name, "address": address, "started_ms": 1_000, **more}
-        made = self.servers[name] = Registered(name, record, node or name, None)  # type: ignore[arg-type]
-        self._open(made)
-        async with asyncio.timeout(PATIENCE_S):
-            await self._write(made)
-        return made
-
-    def _open(self, made: Registered) -> None:
-        def on_life(life: net.Life) -> None:
-            if life is net.Life.EXPIRED and made.again:
-                task = asyncio.create_task(self._write(made))
-                made.tasks.add(task)
-                task.add_done_callback(made.tasks.discard)
+        entry = self.servers[name] = Registration(name, record, node or name, None)  # type: ignore[arg-type]
+        self._open(entry)
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            await self._create_node(entry)
+        return entry
+
+    def _open(self, entry: Registration) -> None:
+        def on_state(state: net.Life) -> None:
+            if state is net.Life.EXPIRED and entry.again:
+                task = asyncio.create_task(self._create_node(entry))
+                entry.tasks.add(task)
+                task.add_done_callback(entry.tasks.discard)
 
         self._seed += 1
-        made.session = net.Session(net.Terms(self.hosts, self.timeout_s), self._seed, on_life, _no_event)
+        entry.session = net.Session(
+            net.Terms(self.hosts, self.timeout_s), self._seed, on_state, _ignore_event
+        )
 
-    async def _write(self, made: Registered) -> None:
+    async def _create_node(self, entry: Registration) -> None:
         while True:
             try:
-                data = json.dumps(made.record).encode()
-                await made.session.create(f"{self.path}/{made.node}", data, Flag.EPHEMERAL)
+                data = json.dumps(entry.record).encode()
+                await entry.session.create(f"{self.path}/{entry.node}", data, Flag.EPHEMERAL)
                 return
             except net.Lost:
                 continue
-            except net.NotDone as refused:
-                if refused.err == Err.NODE_EXISTS:
-                    # Its own of the session before, which has not expired yet.
+            except net.NotDone as error:
+                if error.err == Err.NODE_EXISTS:
+                    # The server's own node, of its previous session, which has not expired yet.
                     with contextlib.suppress(net.NotDone, net.Lost):
-                        await made.session.delete(f"{self.path}/{made.node}")
-                elif refused.err == Err.NO_NODE:
+                        await entry.session.delete(f"{self.path}/{entry.node}")
+                elif error.err == Err.NO_NODE:
                     await asyncio.sleep(0.05)
                 else:
                     raise
 
     async def drain(self, name: str) -> None:
-        """Say in the record that it drains."""
-        made = self.servers[name]
-        made.record["phase"] = "draining"
-        async with asyncio.timeout(PATIENCE_S):
+        """Write the draining phase into the server's record."""
+        entry = self.servers[name]
+        entry.record["phase"] = "draining"
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 try:
-                    await made.session.put(f"{self.path}/{made.node}", json.dumps(made.record).encode())
+                    await entry.session.put(f"{self.path}/{entry.node}", json.dumps(entry.record).encode())
                     return
                 except net.Lost:
                     continue
-                except net.NotDone:  # it is being registered again, with what its record says now
+                except net.NotDone:  # it is being registered again, with the current record
                     await asyncio.sleep(0.02)
 
     async def leave(self, name: str) -> None:
-        """End its session, and its node with it."""
-        made = self.servers.pop(name)
-        made.again = False
-        await made.session.close()
+        """End the server's session, which deletes its node."""
+        entry = self.servers.pop(name)
+        entry.again = False
+        await entry.session.close()
 
     def crash(self, name: str) -> None:
-        """Fall silent: the session lives on until it expires."""
-        made = self.servers.pop(name)
-        made.again = False
-        made.session.abandon()
+        """Stop the server's heartbeats without closing the session, which ends when it expires."""
+        entry = self.servers.pop(name)
+        entry.again = False
+        entry.session.abandon()
 
     async def close(self) -> None:
-        for made in self.servers.values():
-            made.again = False
-            made.session.abandon()
-            for task in [*made.tasks]:
+        """Abandon all sessions and stop registering."""
+        for entry in self.servers.values():
+            entry.again = False
+            entry.session.abandon()
+            for task in [*entry.tasks]:
                 task.cancel()
         self.servers.clear()
         self.admin.abandon()
         await asyncio.sleep(0)
 
 
-def _no_life(life: net.Life) -> None:
-    """Nothing follows of it."""
+def _ignore_state(state: net.Life) -> None:
+    """Ignore a change of the session's state."""
 
 
-def _no_event(event: Event, path: str) -> None:
-    """No watch is set."""
+def _ignore_event(event: Event, path: str) -> None:
+    """Ignore a watch event; none is expected, as no watch is set."""
--- a/tests/lab/test_books.py
+++ b/tests/lab/test_books.py
@@ -52,10 +52,10 @@
     async def run() -> None:
         server = Server("a", Book(4.0), service_s=0.01, slots=1)  # 100 requests a second, 30 at the start
         server.begin()
-        assert server.began_at is not None
-        server.arrivals.extend(server.began_at + 0.001 * number for number in range(100))
+        assert server.started_at is not None
+        server.arrivals.extend(server.started_at + 0.001 * number for number in range(100))
         assert server.cold_overruns(9.0, 0.3, 3.0, 1.5) == 0  # 135 are allowed in 1.5 s
-        server.arrivals.extend(server.began_at + 0.1 + 0.001 * number for number in range(100))
+        server.arrivals.extend(server.started_at + 0.1 + 0.001 * number for number in range(100))
         assert server.cold_overruns(9.0, 0.3, 3.0, 1.5) > 0
 
     asyncio.run(run())
