--- a/sorrelfront/lab/storm/__init__.py
+++ b/sorrelfront/lab/storm/__init__.py
@@ -1,1 +1,1 @@
-"""Several daemons, faults between them, and a verdict from outside books."""
+"""Fault injection between real daemons, judged by a history recorded outside them."""
--- a/sorrelfront/lab/storm/run.py
+++ b/sorrelfront/lab/storm/run.py
@@ -1,4 +1,4 @@
-"""One storm from its file to its verdict, and many by seeds."""
+"""Runs one storm from its file to its verdict, or one storm for each of many seeds."""
 
 from __future__ import annotations
 
@@ -23,23 +23,27 @@
 from sorrelfront.lab.storm.scenario import read as read_scenario
 from sorrelfront.lab.storm.stage import Stage
 
-HELD, BROKEN, VOID = 0, 1, 3  # exit codes; 2 is a wrong call
+HELD, BROKEN, VOID = 0, 1, 3  # exit codes; 2 is a usage error
 FILE = "storm.toml"
 VERDICT = "verdict.json"
-NO_STATUS = ("lost", "reset", "left")  # what an answer says that is none
-SHOWN_MOST = 20  # breaches of one rule that a verdict names
+UNANSWERED = ("lost", "reset", "left")  # statuses of calls that got no answer
+MAX_LISTED_BREACHES = 20  # breaches of one rule that a verdict lists
 SCENARIOS = Path(__file__).parent / "scenarios"
 
 
 class Ended(Exception):
-    """The rig was told to end."""
+    """Raised when a signal ended the harness."""
 
 
 def play(
     scenario: Scenario, seed: int, folder: Path | None = None, show: Callable[[str], None] = lambda _: None
 ) -> dict[str, Any]:
-    """Play a storm and judge it. `folder` keeps file, seed, history and verdict. Raises CannotPlay, and Ended
-    after everything has been taken down."""
+    """Play a storm and return its verdict; `folder` keeps the file, the seed, the history and the verdict.
+
+    Raises:
+        CannotPlay: The storm could not be set up, or the harness failed.
+        Ended: A signal ended the storm; everything has been torn down.
+    """
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
         (folder / FILE).write_bytes(scenario.text)
@@ -58,10 +62,10 @@
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
-    told: list[int] = []
+    received: list[int] = []
 
     def end(number: signal.Signals) -> None:
-        told.append(number)
+        received.append(number)
         task.cancel()
 
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -69,24 +73,24 @@
     try:
         await stage.play(show)
     except asyncio.CancelledError:
-        if told:
-            raise Ended(signal.Signals(told[0]).name) from None
+        if received:
+            raise Ended(signal.Signals(received[0]).name) from None
         raise
 
 
 def verdict_of(events: list[Event], scenario: Scenario, seed: int) -> dict[str, Any]:
-    """What a history comes to. `result` is "held", "broken" or "void"."""
+    """Return the verdict on a history; its `result` is "held", "broken" or "void"."""
     breaches = judge(events)
     figures = figures_of(events)
     rig = next((event for event in events if event["kind"] == "rig"), None)
-    void = _void(rig, scenario.void)
+    void = _void_reasons(rig, scenario.void)
     share = figures["served"] / max(1, figures["asked"])
     if share < scenario.expect["served"]:
         breaches["served"] = [
             Breach("served", 0.0, f"{share:.3f} of what was asked, {scenario.expect['served']:g} wanted")
         ]
     wanted = scenario.expect["breach"]
-    # A planted defect has to be found, whatever else is.
+    # A planted defect has to be found, whatever else is found.
     held = bool(breaches.get(wanted)) if wanted else not any(breaches.values())
     return {
         "storm": scenario.storm["name"],
@@ -95,7 +99,7 @@
         "void": void,
         "expected_breach": wanted,
         "rules": {
-            name: {"breaches": len(found), "first": [asdict(item) for item in found[:SHOWN_MOST]]}
+            name: {"breaches": len(found), "first": [asdict(item) for item in found[:MAX_LISTED_BREACHES]]}
             for name, found in breaches.items()
         },
         "figures": figures,
@@ -103,8 +107,8 @@
     }
 
 
-def _void(rig: Event | None, limits: dict[str, Any]) -> list[str]:
-    """Why this storm says nothing of the program: the rig itself was the bottleneck."""
+def _void_reasons(rig: Event | None, limits: dict[str, Any]) -> list[str]:
+    """Return why the storm is inconclusive: it did not finish, or the harness was the bottleneck."""
     if rig is None:
         return ["it did not come to its end"]
     found = []
@@ -122,7 +126,7 @@
 
 
 def figures_of(events: list[Event]) -> dict[str, Any]:
-    """Counts and latencies of the whole storm, and how service came back."""
+    """Return counts and latencies of the whole storm, and its recovery times."""
     answers = [event for event in events if event["kind"] == "answer"]
     status = Counter(event["status"] for event in answers)
     ms = np.array([event["ms"] for event in answers if event["status"] == "200"] or [0.0])
@@ -132,25 +136,28 @@
     settled = next((event["waited"] for event in events if event["kind"] == "settled"), None)
     return {
         "asked": sum(event["kind"] == "ask" for event in events), "served": status["200"], "refused": refused,
-        "failed": len(answers) - status["200"] - refused - sum(status[word] for word in NO_STATUS),
+        "failed": len(answers) - status["200"] - refused - sum(status[word] for word in UNANSWERED),
         "lost": status["lost"], "reset": status["reset"], "left": status["left"],
         "p50_ms": round(float(np.percentile(ms, 50)), 2), "p99_ms": round(float(np.percentile(ms, 99)), 2),
-        "arrivals": len(arrivals), "arrivals_100ms": _densest(arrivals, 0.1),
-        "watches": len(watches), "watches_1s": _densest(watches, 1.0),
-        "settled_s": settled, "back": returns(events),
+        "arrivals": len(arrivals), "arrivals_100ms": _max_in_window(arrivals, 0.1),
+        "watches": len(watches), "watches_1s": _max_in_window(watches, 1.0),
+        "settled_s": settled, "back": recovery_times(events),
     }  # fmt: skip
 
 
-def _densest(times: np.ndarray[Any, Any], span: float) -> int:
-    """The most events in any window of this length."""
+def _max_in_window(times: np.ndarray[Any, Any], span: float) -> int:
+    """Return the largest number of events in any window of `span` seconds."""
     if not len(times):
         return 0
     return int((np.searchsorted(times, times + span) - np.arange(len(times))).max())
 
 
-def returns(events: list[Event], span: float = 0.25) -> dict[str, float | None]:
-    """Seconds from the first fault's end until so much of the service before the first fault is there again,
-    by the served in steps of a quarter of a second; None if never."""
+def recovery_times(events: list[Event], span: float = 0.25) -> dict[str, float | None]:
+    """Return the recovery times in seconds, by share of the rate served before the first fault.
+
+    Each is the time from the first end of a fault to the end of the first window of `span` seconds that is
+    served at that share of the former rate; None if there is none.
+    """
     faults = [event for event in events if event["kind"] == "fault"]
     load = next((event["t"] for event in events if event["kind"] == "load"), None)
     over = next((event["t"] for event in faults if event["phase"] == "over"), None)
@@ -177,7 +184,13 @@
 
 
 def replayed(folder: Path) -> tuple[Scenario, int]:
-    """The file and the seed that a kept storm was played by. Raises BadDocument, OSError, ValueError."""
+    """Return the scenario and the seed of a kept storm.
+
+    Raises:
+        BadDocument: The scenario file is not valid.
+        OSError: A file cannot be read.
+        ValueError: The history does not begin as that of a storm.
+    """
     events = read(folder / HISTORY)
     if not events or events[0]["kind"] != "storm":
         raise ValueError(f"{folder / HISTORY}: does not begin as a storm's history does")
@@ -185,26 +198,28 @@
 
 
 def again(path: Path, seed: int) -> str:
-    """The command that plays this storm once more."""
+    """Return the command that plays this storm again."""
     return f"sorrelfront storm run {path} --seed {seed}"
 
 
 def soak(scenario: Scenario, seeds: range, jobs: int, keep: Path | None = None) -> Iterator[dict[str, Any]]:
-    """Play one storm for each seed, some at a time, and give verdicts as they come. Of what is kept only
-    broken and void ones stay."""
+    """Play the storm once for each seed, `jobs` at a time, and yield verdicts in order of completion.
+
+    With `keep`, only the folders of broken and void storms remain.
+    """
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(jobs, mp_context=context) as pool:
-        waiting = {pool.submit(_one, str(scenario.path), seed, keep): seed for seed in seeds}
+        waiting = {pool.submit(_play_one, str(scenario.path), seed, keep): seed for seed in seeds}
         for done in as_completed(waiting):
             yield done.result()
 
 
-def _one(path: str, seed: int, keep: Path | None) -> dict[str, Any]:
+def _play_one(path: str, seed: int, keep: Path | None) -> dict[str, Any]:
     folder = None if keep is None else keep / f"seed-{seed}"
     scenario = read_scenario(Path(path))
     try:
         verdict = play(scenario, seed, folder)
-    except Exception as fault:  # one storm that fails does not end the others, and is told
+    except Exception as fault:  # a storm that fails is reported as void and does not end the others
         verdict = {
             "storm": scenario.storm["name"],
             "seed": seed,
@@ -219,12 +234,12 @@
 
 
 def listed() -> list[Path]:
-    """The storms that come with the program."""
+    """Return the scenario files that come with the program."""
     return sorted(SCENARIOS.glob("*.toml"))
 
 
-def find(told: str) -> Path:
-    """A file, or the name of one that comes with the program."""
-    path = Path(told)
-    known = SCENARIOS / f"{told}.toml"
+def find(name: str) -> Path:
+    """Return the path of a scenario, given as a file or as the name of one that comes with the program."""
+    path = Path(name)
+    known = SCENARIOS / f"{name}.toml"
     return known if not path.exists() and known.exists() else path
--- a/sorrelfront/lab/storm/stage.py
+++ b/sorrelfront/lab/storm/stage.py
@@ -1,8 +1,9 @@
-"""The stage of a storm: real daemons on loopback addresses of their own, stand-ins around them, relays
-between.
+"""The harness of a storm: real daemons on loopback addresses, simulated servers and callers, and relays.
 
-One address stands for one host. A host's daemon, its instances and whatever they start carry the host's mark;
-the stage ends them all, and a keeper does if the stage cannot."""
+Each host has one loopback address. A host's daemon, its instances and all their child processes carry the
+host's mark in their environment. The harness ends all of them; a separate keeper process does so if the
+harness cannot.
+"""
 
 from __future__ import annotations
 
@@ -41,20 +42,20 @@
 from sorrelfront.lab.storm.scenario import KINDS, Planned, Scenario
 
 CLAIM_PORT = 20_001
-BLOCKS = range(1, 250)  # 127.0.N.*: one for each storm on this machine
-PORT = 18_080  # of each host's callers
-WINDOW_S = 4.0  # for how long servers remember a key
+BLOCKS = range(1, 250)  # N in 127.0.N.*: one block for each storm on this machine
+CLIENT_PORT = 18_080  # the listener of each host, for its callers
+DEDUP_WINDOW_S = 4.0  # how long servers remember an idempotency key
 COLD_S, COLD_FROM, COLD_MULTIPLE, COLD_SPAN_S = 9.0, 0.3, 3.0, 1.5
-MEMORY = "/dev/shm"
-READY_WITHIN_S = 60.0
-POLL_S = 0.1
-LAG_EVERY_S = 0.01
-LAG_TOLD_MS = 20.0
-END_WITHIN_S = 40.0
-LINE_MOST = 4_000  # bytes of a line of a log that are kept: a whole traceback
-DESCRIPTORS = 16_384
-
-FILE = """
+MEMORY_DIRECTORY = "/dev/shm"
+READY_TIMEOUT_S = 60.0
+READY_POLL_S = 0.1
+LAG_INTERVAL_S = 0.01
+MIN_RECORDED_LAG_MS = 20.0
+STOP_TIMEOUT_S = 40.0
+MAX_LINE_BYTES = 4_000  # of a log line that are kept: enough for a whole traceback
+DESCRIPTOR_LIMIT = 16_384
+
+CONFIG_TEMPLATE = """
 [daemon]
 name = "{name}"
 control = "c.sock"
@@ -87,8 +88,8 @@
 address = "{registry}"
 {fleet}
 """
-VIEW_PORT, VIEW_RELAY_PORT = 17_000, 17_100  # of a host's first instance, and of the relays to it
-FLEET = """
+VIEW_PORT, VIEW_RELAY_PORT = 17_000, 17_100  # of a host's first instance and of the relay to it
+FLEET_TEMPLATE = """
 [fleet]
 name = "{name}"
 listen = "{ip}:{listen}"
@@ -101,22 +102,22 @@
 exchange_ms = 5000
 recall_ms = 500
 """
-VOTERS = """
+VOTERS_TEMPLATE = """
 voters = [{voters}]
 lease_ms = {lease_ms}
 policy_header = true
 """
-LOOK_UNSAFE = 100  # proposals from this number on have what was safe be unsafe
-AGAIN_AFTER = ("another change", "no majority")  # what a patient operator waits out
-AGAIN_MOST = 20  # proposals of one change, by an operator who wants it
-LONG, LONG_CLASSES = 1_000, 205  # proposals from this number on are nearly as long as a policy may be
-PROPOSE_WITHIN_S = 40.0  # for the command to say what came of it
-VIEWS_EVERY_S = 0.25
-TWIN = 1_000  # further on are the ports of a second daemon on a host
+FIRST_UNSAFE_PROPOSAL = 100  # proposals from this number on make the safe class unsafe
+RETRIABLE_REASONS = ("another change", "no majority")  # reasons after which a change is proposed again
+MAX_PROPOSALS = 20  # of one change, by default
+FIRST_LONG_PROPOSAL, LONG_CLASSES = 1_000, 205  # from this number on: nearly the maximum size
+COMMAND_TIMEOUT_S = 40.0  # for the policy command to report the outcome
+VIEW_POLL_S = 0.25
+PORT_OFFSET = 1_000  # added to the ports of a second daemon on a host, and of moved members
 
 
 class CannotPlay(SorrelfrontError):
-    """A storm that could not be set up, in one line."""
+    """Raised when a storm cannot be set up; the message is one line."""
 
     remedy = (
         "Look at the last lines of the log that are named; with processes left over, "
@@ -124,8 +125,8 @@
     )
 
 
-class _Book(Book):
-    """The one book of all servers, as one of them writes it."""
+class _RecordingBook(Book):
+    """One server's access to the book shared by all servers; records effects in the history."""
 
     def __init__(self, server: str, whole: Book, history: History) -> None:
         super().__init__(whole.window_s)
@@ -141,18 +142,18 @@
             self._history.add("effect", server=self._server, key=key or name, call=name, **{"class": cls})
 
 
-class _Server(Server):
-    """A server that tells the history of what comes, and who sent it when."""
+class _RecordingServer(Server):
+    """A server that records each arriving request in the history, with its sender and sending time."""
 
     def __init__(self, name: str, stage: Stage) -> None:
         load = stage.scenario.load
         super().__init__(
-            name, _Book(name, stage.book, stage.history), load["service_ms"] / 1e3, load["slots"]
+            name, _RecordingBook(name, stage.book, stage.history), load["service_ms"] / 1e3, load["slots"]
         )
         self._stage = stage
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(asyncio.CancelledError):  # the storm is taken down
+        with contextlib.suppress(asyncio.CancelledError):  # the storm is being torn down
             await super()._serve(reader, writer)
 
     async def _serve_one(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
@@ -164,11 +165,12 @@
         call = calls[0].decode("latin-1") if calls else ""
         host = origin.host if origin else ""
         if stage.scenario.storm["copies"]:
-            host = call.partition("-")[0]  # by a copy it is reached through another host's relay
+            host = call.partition("-")[0]  # an address from a copy leads through another host's relay
         stage.history.add("arrive", server=self.name, host=host, sent=round(sent, 6), call=call)
         await super()._serve_one(whole, writer)
 
-    def is_cold(self) -> None:
+    def start_cold(self) -> None:
+        """Start the cold period and record its limits in the history."""
         self.begin()
         self._stage.history.add(
             "cold", server=self.name, capacity=self.slots / self.service_s, multiple=COLD_MULTIPLE,
@@ -176,8 +178,8 @@
         )  # fmt: skip
 
 
-class _List(Registry):
-    """The list service as one host reaches it: servers stand in it by the addresses of this host's relays."""
+class _HostRegistry(Registry):
+    """The list service as one host sees it: each server has the address of this host's relay to it."""
 
     def __init__(self, host: str, history: History) -> None:
         super().__init__()
@@ -186,12 +188,12 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._history.add("watch", host=self._host)
-        with contextlib.suppress(asyncio.CancelledError):  # the storm is taken down
+        with contextlib.suppress(asyncio.CancelledError):  # the storm is being torn down
             await super()._serve(reader, writer)
 
 
-class _Told:
-    """Reads what a host's watches have been sent, line by line, as it passes the relay."""
+class _WatchRecorder:
+    """Records the server phases sent to a host's watches, parsed line by line as they pass the relay."""
 
     def __init__(self, host: str, history: History) -> None:
         self._host = host
@@ -205,16 +207,16 @@
         for line in lines:
             if line.startswith(b'{"revision"'):
                 for item in json.loads(line)["members"]:
-                    self._one(connection, item["id"], item["phase"])
+                    self._record_phase(connection, item["id"], item["phase"])
 
-    def _one(self, connection: int, server: str, phase: str) -> None:
+    def _record_phase(self, connection: int, server: str, phase: str) -> None:
         if self._known.get((connection, server)) != phase:
             self._known[connection, server] = phase
             self._history.add("told", host=self._host, server=server, phase=phase)
 
 
-class _Crowd(Crowd):
-    """Callers beside one host's daemon."""
+class _Clients(Crowd):
+    """The callers of one host's daemon."""
 
     def __init__(self, host: Host) -> None:
         self._host = host.name
@@ -224,10 +226,14 @@
         super().__init__(host.address, load["clients"], load["pause_ms"] / 1e3, name=f"{host.name}-c")
 
     def asks(self, name: str, cls: str) -> None:
+        """Record that a caller sends a request."""
         self._history.add("ask", host=self._host, call=name, **{"class": cls})
 
     async def await_answer(self, peer: Peer, name: str) -> bytes:
-        """Of those who may leave, whoever has no answer in a time that is drawn for it leaves."""
+        """Wait for the answer; a random share of callers closes the connection after a random time.
+
+        The share is the load's `leave`; the time is uniform up to `leave_ms`.
+        """
         leaves, share = self._rng.random(2)
         if leaves >= self._load["leave"]:
             return await super().await_answer(peer, name)
@@ -240,26 +246,27 @@
             return LEFT
 
     def heard(self, name: str, cls: str, got: bytes, seconds: float) -> None:
+        """Record an answer with its status, latency and, if present, its policy version."""
         status = got.split(b" ")[1].decode() if got.startswith(b"HTTP/1.1 ") else got.decode()
-        told: dict[str, Any] = {"class": cls}
+        extra: dict[str, Any] = {"class": cls}
         for line in self.head.lower().split(b"\r\n") if status == "200" else ():
             if line.startswith(b"x-sorrelfront-policy: "):
                 version, _, outside = line[22:].decode().partition(" ")
-                told |= {"version": int(version), "inside": not outside}
+                extra |= {"version": int(version), "inside": not outside}
         self._history.add(
-            "answer", host=self._host, call=name, status=status, ms=round(seconds * 1e3, 3), **told
+            "answer", host=self._host, call=name, status=status, ms=round(seconds * 1e3, 3), **extra
         )
 
 
 class Host:
-    """One host: its daemon, its disk and clock, its callers."""
+    """One simulated host: its daemon, disk, clock and callers."""
 
     def __init__(self, stage: Stage, number: int) -> None:
         self.stage = stage
         self.number = number
         self.name = f"h{number}"
         self.ip = f"127.0.{stage.block}.{number}"
-        self.address = (self.ip, PORT)
+        self.address = (self.ip, CLIENT_PORT)
         self.folder = stage.folder / self.name
         self.folder.mkdir(mode=0o700)
         self.path = self.folder / "sorrelfront.toml"
@@ -268,40 +275,43 @@
         self.launched = stage.needs_launcher(self.name)
         if self.launched:
             self.clock.write(self.folder)
-        self.list = _List(self.name, stage.history)
-        self.relays: dict[str, TcpRelay] = {}  # by server, and "list"
+        self.registry = _HostRegistry(self.name, stage.history)
+        # By server name, and "list"; in a storm with sites also "words HOST N" and "requests HOST N".
+        self.relays: dict[str, TcpRelay] = {}
         self.daemons: list[Owned] = []
-        self.crowd: _Crowd | None = None
-        self.there = True  # it is to be up
+        self.clients: _Clients | None = None
+        self.there = True  # whether it is expected to be up
         self.ready = -1
         self.views: dict[str, list[str]] = {}
-        self.policies: dict[str, tuple[int, str]] = {}  # of its instances: version, and how it stands
-        # Of its instances: digest, whether it is level, and whether it serves by the copy of the list.
+        self.policies: dict[str, tuple[int, str]] = {}  # by instance: version and standing
+        # By instance: digest, whether it is level with the others, whether it serves by a copy of the list.
         self.copies: dict[str, tuple[str, bool, bool]] = {}
-        self.phases: dict[str, str] = {}  # of its instances, as they were told last
+        self.phases: dict[str, str] = {}  # by instance, as last reported
         self.twin: Owned | None = None
         self.held = 1_000
-        self.terms = 0  # which state of its site's offers its file has
-        self.moved = False  # its members have other addresses than at first
+        self.offers_state = 0  # which state of its site's offers its file contains
+        self.moved = False  # whether its members use their second set of addresses
         self._spinners: list[Owned] = []
         self._pipes: list[asyncio.ReadTransport] = []
 
     @property
     def wanted(self) -> int:
+        """Number of instances that have to be ready."""
         return 1 if self.stage.platform else int(self.stage.scenario.storm["instances"])
 
     @property
     def site(self) -> int:
-        """From 1; 0 if there are none."""
+        """Number of the host's site, from 1; 0 in a storm without sites."""
         storm = self.stage.scenario.storm
         return sites.site_of(self.number, storm["hosts"], storm["sites"]) if storm["sites"] else 0
 
     @property
     def state(self) -> Path:
+        """State directory of the daemon."""
         return self.folder / "state"
 
     def remember_disk(self) -> None:
-        """What `disk-back` puts it back to. A file that is just being replaced is left out."""
+        """Save the state that `disk-back` restores, without files that are being replaced at this moment."""
         first = self.folder / "state.first"
         first.mkdir(mode=0o700, exist_ok=True)
         for path in self.state.glob("[!.]*") if self.state.exists() else ():
@@ -309,28 +319,28 @@
                 shutil.copy2(path, first / path.name)
 
     def write(self) -> None:
-        """The daemon's file, or the platform's."""
+        """Write the configuration file of the daemon or of the platform's program."""
         scenario = self.stage.scenario
         if self.stage.platform:
-            config = table(self._place("list"), [])
+            config = table(self._relay_address("list"), [])
             for cls in config["settings"]["grades"]:
                 cls["giveUpUs"] = int(scenario.load["deadline_ms"] * 1000)
             text = json.dumps(config)
         else:
-            text = FILE.format(
+            text = CONFIG_TEMPLATE.format(
                 name=self.name,
                 instances=scenario.storm["instances"],
                 seed=self.stage.seed * 100 + self.number,
                 state='state_dir = "state"' if scenario.storm["state"] else "",
                 held=self.held,
                 hang_ms=int(scenario.storm["hang_ms"]),
-                address=f"{self.ip}:{PORT}",
-                fleet=self._fleet() if scenario.storm["fleet"] else "",
+                address=f"{self.ip}:{CLIENT_PORT}",
+                fleet=self._fleet_table() if scenario.storm["fleet"] else "",
                 deadline_ms=scenario.load["deadline_ms"],
-                registry=self._place("list"),
+                registry=self._relay_address("list"),
             )
             if self.site:
-                text += self._partners()
+                text += self._partner_tables()
             if scenario.storm["voters"]:
                 text = text.replace("repeat =", f'on_isolation = "{scenario.storm["isolation"]}"\nrepeat =')
         fresh = self.path.with_suffix(".new")
@@ -338,33 +348,39 @@
         fresh.replace(self.path)
 
     def start_twin(self) -> None:
-        """A second daemon by the same name: as if a host had been cloned. Its control socket, its listener
-        and its place in the fleet are its own; it has no state."""
+        """Start a second daemon under the same name, as on a cloned host.
+
+        It has its own control socket, listener and fleet addresses, and no state.
+        """
         folder = self.folder / "twin"
         folder.mkdir(mode=0o700, exist_ok=True)
         shutil.copy2(self.folder / "key", folder / "key")
         text = self.path.read_text().replace('state_dir = "state"', "")
-        for port in (PORT, VIEW_PORT, VIEW_RELAY_PORT):
-            text = text.replace(f'"{self.ip}:{port}"', f'"{self.ip}:{port + TWIN}"')
+        for port in (CLIENT_PORT, VIEW_PORT, VIEW_RELAY_PORT):
+            text = text.replace(f'"{self.ip}:{port}"', f'"{self.ip}:{port + PORT_OFFSET}"')
         path = folder / "sorrelfront.toml"
         path.write_text(text)
         self.twin = self.start(path=path)
         self.daemons.remove(self.twin)
 
     async def stop_twin(self) -> None:
+        """Stop the second daemon with SIGTERM, if there is one."""
         if self.twin is not None:
             self.twin.asked = True
             self.twin.signal(signal.SIGTERM)
-            await self.twin.reap(END_WITHIN_S)
+            await self.twin.reap(STOP_TIMEOUT_S)
 
     def move(self) -> None:
-        """Its members go by other addresses from their next start on."""
+        """Switch its members to their other set of addresses, from their next start on."""
         self.moved = not self.moved
         self.write()
 
     def rekey(self, step: int) -> None:
-        """An operator's change of the key, in steps: 0 has the first key; 1 hears the second one as well, 2
-        speaks it and hears the first; 3 hears the third."""
+        """Write the key file for one step of a key rotation.
+
+        Step 0 has only the first key. Step 1 also accepts the second. Step 2 sends with the second and still
+        accepts the first. Step 3 sends with the second and accepts the third.
+        """
         spoken, also = step // 2, step // 2 + (1 if step % 2 else -1)
         lines = [f"{self.stage.mark}-{number}\n" for number in (spoken, also) if number >= 0]
         fresh = self.folder / "key.new"
@@ -372,20 +388,21 @@
         fresh.chmod(0o600)
         fresh.replace(self.folder / "key")
 
-    def _fleet(self) -> str:
+    def _fleet_table(self) -> str:
         if not (self.folder / "key").exists():
             self.rekey(0)
-        # By two hosts, so that no one of them has to be there; far apart, so that each side of a cut has one.
+        # Join through two hosts, so that no single one has to be up. They are far apart, so that each side of
+        # a partition has one.
         count = len(self.stage.scenario.hosts)
         numbers = [number for number in range(1, count + 1) if self.stage.same_site(number, self.number)]
         others = [f"127.0.{self.stage.block}.{number}" for number in numbers]
         others.remove(self.ip)
         others = [*others[:1], *others[1:][-1:]]
         probe_ms = self.stage.scenario.storm["probe_ms"]
-        more = TWIN if self.moved else 0
-        text = FLEET.format(
-            name=f"{self.stage.mark}{self.site or ''}", ip=self.ip, listen=VIEW_PORT + more,
-            advertise=VIEW_RELAY_PORT + more,
+        offset = PORT_OFFSET if self.moved else 0
+        text = FLEET_TEMPLATE.format(
+            name=f"{self.stage.mark}{self.site or ''}", ip=self.ip, listen=VIEW_PORT + offset,
+            advertise=VIEW_RELAY_PORT + offset,
             join=", ".join(f'"{ip}:{VIEW_RELAY_PORT}"' for ip in others), probe_ms=probe_ms,
             answer_ms=probe_ms / 2,
         )  # fmt: skip
@@ -394,112 +411,121 @@
         voters = self.stage.scenario.storm["voters"]
         if voters:
             names = ", ".join(f'"h{number}/i0"' for number in range(1, voters + 1))
-            text += VOTERS.format(voters=names, lease_ms=self.stage.scenario.storm["lease_ms"])
+            text += VOTERS_TEMPLATE.format(voters=names, lease_ms=self.stage.scenario.storm["lease_ms"])
         return text
 
-    def _partners(self) -> str:
-        """Its site's tables; other sites' gateways stand in them by the addresses of this host's relays."""
+    def _partner_tables(self) -> str:
+        """Return its site's tables; other sites' gateways have the addresses of this host's relays."""
         storm = self.stage.scenario.storm
         places: dict[int, list[tuple[str, str]]] = {}
         for other in self.stage.hosts.values():
             for at in range(storm["instances"]):
                 if other.site != self.site:
                     pair = (f"words {other.name} {at}", f"requests {other.name} {at}")
-                    places.setdefault(other.site, []).append((self._place(pair[0]), self._place(pair[1])))
+                    places.setdefault(other.site, []).append(
+                        (self._relay_address(pair[0]), self._relay_address(pair[1]))
+                    )
         assert self.stage.keyring is not None
         key = self.stage.keyring.folder / f"site{self.site}.key"
-        return sites.text(self.site, storm["sites"], self.ip, key, self.stage.keyring, self.terms, places)
+        return sites.site_tables(
+            self.site, storm["sites"], self.ip, key, self.stage.keyring, self.offers_state, places
+        )
 
-    def open_border(self) -> None:
-        """Relays to all other sites' gateways."""
+    def open_gateway_relays(self) -> None:
+        """Open relays from this host to the gateways of all other sites."""
         network, add = self.stage.network, self.stage.history.add
         for other in self.stage.hosts.values():
             if other.site == self.site:
                 continue
             for at in range(self.stage.scenario.storm["instances"]):
-                target = (other.ip, sites.WORDS_PORT + at)
-                words = TcpRelay(network, self.name, other.name + sites.WORDS, target)
-                self.relays[f"words {other.name} {at}"] = words
+                target = (other.ip, sites.MESSAGES_PORT + at)
+                messages = TcpRelay(network, self.name, other.name + sites.MESSAGES_SUFFIX, target)
+                self.relays[f"words {other.name} {at}"] = messages
                 target = (other.ip, sites.REQUESTS_PORT + at)
                 relay = TcpRelay(network, self.name, other.name, target)
-                relay.sent = sites.Crossing(self.name, other.name, add)
+                relay.sent = sites.CrossingRecorder(self.name, other.name, add)
                 self.relays[f"requests {other.name} {at}"] = relay
 
-    async def go_by_terms(self, state: int) -> None:
-        """Its file has its site's offers in this state from now on."""
-        self.terms = state
+    async def change_offers(self, state: int) -> None:
+        """Write its site's offers in this state to its file and have the daemon reload it."""
+        self.offers_state = state
         self.write()
         written = self.stage.history.now()
         ok = False
         with contextlib.suppress(control.Unavailable, OSError, TimeoutError):
-            told = await control.ask(self.folder / "c.sock", {"op": "reload"}, 10.0)
-            ok = bool(told.get("ok"))
-        # One that is not up takes it with its next start.
+            reply = await control.ask(self.folder / "c.sock", {"op": "reload"}, 10.0)
+            ok = bool(reply.get("ok"))
+        # A daemon that is down reads the file at its next start, so `ok` does not depend on the reload.
         self.stage.history.add("terms", host=self.name, state=state, ok=True, reloaded=ok, written=written)
 
-    async def open_view(self) -> None:
-        """Relays to its members, for all other hosts; they tell the sender by its address."""
+    async def open_member_relays(self) -> None:
+        """Open relays to its members for all other hosts; they identify the sender by its address."""
         loop = asyncio.get_running_loop()
         hosts = {host.ip: host.name for host in self.stage.hosts.values()}
         for number in range(self.stage.scenario.storm["instances"]):
-            for more in (0, TWIN):
-                target = (self.ip, VIEW_PORT + number + more)
-                place = (self.ip, VIEW_RELAY_PORT + number + more)
-                await UdpRelay(self.stage.network, self.name, target, hosts, loop).start(place)
-                TcpRelay(self.stage.network, "", self.name, target, hosts=hosts, address=place)
+            for offset in (0, PORT_OFFSET):
+                target = (self.ip, VIEW_PORT + number + offset)
+                address = (self.ip, VIEW_RELAY_PORT + number + offset)
+                await UdpRelay(self.stage.network, self.name, target, hosts, loop).start(address)
+                TcpRelay(self.stage.network, "", self.name, target, hosts=hosts, address=address)
 
     async def follow_views(self) -> None:
-        """Each instance's view of who lives, whenever it is another one."""
+        """Record each instance's view of the living members whenever it changes."""
         last: dict[str, list[str]] = {}
         while True:
             for number in range(self.wanted):
                 name = f"{self.name}/i{number}"
-                living = await self._view(number)
+                living = await self._read_view(number)
                 if living is not None and last.get(name) != living:
                     last[name] = living
                     self.views[name] = living
                     self.stage.history.add("view", host=self.name, member=name, living=living)
-            await asyncio.sleep(VIEWS_EVERY_S)
+            await asyncio.sleep(VIEW_POLL_S)
 
-    async def _view(self, number: int) -> list[str] | None:
+    async def _read_view(self, number: int) -> list[str] | None:
         try:
-            told = await control.ask(self.folder / "c.sock", {"op": "members", "instance": f"i{number}"}, 1.0)
-            rows = told["members"] if told.get("ok") else None
+            reply = await control.ask(
+                self.folder / "c.sock", {"op": "members", "instance": f"i{number}"}, 1.0
+            )
+            rows = reply["members"] if reply.get("ok") else None
         except (control.Unavailable, OSError, TimeoutError, KeyError):
             return None
         if rows is None:
             return None
         return sorted(row["name"] for row in rows if row["state"] in ("alive", "suspect"))
 
-    def _place(self, name: str) -> str:
+    def _relay_address(self, name: str) -> str:
         return "{}:{}".format(*self.relays[name].address)
 
-    def start(self, *more: str, path: Path | None = None) -> Owned:
-        """Start the program by its real command; through the lab's launcher if this storm sets its seams.
-        `path`: by another file than the host's own."""
+    def start(self, *arguments: str, path: Path | None = None) -> Owned:
+        """Start the program by its real command line, with `arguments` as further arguments.
+
+        It goes through the lab's launcher if this storm replaces the clock or the disk or plants a defect.
+        `path` is the configuration file if it is not the host's own.
+        """
         environ = {**os.environ, MARK: self.mark}
         if self.stage.platform:
-            words = ["-m", "sorrelfront.platform"]
+            command = ["-m", "sorrelfront.platform"]
             environ |= {
-                "BALANCER_CONFIG": str(self.path), "BALANCER_LISTEN": f"{self.ip}:{PORT}",
-                "BALANCER_DISCOVERY": self._place("list"), "BALANCER_NAME": self.name,
+                "BALANCER_CONFIG": str(self.path), "BALANCER_LISTEN": f"{self.ip}:{CLIENT_PORT}",
+                "BALANCER_DISCOVERY": self._relay_address("list"), "BALANCER_NAME": self.name,
             }  # fmt: skip
         else:
-            words = ["-m", "sorrelfront.cli.main", "serve", str(path or self.path), *more]
+            command = ["-m", "sorrelfront.cli.main", "serve", str(path or self.path), *arguments]
         if self.launched:
-            words = ["-m", "sorrelfront.lab.storm.launch", *words]
+            command = ["-m", "sorrelfront.lab.storm.launch", *command]
             environ[launch.SEAMS] = str(self.folder)
             environ[launch.PLANT] = self.stage.scenario.storm["plant"]
             if self.site and self.site == self.stage.scenario.storm["hostile"]:
                 environ[launch.PLANT] = launch.HOSTILE
         read, write = os.pipe()
         try:
-            owned = Owned([sys.executable, *words], environ, Path.cwd(), write)
+            owned = Owned([sys.executable, *command], environ, Path.cwd(), write)
         finally:
             os.close(write)
-        self.stage.spawn(self._listen(read))
+        self.stage.spawn(self._record_log(read))
         self.daemons.append(owned)
-        self.stage.history.add("start", host=self.name, pid=owned.pid, more=list(more))
+        self.stage.history.add("start", host=self.name, pid=owned.pid, more=list(arguments))
         self.stage.spawn(self._await_end(owned))
         return owned
 
@@ -509,8 +535,8 @@
             self.daemons.remove(owned)
         self.stage.history.add("end", host=self.name, pid=owned.pid, code=owned.code, asked=owned.asked)
 
-    async def _listen(self, read: int) -> None:
-        """Its log, line by line."""
+    async def _record_log(self, read: int) -> None:
+        """Record its log line by line."""
         reader = asyncio.StreamReader(limit=1024 * 1024)
         transport, _ = await asyncio.get_running_loop().connect_read_pipe(
             lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(read, "rb", 0)
@@ -518,7 +544,7 @@
         try:
             while line := await reader.readline():
                 self.stage.history.add(
-                    "said", host=self.name, line=line[:LINE_MOST].decode(errors="replace").rstrip()
+                    "said", host=self.name, line=line[:MAX_LINE_BYTES].decode(errors="replace").rstrip()
                 )
         except ValueError:
             self.stage.history.add("said", host=self.name, line="(a line without end)")
@@ -526,13 +552,13 @@
             transport.close()
 
     async def look(self) -> None:
-        """Follow how many instances are ready."""
+        """Record the number of ready instances whenever it changes."""
         while True:
             ready = await self._count_ready()
             if ready != self.ready:
                 self.ready = ready
                 self.stage.history.add("ready", host=self.name, ready=ready, wanted=self.wanted)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(READY_POLL_S)
 
     async def _count_ready(self) -> int:
         if self.stage.platform:
@@ -540,12 +566,12 @@
         try:
             status = await control.ask(self.folder / "c.sock", {"op": "status"}, 1.0)
             for item in status["instances"]:
-                told = item.get("fleet", {}).get("policy")
-                if told is not None:
-                    self._governed(item["name"], told)
-                told = item.get("fleet", {}).get("copies")
-                if told is not None:
-                    self._copied(item["name"], told)
+                section = item.get("fleet", {}).get("policy")
+                if section is not None:
+                    self._record_policy(item["name"], section)
+                section = item.get("fleet", {}).get("copies")
+                if section is not None:
+                    self._record_copies(item["name"], section)
                 if self.phases.get(item["name"]) != item["phase"]:
                     self.phases[item["name"]] = item["phase"]
                     self.stage.history.add(
@@ -557,65 +583,69 @@
         except (control.Unavailable, OSError, TimeoutError, KeyError):
             return 0
 
-    def _governed(self, instance: str, told: dict[str, Any]) -> None:
-        """By which version one of its instances goes."""
-        now = (int(told["version"]), str(told["standing"]))
+    def _record_policy(self, instance: str, section: dict[str, Any]) -> None:
+        """Record the policy version and standing of one instance if they changed."""
+        now = (int(section["version"]), str(section["standing"]))
         if self.policies.get(instance) != now:
             self.policies[instance] = now
             self.stage.history.add(
                 "policy", host=self.name, instance=instance, version=now[0], standing=now[1]
             )
 
-    def _copied(self, instance: str, told: dict[str, Any]) -> None:
-        """What one of its instances holds copies of."""
-        now = (str(told["digest"]), bool(told["level"]), bool(told["by_copy"]))
+    def _record_copies(self, instance: str, section: dict[str, Any]) -> None:
+        """Record the state of one instance's copies if it changed."""
+        now = (str(section["digest"]), bool(section["level"]), bool(section["by_copy"]))
         if self.copies.get(instance) != now:
             self.copies[instance] = now
             self.stage.history.add(
                 "copies", host=self.name, instance=instance, digest=now[0], level=now[1],
-                by_copy=now[2], list=told["list"], forked=sorted(told["forked"]),
+                by_copy=now[2], list=section["list"], forked=sorted(section["forked"]),
             )  # fmt: skip
 
-    async def command(self, *words: str) -> tuple[int | None, dict[str, Any]]:
-        """What `sorrelfront policy FILE ... --json` says here, and its exit code."""
+    async def command(self, *arguments: str) -> tuple[int | None, dict[str, Any]]:
+        """Run `sorrelfront policy FILE ... --json`; return its exit code and its last JSON line."""
         read, write = os.pipe()
         program = [sys.executable, "-m", "sorrelfront.cli.main"]
-        command = [*program, "policy", str(self.path), *words, "--json"]
+        command = [*program, "policy", str(self.path), *arguments, "--json"]
         try:
             environ = {**os.environ, MARK: f"{self.stage.mark}/{self.name}-ctl"}
             owned = Owned(command, environ, Path.cwd(), write)
         finally:
             os.close(write)
         with os.fdopen(read, "rb") as pipe:
-            said = await asyncio.to_thread(pipe.read)
-        await owned.reap(PROPOSE_WITHIN_S)
-        lines = [line for line in said.decode(errors="replace").splitlines() if line.startswith("{")]
-        return owned.code, json.loads(lines[-1]) if lines else {"said": said.decode(errors="replace")[:400]}
+            output = await asyncio.to_thread(pipe.read)
+        await owned.reap(COMMAND_TIMEOUT_S)
+        lines = [line for line in output.decode(errors="replace").splitlines() if line.startswith("{")]
+        return owned.code, json.loads(lines[-1]) if lines else {"said": output.decode(errors="replace")[:400]}
 
     async def propose(self, number: int, times: int) -> None:
-        """Have the fleet go by another policy, as an operator would at this host: again if another came
-        first, if there is no quorum, or if it is not known what came of it, so many times at most."""
+        """Propose another policy to the fleet, as an operator would on this host.
+
+        Proposes again if another change came first, if there was no quorum, or if the outcome is unknown, up
+        to `times` times in all.
+        """
         stage = self.stage
         path = self.folder / f"policy-{number}.toml"
         path.write_text(stage.policy(number))
         change = f"{self.name}-{number}"
-        stage.history.add("propose", host=self.name, change=change, unsafe=number >= LOOK_UNSAFE)
+        stage.history.add("propose", host=self.name, change=change, unsafe=number >= FIRST_UNSAFE_PROPOSAL)
         for _ in range(times):
-            code, told = await self.command("propose", str(path), "--id", change)
-            why = str(told.get("why", told.get("said", "")))[:300]
+            code, reply = await self.command("propose", str(path), "--id", change)
+            why = str(reply.get("why", reply.get("said", "")))[:300]
             stage.history.add(
-                "change", host=self.name, change=change, code=code, state=told.get("state", ""),
-                version=told.get("version", 0), why=why, waits=told.get("waits", []),
+                "change", host=self.name, change=change, code=code, state=reply.get("state", ""),
+                version=reply.get("version", 0), why=why, waits=reply.get("waits", []),
             )  # fmt: skip
-            if code == 0 or (told.get("state") == "not in force" and not why.startswith(AGAIN_AFTER)):
+            if code == 0 or (reply.get("state") == "not in force" and not why.startswith(RETRIABLE_REASONS)):
                 return
             await asyncio.sleep(0.3)
 
     async def abandon(self) -> None:
-        code, told = await self.command("abandon")
+        """Abandon the pending change of policy, as an operator would on this host."""
+        code, reply = await self.command("abandon")
         self.stage.history.add(
-            "change", host=self.name, change=told.get("change", ""), code=code, state=told.get("state", ""),
-            version=told.get("version", 0), why=str(told.get("why", told.get("said", "")))[:300], waits=[],
+            "change", host=self.name, change=reply.get("change", ""), code=code, state=reply.get("state", ""),
+            version=reply.get("version", 0), why=str(reply.get("why", reply.get("said", "")))[:300], waits=[],
         )  # fmt: skip
 
     async def _platform_ready(self) -> int:
@@ -630,8 +660,8 @@
         except (OSError, TimeoutError):
             return 0
 
-    async def stop(self, within_s: float = END_WITHIN_S) -> None:
-        """By SIGTERM, and wait for its end."""
+    async def stop(self, within_s: float = STOP_TIMEOUT_S) -> None:
+        """Stop all its daemons with SIGTERM and wait for their end."""
         daemons = list(self.daemons)
         for owned in daemons:
             owned.asked = True
@@ -640,35 +670,38 @@
             await owned.reap(within_s)
 
     async def kill(self) -> None:
-        """Every process of it, at once."""
+        """Kill all its processes at once with SIGKILL."""
         for owned in self.daemons:
-            owned.asked = False  # what it was told before does not count any more
+            owned.asked = False  # an earlier request to stop no longer explains its end
         await asyncio.to_thread(kill_all, self.mark)
         for owned in list(self.daemons):
             await owned.reap()
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to all its processes."""
         signal_all(self.mark, number)
 
     async def status(self) -> list[dict[str, Any]]:
+        """Return the status of its instances from the control socket."""
         found = await control.ask(self.folder / "c.sock", {"op": "status"}, 2.0)
         return list(found["instances"])
 
     def starve(self, core: int) -> None:
-        """Have all its threads share one core with two spinners."""
+        """Pin all its threads to one core and run two busy loops there."""
         for pid in marked(self.mark):
             _pin(pid, {core})
         for _ in range(2):
-            words = [
+            command = [
                 sys.executable,
                 "-c",
                 "import time\nend = time.monotonic() + 600\nwhile time.monotonic() < end: pass",
             ]
-            spinner = Owned(words, {**os.environ, MARK: f"{self.stage.mark}/spinner"}, Path.cwd(), 2)
+            spinner = Owned(command, {**os.environ, MARK: f"{self.stage.mark}/spinner"}, Path.cwd(), 2)
             _pin(spinner.pid, {core})
             self._spinners.append(spinner)
 
-    async def feed(self) -> None:
+    async def stop_starving(self) -> None:
+        """Stop the busy loops and let its threads use all cores again."""
         for spinner in self._spinners:
             spinner.signal(signal.SIGKILL)
             await spinner.reap()
@@ -685,7 +718,7 @@
 
 
 class Stage:
-    """Sets a storm up, plays it, and takes everything down again."""
+    """Sets up a storm, plays it and tears everything down again."""
 
     def __init__(self, scenario: Scenario, seed: int, history: History) -> None:
         self.scenario = scenario
@@ -695,25 +728,25 @@
         self.platform = bool(scenario.storm["platform"])
         self.rng = np.random.default_rng([seed, 2])
         self.network = Network(np.random.default_rng([seed, 3]))
-        self.book = Book(WINDOW_S)
+        self.book = Book(DEDUP_WINDOW_S)
         self.mark = uuid.uuid4().hex
-        self.servers: dict[str, _Server] = {}
+        self.servers: dict[str, _RecordingServer] = {}
         self.hosts: dict[str, Host] = {}
         self.lags: list[float] = []
         self.failed: str = ""
         self.keyring: sites.Keyring | None = None
-        self.proposing = 0  # commands that have not come back
+        self.pending_commands = 0  # policy commands that have not returned
         self._phases: dict[str, dict[str, Any]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._holding: dict[int, Planned] = {}
+        self._active: dict[int, Planned] = {}
 
     def same_site(self, one: int, other: int) -> bool:
-        """Whether two hosts are of one site, by their numbers."""
+        """Return whether two hosts, by their numbers, belong to the same site."""
         hosts, count = self.scenario.storm["hosts"], self.scenario.storm["sites"]
         return not count or sites.site_of(one, hosts, count) == sites.site_of(other, hosts, count)
 
     def _site_of_server(self, name: str) -> int:
-        """0: of all. One that a fault adds is the first site's."""
+        """Return a server's site, 0 without sites; a server added by a fault belongs to site 1."""
         storm = self.scenario.storm
         if not storm["sites"]:
             return 0
@@ -722,6 +755,7 @@
         return sites.site_of(int(name[1:]), storm["servers"], storm["sites"])
 
     def needs_launcher(self, host: str) -> bool:
+        """Return whether the host's daemon has to be started through the lab's launcher."""
         seams = ("clock-", "disk-", "power")
         storm = self.scenario.storm
         return bool(storm["plant"] or storm["hostile"]) or any(
@@ -729,25 +763,30 @@
         )
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Start a task that ends with the storm; its failure makes the storm fail."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.failed = self.failed or f"the rig failed: {task.exception()!r}"
 
-    # Up
+    # Setup
 
     async def play(self, show: Callable[[str], None] = lambda _: None) -> None:
-        """The whole storm. Raises CannotPlay."""
+        """Play the whole storm; `show` receives lines about its progress.
+
+        Raises:
+            CannotPlay: The storm could not be set up, or the harness failed.
+        """
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if soft < DESCRIPTORS:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTORS, hard), hard))
+        if soft < DESCRIPTOR_LIMIT:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTOR_LIMIT, hard), hard))
         self.block, claim = claim_block(self.seed)
-        self.folder = Path(tempfile.mkdtemp(prefix="storm-", dir=_quick()))
+        self.folder = Path(tempfile.mkdtemp(prefix="storm-", dir=_scratch_directory()))
         keeper = Keeper(self.mark, self.folder)
         try:
             await self._set_up()
@@ -766,7 +805,7 @@
             seed=self.seed,
             hosts=self.scenario.hosts,
             block=self.block,
-            view_bound_s=self._bound_s(),
+            view_bound_s=self._view_bound_s(),
             copies_bound_s=self._copies_bound_s(),
             deadline_ms=self.scenario.load["deadline_ms"],
             instances=1 if self.platform else storm["instances"],
@@ -794,9 +833,13 @@
         for number in range(1, storm["hosts"] + 1):
             host = Host(self, number)
             self.hosts[host.name] = host
-            await host.list.start(f"127.0.{self.block}.200")
+            await host.registry.start(f"127.0.{self.block}.200")
             host.relays["list"] = TcpRelay(
-                self.network, host.name, "list", _address(host.list.address), _Told(host.name, self.history)
+                self.network,
+                host.name,
+                "list",
+                _parse_address(host.registry.address),
+                _WatchRecorder(host.name, self.history),
             )
         for name in self.scenario.servers:
             await self._add_server(name, cold=False)
@@ -805,10 +848,10 @@
         if storm["sites"]:
             self.keyring = sites.Keyring(self.folder, storm["sites"])
             for host in self.hosts.values():
-                host.open_border()
+                host.open_gateway_relays()
         for host in self.hosts.values():
             if storm["fleet"]:
-                await host.open_view()
+                await host.open_member_relays()
                 self.spawn(host.follow_views())
             host.write()
             self.spawn(host.look())
@@ -817,38 +860,38 @@
             else:
                 host.there = False
         try:
-            async with asyncio.timeout(READY_WITHIN_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while any(host.there and host.ready < host.wanted for host in self.hosts.values()):
-                    self._check()
+                    self._raise_if_failed()
                     await asyncio.sleep(0.02)
         except TimeoutError:
             said = [event["line"] for event in self.history.events if event["kind"] == "said"][-3:]
             raise CannotPlay(f"the daemons did not become ready: {' / '.join(said)}") from None
         if storm["voters"]:
-            await self._found()
+            await self._establish_policy()
         for host in self.hosts.values():
             host.remember_disk()
 
-    async def _found(self) -> None:
-        """As an operator does once for a new fleet: when all voters see each other."""
+    async def _establish_policy(self) -> None:
+        """Found the fleet's policy, as an operator does once for a new fleet; retry until it is in force."""
         first = next(iter(self.hosts.values()))
-        async with asyncio.timeout(READY_WITHIN_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
-                self._check()
+                self._raise_if_failed()
                 code, _ = await first.command("found")
-                if code == 0 and not self._wrong_policy(list(self.hosts.values()), 0):
+                if code == 0 and not self._policy_mismatch(list(self.hosts.values()), 0):
                     break
                 await asyncio.sleep(0.1)
 
-    def _wrong_policy(self, hosts: list[Host], least: int = 0) -> str:
-        """The first instance without a lease on the newest version that any has; empty if all have one."""
+    def _policy_mismatch(self, hosts: list[Host], least: int = 0) -> str:
+        """Describe the first instance without a lease on the newest version; empty if all have one."""
         if not self.scenario.storm["voters"]:
             return ""
-        if self.proposing:
+        if self.pending_commands:
             return "a change is being proposed"
-        there = [host for host in hosts if host.there]
-        newest = max([least, *(version for host in there for version, _ in host.policies.values())])
-        for host in there:
+        running = [host for host in hosts if host.there]
+        newest = max([least, *(version for host in running for version, _ in host.policies.values())])
+        for host in running:
             for number in range(host.wanted):
                 version, standing = host.policies.get(f"i{number}", (-1, "unknown"))
                 if (version, standing) != (newest, "leased"):
@@ -856,21 +899,23 @@
         return ""
 
     def policy(self, number: int) -> str:
-        """A policy of this number, unlike that of any other: as a file."""
+        """Return the text of the policy file with this number; it differs from that of every other."""
         scenario = self.scenario
-        base = FILE.partition("[classes.look]")[2].partition("[membership]")[0].format(
-            deadline_ms=scenario.load["deadline_ms"], held=1_000 + number
+        base = (
+            CONFIG_TEMPLATE.partition("[classes.look]")[2]
+            .partition("[membership]")[0]
+            .format(deadline_ms=scenario.load["deadline_ms"], held=1_000 + number)
         )
         text = f"[classes.look]{base}tries = {1 + number % 3}\n"
-        if number >= LOOK_UNSAFE:
+        if number >= FIRST_UNSAFE_PROPOSAL:
             text = text.replace('repeat = "safe"', 'repeat = "unsafe"')
-        if number >= LONG:
+        if number >= FIRST_LONG_PROPOSAL:
             more = 'repeat = "safe"\naim_ms = 300\ndeadline_ms = 2500\n'
             text += "".join(f"[classes.c{item}]\n{more}" for item in range(LONG_CLASSES))
         return text.replace("repeat =", f'on_isolation = "{scenario.storm["isolation"]}"\nrepeat =')
 
-    def _bound_s(self) -> float:
-        """Within which the view has to settle, by its design note."""
+    def _view_bound_s(self) -> float:
+        """Return the time within which the view has to settle, by its design note; 0 without a fleet."""
         storm = self.scenario.storm
         if not storm["fleet"]:
             return 0.0
@@ -882,11 +927,11 @@
             exchange_us=5_000_000,
             recall_us=500_000,
         )
-        sick = any(item.what in ("freeze", "starve") for item in self.schedule)
-        return view_bound_us(times, storm["hosts"] * storm["instances"], awake=not sick) / 1e6
+        impaired = any(item.what in ("freeze", "starve") for item in self.schedule)
+        return view_bound_us(times, storm["hosts"] * storm["instances"], awake=not impaired) / 1e6
 
     def _copies_bound_s(self) -> float:
-        """Within which the copies are the same once the view has settled, by their design note."""
+        """Return the time, by the design note, in which copies become equal once the view has settled."""
         storm = self.scenario.storm
         if not storm["copies"]:
             return 0.0
@@ -895,16 +940,16 @@
         return bound_us(times, storm["hosts"] * storm["instances"]) / 1e6
 
     async def _add_server(self, name: str, cold: bool) -> None:
-        server = self.servers[name] = _Server(name, self)
+        server = self.servers[name] = _RecordingServer(name, self)
         await server.start(f"127.0.{self.block}.{100 + len(self.servers)}")
         for host in self.hosts.values():
-            host.relays[name] = TcpRelay(self.network, host.name, name, _address(server.address))
+            host.relays[name] = TcpRelay(self.network, host.name, name, _parse_address(server.address))
         if cold:
-            server.is_cold()
-        self._tell(name, "ready", cold)
+            server.start_cold()
+        self._publish_phase(name, "ready", cold)
 
-    def _tell(self, name: str, phase: str, cold: bool = False) -> None:
-        """Have the list say so of this server, to each host with the address of its own relay."""
+    def _publish_phase(self, name: str, phase: str, cold: bool = False) -> None:
+        """Publish a server's phase in the list, to each host with the address of its own relay."""
         known = self._phases.setdefault(name, {})
         known["phase"] = phase
         if cold:
@@ -912,19 +957,19 @@
         site = self._site_of_server(name)
         for host in self.hosts.values():
             if host.site == site:
-                host.list.change({**member(name, host._place(name)), **known})
+                host.registry.change({**member(name, host._relay_address(name)), **known})
 
     async def _measure_lag(self) -> None:
-        """How late the rig's own loop is: a busy rig would be taken for a slow program."""
+        """Measure the event loop's delay: a busy harness would make the program look slow."""
         while True:
             before = time.monotonic()
-            await asyncio.sleep(LAG_EVERY_S)
-            late = time.monotonic() - before - LAG_EVERY_S
+            await asyncio.sleep(LAG_INTERVAL_S)
+            late = time.monotonic() - before - LAG_INTERVAL_S
             self.lags.append(late)
-            if late * 1e3 > LAG_TOLD_MS:
+            if late * 1e3 > MIN_RECORDED_LAG_MS:
                 self.history.add("lag", ms=round(late * 1e3, 1))
 
-    def _check(self) -> None:
+    def _raise_if_failed(self) -> None:
         if self.failed:
             raise CannotPlay(self.failed)
 
@@ -932,136 +977,144 @@
 
     async def _storm(self, show: Callable[[str], None]) -> None:
         for host in self.hosts.values() if self.scenario.load["clients"] else ():
-            host.crowd = _Crowd(host)
+            host.clients = _Clients(host)
         began = time.monotonic()
         self.history.add("load", hosts=[host.name for host in self.hosts.values()])
         for number, item in enumerate(self.schedule):
-            self.spawn(self._one(number, item, began, show))
+            self.spawn(self._run_fault(number, item, began, show))
         seconds = self.scenario.storm["seconds"]
         waiting = [number for number, item in enumerate(self.schedule) if item.given_up]
-        while time.monotonic() - began < seconds or self._holding.keys() & waiting:
-            self._check()
+        while time.monotonic() - began < seconds or self._active.keys() & waiting:
+            self._raise_if_failed()
             self.history.flush()
             await asyncio.sleep(0.05)
-        await self._undo(show)
+        await self._finish_all(show)
         await self._settle(show)
         for host in self.hosts.values():
-            if host.crowd is not None:
-                await host.crowd.finish()
+            if host.clients is not None:
+                await host.clients.finish()
         await asyncio.gather(*(host.stop() for host in self.hosts.values()))
         await asyncio.sleep(0)
-        self._check()
+        self._raise_if_failed()
         self.history.add("rig", **self.figures())
 
-    async def _one(self, number: int, item: Planned, began: float, show: Callable[[str], None]) -> None:
+    async def _run_fault(self, number: int, item: Planned, began: float, show: Callable[[str], None]) -> None:
         await asyncio.sleep(max(0.0, began + item.at - time.monotonic()))
         self.history.add(
             "fault", number=number, what=item.what, phase="begin", hosts=list(item.hosts), to=list(item.to),
             size=item.size, words=item.words(),
         )  # fmt: skip
         show(f"{time.monotonic() - began:6.2f} s  {item.words()}")
-        self._holding[number] = item
-        await self._begin(item)
+        self._active[number] = item
+        await self._begin_fault(item)
         if not KINDS[item.what].lasts:
-            await self._over(number)
+            await self._finish_fault(number)
         elif item.lasts:
             await asyncio.sleep(max(0.0, began + item.until - time.monotonic()))
             if item.given_up:
-                await self._given_up(item)
-            await self._over(number)
+                await self._wait_until_given_up(item)
+            await self._finish_fault(number)
             show(f"{time.monotonic() - began:6.2f} s  over: {item.words()}")
 
-    async def _given_up(self, item: Planned) -> None:
-        """Wait until the members of each side see exactly that side, or for `settle_s`."""
+    async def _wait_until_given_up(self, item: Planned) -> None:
+        """Wait until the members on each side see exactly that side, for `settle_s` at most."""
         until = time.monotonic() + self.scenario.expect["settle_s"]
         names = item.hosts, item.to
         sides = [[self.hosts[name] for name in side if name in self.hosts] for side in names]
-        while time.monotonic() < until and any(self._wrong_view(side) for side in sides):
+        while time.monotonic() < until and any(self._view_mismatch(side) for side in sides):
             await asyncio.sleep(0.05)
 
-    async def _undo(self, show: Callable[[str], None]) -> None:
-        """The end of the storm: what still holds is over, but for hosts that died for good."""
-        for number, item in list(self._holding.items()):
+    async def _finish_all(self, show: Callable[[str], None]) -> None:
+        """End all faults that are still active, except for hosts that are meant to stay down."""
+        for number, item in list(self._active.items()):
             if item.what in ("kill", "power") and not item.lasts:
                 continue
-            await self._over(number)
+            await self._finish_fault(number)
         show(f"{self.scenario.storm['seconds']:6.2f} s  the storm is over")
 
-    async def _over(self, number: int) -> None:
-        item = self._holding.pop(number, None)
+    async def _finish_fault(self, number: int) -> None:
+        item = self._active.pop(number, None)
         if item is not None:
-            await self._end(item)
+            await self._revert_fault(item)
             self.history.add("fault", number=number, what=item.what, phase="over", hosts=list(item.hosts))
 
     async def _settle(self, show: Callable[[str], None]) -> None:
-        """Wait until every host that is there is ready and serves again."""
+        """Wait until every host that should be up is ready and serves again, and record the result."""
         expect = self.scenario.expect
         began = time.monotonic()
         hosts = [host for host in self.hosts.values() if host.there]
         wanted = {
-            host.name: len(host.crowd.latencies) + expect["answers"]
+            host.name: len(host.clients.latencies) + expect["answers"]
             for host in hosts
-            if host.crowd is not None
+            if host.clients is not None
         }
         why = ""
         while time.monotonic() - began < expect["settle_s"]:
-            self._check()
+            self._raise_if_failed()
             self.history.flush()
             why = "; ".join(
                 f"{host.name}: {host.ready} of {host.wanted} ready, "
-                f"{len(host.crowd.latencies) if host.crowd else 0} of {wanted[host.name]} answers"
+                f"{len(host.clients.latencies) if host.clients else 0} of {wanted[host.name]} answers"
                 for host in hosts
-                if host.ready < host.wanted or (host.crowd and len(host.crowd.latencies) < wanted[host.name])
+                if host.ready < host.wanted
+                or (host.clients and len(host.clients.latencies) < wanted[host.name])
+            )
+            why = (
+                why
+                or self._view_mismatch(hosts)
+                or self._policy_mismatch(hosts)
+                or self._copies_mismatch(hosts)
             )
-            why = why or self._wrong_view(hosts) or self._wrong_policy(hosts) or self._wrong_copies(hosts)
             if not why:
                 break
             await asyncio.sleep(0.02)
         if self.scenario.storm["voters"] and hosts:
-            _, told = await hosts[0].command("history")
-            self.history.add("decided", host=hosts[0].name, history=told.get("history", []))
+            _, reply = await hosts[0].command("history")
+            self.history.add("decided", host=hosts[0].name, history=reply.get("history", []))
         waited = round(time.monotonic() - began, 3)
         self.history.add("settled", ok=not why, waited=waited, why=why)
         show(f"settled after {waited:.2f} s" if not why else f"not settled: {why}")
 
-    def _wrong_view(self, hosts: list[Host]) -> str:
-        """The first member that does not see exactly the living ones; empty if all do."""
+    def _view_mismatch(self, hosts: list[Host]) -> str:
+        """Describe the first member whose view is not the living members; empty if all agree."""
         if not self.scenario.storm["fleet"]:
             return ""
         for host in hosts:
-            mates = [other for other in hosts if other.site == host.site]
-            living = sorted(f"{other.name}/i{number}" for other in mates for number in range(other.wanted))
+            same_site = [other for other in hosts if other.site == host.site]
+            living = sorted(
+                f"{other.name}/i{number}" for other in same_site for number in range(other.wanted)
+            )
             for number in range(host.wanted):
                 name = f"{host.name}/i{number}"
                 if host.views.get(name) != living:
                     return f"{name} sees {len(host.views.get(name, []))} members, {len(living)} live"
         return ""
 
-    def _wrong_copies(self, hosts: list[Host]) -> str:
-        """Why the hosts' instances do not hold the same; empty if they do."""
+    def _copies_mismatch(self, hosts: list[Host]) -> str:
+        """Describe why the copies of the hosts' instances differ; empty if they are equal."""
         if not self.scenario.storm["copies"]:
             return ""
         for site in sorted({host.site for host in hosts}):
-            why = self._wrong_copies_of([host for host in hosts if host.site == site])
+            why = self._copies_mismatch_among([host for host in hosts if host.site == site])
             if why:
                 return why
         return ""
 
-    def _wrong_copies_of(self, hosts: list[Host]) -> str:
+    def _copies_mismatch_among(self, hosts: list[Host]) -> str:
         held = {
             f"{host.name}/i{at}": host.copies.get(f"i{at}") for host in hosts for at in range(host.wanted)
         }
-        digests = {told[0] for told in held.values() if told is not None}
-        unlevel = [name for name, told in held.items() if told is None or not told[1]]
+        digests = {state[0] for state in held.values() if state is not None}
+        unlevel = [name for name, state in held.items() if state is None or not state[1]]
         if len(digests) > 1:
             return f"{len(digests)} digests of copies at {len(held)} members"
         if unlevel and len(held) > 1:
             return f"{unlevel[0]} is not level with the others' copies"
-        left = [name for name, told in held.items() if told is not None and told[2]]
+        left = [name for name, state in held.items() if state is not None and state[2]]
         return f"{left[0]} still serves by its copies" if left else ""
 
     def figures(self) -> dict[str, Any]:
-        """The rig's own: whether it was the bottleneck."""
+        """Return the harness's own measurements, which show whether it was the bottleneck."""
         lags = np.array(self.lags or [0.0]) * 1e3
         return {
             **self.network.figures(), "lag_p50_ms": round(float(np.percentile(lags, 50)), 2),
@@ -1074,7 +1127,7 @@
     def _hosts(self, item: Planned) -> list[Host]:
         return [self.hosts[name] for name in item.hosts if name in self.hosts]
 
-    async def _begin(self, item: Planned) -> None:
+    async def _begin_fault(self, item: Planned) -> None:
         match item.what:
             case "kill" | "move":
                 for host in self._hosts(item):
@@ -1110,30 +1163,30 @@
                     host.held += 1
                     host.write()
                     with contextlib.suppress(control.Unavailable):
-                        told = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
-                        self.history.add("reload", host=host.name, ok=bool(told.get("ok")))
+                        reply = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
+                        self.history.add("reload", host=host.name, ok=bool(reply.get("ok")))
             case "twin":
                 for host in self._hosts(item):
                     host.start_twin()
             case "terms":
-                await asyncio.gather(*(host.go_by_terms(int(item.size)) for host in self._hosts(item)))
+                await asyncio.gather(*(host.change_offers(int(item.size)) for host in self._hosts(item)))
             case "propose" | "abandon":
-                self.proposing += 1
+                self.pending_commands += 1
                 try:
-                    times = item.part or AGAIN_MOST
+                    times = item.part or MAX_PROPOSALS
                     for host in self._hosts(item):
                         if item.what == "propose":
                             await host.propose(int(item.size), times)
                         else:
                             await host.abandon()
                 finally:
-                    self.proposing -= 1
+                    self.pending_commands -= 1
             case "rekey":
                 for host in self._hosts(item):
                     host.rekey(int(item.size))
                     with contextlib.suppress(control.Unavailable):
-                        told = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
-                        self.history.add("reload", host=host.name, ok=bool(told.get("ok")))
+                        reply = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
+                        self.history.add("reload", host=host.name, ok=bool(reply.get("ok")))
             case "clock-step":
                 for host in self._hosts(item):
                     host.clock = host.clock.stepped(item.size)
@@ -1152,7 +1205,7 @@
                     disk.tell_trouble(host.folder, trouble)
             case "disk-torn" | "disk-back" | "disk-gone":
                 for host in self._hosts(item):
-                    self._hurt_disk(host, item.what)
+                    self._damage_disk(host, item.what)
             case "cut" | "island" | "one-way" | "ring" | "deaf":
                 self.network.change(_links(item), cut=True)
             case "refuse":
@@ -1179,21 +1232,21 @@
                     self.servers[name].mode = mode
             case "server-drain":
                 for name in item.to:
-                    self._tell(name, "draining")
+                    self._publish_phase(name, "draining")
             case "server-new":
                 for name in item.to:
                     await self._add_server(name, cold=True)
             case "list-down":
                 self._list_down()
 
-    async def _end(self, item: Planned) -> None:
+    async def _revert_fault(self, item: Planned) -> None:
         match item.what:
             case "kill" | "late" | "move" | "kill-supervisor":
                 for host in self._hosts(item):
                     host.there = True
                     host.start()
             case "power":
-                await self._power_back(item)
+                await self._restore_power(item)
             case "twin":
                 for host in self._hosts(item):
                     await host.stop_twin()
@@ -1202,7 +1255,7 @@
                     host.signal(signal.SIGCONT)
             case "starve":
                 for host in self._hosts(item):
-                    await host.feed()
+                    await host.stop_starving()
             case "clock-fast":
                 for host in self._hosts(item):
                     host.clock = host.clock.at_rate(1.0, time.monotonic_ns())
@@ -1230,7 +1283,7 @@
                 await self._list_up()
 
     async def _cut_power(self, item: Planned) -> None:
-        """All of it in one instant; then the disks are put to what a power cut leaves."""
+        """Kill everything at the same moment, then leave on the disks what survives a power cut."""
         hosts = self._hosts(item)
         for name in item.to:
             if name in self.servers:
@@ -1252,7 +1305,7 @@
                 broken=[Path(path).name for path in left.broken],
             )  # fmt: skip
 
-    async def _power_back(self, item: Planned) -> None:
+    async def _restore_power(self, item: Planned) -> None:
         if "list" in item.to:
             await self._list_up()
         for name in item.to:
@@ -1272,17 +1325,17 @@
                 os.close(handle)
 
     async def _replace(self, host: Host) -> None:
-        """The next program takes over; if it does not, the one before goes on."""
+        """Start the next version with `--replace`; if it does not take over, the one before continues."""
         before = list(host.daemons)
         for owned in before:
             owned.asked = True
         fresh = host.start("--replace")
         ends = [asyncio.create_task(owned.ended.wait()) for owned in [*before, fresh]]
-        await asyncio.wait(ends, timeout=END_WITHIN_S, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(ends, timeout=STOP_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         for task in ends:
             task.cancel()
 
-    def _hurt_disk(self, host: Host, what: str) -> None:
+    def _damage_disk(self, host: Host, what: str) -> None:
         if what == "disk-gone":
             shutil.rmtree(host.state, ignore_errors=True)
         elif what == "disk-back" and (host.folder / "state.first").exists():
@@ -1291,7 +1344,7 @@
         elif what == "disk-torn" and host.state.exists():
             for path in sorted(host.state.iterdir()):
                 share = float(self.rng.random())
-                with contextlib.suppress(FileNotFoundError):  # it has just been replaced
+                with contextlib.suppress(FileNotFoundError):  # it was replaced in the meantime
                     data = path.read_bytes()
                     path.write_bytes(data[: int(share * len(data))])
         (host.folder / disk.LOG).write_bytes(b"")
@@ -1305,39 +1358,39 @@
 
     async def _start_server(self, name: str) -> None:
         before = self.servers[name]
-        server = self.servers[name] = _Server(name, self)
+        server = self.servers[name] = _RecordingServer(name, self)
         await server.start(before.address.partition(":")[0])
         for host in self.hosts.values():
-            host.relays[name].target = _address(server.address)
+            host.relays[name].target = _parse_address(server.address)
             host.relays[name].serve(True)
-        server.is_cold()
-        self._tell(name, self._phases[name]["phase"], cold=True)
+        server.start_cold()
+        self._publish_phase(name, self._phases[name]["phase"], cold=True)
 
     def _list_down(self) -> None:
         for host in self.hosts.values():
             host.relays["list"].serve(False)
-            host.list.stop()
+            host.registry.stop()
 
     async def _list_up(self) -> None:
         for host in self.hosts.values():
-            await host.list.start(f"127.0.{self.block}.200")
-            host.relays["list"].target = _address(host.list.address)
+            await host.registry.start(f"127.0.{self.block}.200")
+            host.relays["list"].target = _parse_address(host.registry.address)
             host.relays["list"].serve(True)
 
-    # Down
+    # Teardown
 
     async def _take_down(self) -> None:
         for task in list(self._tasks):
             task.cancel()
         for host in self.hosts.values():
-            if host.crowd is not None:
+            if host.clients is not None:
                 with contextlib.suppress(Exception):
-                    await host.crowd.stop()
+                    await host.clients.stop()
         if not await asyncio.to_thread(kill_all, self.mark):
             self.failed = self.failed or "processes were left behind"
         self.network.close()
         for host in self.hosts.values():
-            host.list.stop()
+            host.registry.stop()
         for server in self.servers.values():
             server.gone = True
             server.stop()
@@ -1345,28 +1398,39 @@
 
 
 def _links(item: Planned) -> set[tuple[str, str]]:
-    """The directed links that a fault is on. What sites say to each other has links of its own beside those
-    of their requests: `deaf` is on these alone, all others on both."""
-    words = {(src, dst + sites.WORDS) for src, dst in item.pairs} | {
-        (src + sites.WORDS, dst) for src, dst in item.pairs
+    """Return the directed links that a fault affects.
+
+    Messages between sites have links separate from those of requests. `deaf` affects only the links of
+    messages, all other faults affect both.
+    """
+    messages = {(src, dst + sites.MESSAGES_SUFFIX) for src, dst in item.pairs} | {
+        (src + sites.MESSAGES_SUFFIX, dst) for src, dst in item.pairs
     }
-    return words if item.what == "deaf" else item.pairs | words
+    return messages if item.what == "deaf" else item.pairs | messages
+
 
+def _scratch_directory() -> str | None:
+    """Return a directory in memory, or None if TMPDIR names another place.
 
-def _quick() -> str | None:
-    """In memory, unless somebody names another place: what a power cut leaves is the rig's to say, and a disk
-    that all storms of a machine share makes each of them wait for the others' fsyncs."""
-    return MEMORY if not os.environ.get("TMPDIR") and os.access(MEMORY, os.W_OK) else None
+    The harness simulates what a power cut leaves, so no real disk is needed, and on a disk shared by all
+    storms of a machine each would wait for the others' fsyncs.
+    """
+    return MEMORY_DIRECTORY if not os.environ.get("TMPDIR") and os.access(MEMORY_DIRECTORY, os.W_OK) else None
 
 
-def _address(told: str) -> tuple[str, int]:
-    host, _, port = told.rpartition(":")
+def _parse_address(address: str) -> tuple[str, int]:
+    host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def claim_block(seed: int) -> tuple[int, socket.socket]:
-    """A block of loopback addresses that no other storm on this machine has, held by a socket: the kernel
-    drops the claim with the process. Raises CannotPlay."""
+    """Claim a block of loopback addresses that no other storm on this machine uses.
+
+    Returns the block and the socket that holds the claim; the kernel releases it when the process ends.
+
+    Raises:
+        CannotPlay: All blocks are in use.
+    """
     first = (seed * 7 + os.getpid()) % len(BLOCKS)
     for step in range(len(BLOCKS)):
         block = BLOCKS[(first + step) % len(BLOCKS)]
--- a/tests/storm/test_fleets.py
+++ b/tests/storm/test_fleets.py
@@ -1,4 +1,4 @@
-"""The view between real processes: 24 members on 6 hosts, and what becomes of it when some fail."""
+"""The membership view between real processes: up to 24 members on 6 hosts, some of which fail."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def views(events: list[dict[str, Any]], member: str) -> list[list[str]]:
-    """Until the storm has settled. Behind that its programs are told to stop, and leave one by one."""
+    """Return a member's views until the storm has settled; after that the programs are stopped one by one."""
     until = next(at for at, event in enumerate(events) if event["kind"] == "settled")
     return [
         event["living"] for event in events[:until] if event["kind"] == "view" and event["member"] == member
@@ -57,7 +57,7 @@
 
 
 def died(events: list[dict[str, Any]], by: str = "") -> set[str]:
-    """Members that some log has held for dead; `by`: by the word of a member of this host."""
+    """Return the members that were declared dead by members whose names begin with `by`."""
     found = set()
     for event in events:
         if event["kind"] == "said" and "is held for dead" in event["line"]:
@@ -80,27 +80,29 @@
         assert last == everybody[12:]
     elif name == "halves":
         assert everybody[:12] in views(events, "h1/i0") and everybody[12:] in views(events, "h4/i0")
-        assert last == everybody  # each half had given the other up, and nobody helped them
+        assert last == everybody  # each half had declared the other dead; they merged without intervention
     else:
         assert last == everybody
     if name == "replaced":
-        # A supervisor that is gone, and a replaced program, take no member away.
+        # The loss of a supervisor or the replacement of a program removes no member.
         assert all({"h4/i1", "h5/i1"} <= set(view) for view in views(events, "h6/i0")[-3:])
 
 
-def test_a_frozen_host_blames_nobody_and_is_back(tmp_path: Path) -> None:
+def test_a_frozen_host_declares_nobody_dead_and_rejoins(tmp_path: Path) -> None:
+    """Guards against a thawed host that takes its own pause for the failure of the others."""
     verdict = play(storm("frozen", fault("freeze", 0.5, 10.0, "h1"), 11.0, 3, 2), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
     events = read(tmp_path / "history.jsonl")
-    # Also when it woke. What waited in its sockets, that others hold it for dead, it may hear and tell.
+    # This includes the time after the thaw. It may still read from its sockets that others declared it dead,
+    # and report that.
     assert not died(events, by="h1/")
     assert died([event for event in events if event.get("host") == "h2"]) <= {"h1/i0", "h1/i1"}
     everybody = [f"h{host}/i{number}" for host in (1, 2, 3) for number in range(2)]
     assert everybody[2:] in views(events, "h2/i0") and views(events, "h2/i0")[-1] == everybody
 
 
-def test_the_key_is_changed_while_a_third_of_the_fleet_is_away(tmp_path: Path) -> None:
-    """As the operators' page says: the one that was away gets the new file before it comes back."""
+def test_the_key_is_changed_while_a_third_of_the_fleet_is_down(tmp_path: Path) -> None:
+    """Follows the operators' page: a host that was down gets the new key file before it is started again."""
     faults = fault("kill", 0.5, 5.0, "h3") + fault("rekey", 4.5, 0, "h3", size=2)
     faults += fault("rekey", 1.0, 0, "h1 h2", size=1) + fault("rekey", 2.0, 0, "h1 h2", size=2)
     made = storm("rekey", faults, 7.0, 3, 2)
@@ -111,19 +113,22 @@
     assert len(views(events, "h1/i0")[-1]) == 6
 
 
-def test_who_is_well_is_not_declared_dead_by_the_sick(tmp_path: Path) -> None:
-    """One host at a few hundredths of a core, another whose links lose three datagrams in ten and double
-    one."""
+def test_healthy_members_are_not_declared_dead_by_impaired_ones(tmp_path: Path) -> None:
+    """Guards against false failure reports by impaired hosts.
+
+    One host has a few hundredths of a core; another's links lose three datagrams in ten and duplicate one.
+    """
     faults = fault("starve", 0.5, 8.0, "h1") + fault("datagrams", 0.5, 8.0, "h2", "h1 h3 h4 h5", 0.3)
     verdict = play(storm("sick", faults, 9.0, 5, 2), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
-    # Before the faults nobody is sick: whom a busy machine starts slowly is not declared dead by the sick.
+    # Reports from before the faults do not count: no host is impaired then, and a busy machine may start some
+    # members slowly.
     events = read(tmp_path / "history.jsonl")
     begins = next(at for at, event in enumerate(events) if event["kind"] == "fault")
     assert not {name for name in died(events[begins:]) if name[:2] not in ("h1", "h2")}
 
 
-def test_a_member_is_back_with_an_older_disk_with_none_and_with_its_clock_an_hour_off(tmp_path: Path) -> None:
+def test_a_member_rejoins_with_an_older_disk_with_none_and_with_its_clock_an_hour_off(tmp_path: Path) -> None:
     faults = (
         fault("kill", 0.5, 1.0, "h1 h2 h3")
         + fault("disk-back", 1.0, 0, "h1")
@@ -134,7 +139,7 @@
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
 
 
-def test_of_two_daemons_under_one_name_the_younger_stands_back(tmp_path: Path) -> None:
+def test_of_two_daemons_under_one_name_the_younger_withdraws(tmp_path: Path) -> None:
     verdict = play(storm("twin", fault("twin", 0.5, 6.0, "h2"), 7.0, 3, 1), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
     events = read(tmp_path / "history.jsonl")
@@ -145,7 +150,7 @@
     ]
     told = [line for line in lines if "another process goes by the name" in line["event"]]
     back = [line for line in lines if "stands back for an older process" in line["event"]]
-    assert len(told) == 2 and len(back) == 1  # each of the two, and the younger one once
+    assert len(told) == 2 and len(back) == 1  # both report the conflict, and only the younger withdraws, once
     assert "h2/i0" not in died(events)
 
 
@@ -156,22 +161,23 @@
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
 
 
-def test_one_of_sixteen_is_left_and_sees_itself_alone(tmp_path: Path) -> None:
+def test_the_only_survivor_of_sixteen_sees_itself_alone(tmp_path: Path) -> None:
     others = " ".join(f"h{number}" for number in range(1, 17) if number != 7)
-    # Killed once all have heard of all, which takes sixteen programs that start together a while.
+    # Killed once all members know each other, which takes sixteen programs that start together a while.
     verdict = play(storm("all-but-one", fault("kill", 4.0, 0, others), 5.5, 16, 1), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
     events = read(tmp_path / "history.jsonl")
     assert len(max(views(events, "h7/i0"), key=len)) == 16 and views(events, "h7/i0")[-1] == ["h7/i0"]
 
 
-def test_members_come_back_under_other_addresses(tmp_path: Path) -> None:
+def test_members_rejoin_under_other_addresses(tmp_path: Path) -> None:
     verdict = play(storm("moved", fault("move", 0.5, 1.0, "h2 h4"), 4.0), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
     assert len(views(read(tmp_path / "history.jsonl"), "h1/i0")[-1]) == 24
 
 
-def test_a_host_that_hears_and_is_not_heard_is_given_up_and_is_back(tmp_path: Path) -> None:
+def test_a_host_that_receives_but_cannot_send_is_declared_dead_and_rejoins(tmp_path: Path) -> None:
+    """Guards against a one-way link failure that goes undetected or is never healed."""
     verdict = play(storm("unheard", fault("one-way", 0.5, 9.0, "h1", "h2 h3 h4 h5 h6"), 10.0), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict["rules"], indent=1)
     everybody = [f"h{host}/i{number}" for host in range(1, 7) for number in range(4)]
--- a/tests/storm/test_storms.py
+++ b/tests/storm/test_storms.py
@@ -1,4 +1,4 @@
-"""Storms of several real processes each, with faults between them; the verdict is that of outside books."""
+"""Storms: several real processes each, with injected faults, judged by a history kept outside them."""
 
 from __future__ import annotations
 
@@ -85,14 +85,15 @@
 
 @pytest.mark.parametrize("name", STORMS)
 def test_the_rules_hold_through(name: str, tmp_path: Path) -> None:
+    """Guards against broken promises to callers or servers during and after each combination of faults."""
     verdict = play(storm(name, STORMS[name]), 1, tmp_path)
     assert verdict["result"] == "held", json.dumps(verdict, indent=1)
     figures = verdict["figures"]
     assert figures["served"] > 50 and figures["arrivals"] >= figures["served"]
-    assert verdict["rig"]["relayed"] > 100  # it all went through relays
+    assert verdict["rig"]["relayed"] > 100  # all traffic went through relays
 
 
-def test_the_platforms_program_stands_a_storm_as_well(tmp_path: Path) -> None:
+def test_the_rules_hold_for_the_platforms_program(tmp_path: Path) -> None:
     faults = (
         fault("kill", 0.6, 0.5, "h1") + fault("freeze", 0.6, 0.8, "h2") + fault("cut", 1.6, 0.6, "h1", "list")
     )
@@ -101,10 +102,10 @@
     assert verdict["figures"]["served"] > 50
 
 
-# The list is out, all calls to it fail, and meanwhile servers begin to drain.
+# The list service is down and all calls to it fail, while servers begin to drain.
 LIST_AWAY = fault("list-down", 0.3, 1.2) + fault("server-drain", 0.8, to="s1 s2")
-# Three times all servers hang, callers leave, and then every connection breaks: what would be repeated is no
-# longer wanted.
+# Three times, all servers hang, callers leave, and then every connection breaks: a retry would be for a
+# caller that has left.
 LEAVING = "".join(
     fault("server-hang", at, 0.8, to="s1 s2 s3 s4 s5") + fault("reset", at + 0.7, 0, "h1 h2", "servers")
     for at in (1.2, 2.6, 4.0)
@@ -113,7 +114,10 @@
 
 
 @pytest.mark.parametrize("program", ["daemon", "platform"])
-def test_what_the_list_had_is_told_in_time_and_nothing_is_sent_for_who_has_left(program: str) -> None:
+def test_drains_during_a_list_outage_are_known_in_time_and_nothing_is_sent_for_callers_that_left(
+    program: str,
+) -> None:
+    """Guards against a late reconnect to the list service and against attempts for callers that have left."""
     more = "platform = true" if program == "platform" else ""
     verdict = play(storm("told", LIST_AWAY + LEAVING, seconds=8.5, more=more, load=LEAVE), 1)
     assert verdict["result"] == "held", json.dumps(verdict, indent=1)
@@ -133,12 +137,12 @@
     "asks-late": ("told", LIST_AWAY),
     "sends-for-gone": ("gone", LEAVING),
 }
-SEEDS = 3  # within which each has to be found
+SEEDS = 3  # each defect has to be found with one of the first three seeds
 
 
 @pytest.mark.parametrize("plant", PLANTED)
 def test_a_planted_defect_is_caught(plant: str) -> None:
-    """And the program without it keeps the rule in the same storm."""
+    """Guards against a checker that misses a defect, or that reports one in the program without it."""
     rule, faults = PLANTED[plant]
     seconds = {"forgets-drains": 6.0, "asks-late": 8.5, "sends-for-gone": 5.5}.get(plant, 3.0)
     words = {"seconds": seconds, "load": LEAVE if plant == "sends-for-gone" else ""}
@@ -156,12 +160,12 @@
     assert not well["rules"][rule]["breaches"], json.dumps(well["rules"][rule], indent=1)
 
 
-def test_a_kept_storm_is_judged_again_replayed_and_drawn(tmp_path: Path) -> None:
+def test_a_kept_storm_is_judged_again_replayed_and_reported(tmp_path: Path) -> None:
     kept = tmp_path / "kept"
     made = storm("kept", fault("kill", 0.5, 0.5, "h1") + fault("cut", 0.5, 0.5, "h2", "servers"), seconds=1.5)
     verdict = play(made, 4, kept)
     events = read(kept / "history.jsonl")
-    assert verdict_of(events, made, 4) == verdict  # from the file alone
+    assert verdict_of(events, made, 4) == verdict  # computed from the file alone
     again, seed = replayed(kept)
     assert seed == 4 and again.schedule(seed) == made.schedule(4)
     page = write_report(kept).read_text()
@@ -174,13 +178,14 @@
 
 
 def test_a_storm_in_which_the_rig_was_the_bottleneck_is_void() -> None:
+    """Guards against judging the program when the harness itself was too slow."""
     made = storm("busy", "", seconds=0.6)
     made.void["lag_ms"] = 0.0
     verdict = play(made, 1)
     assert verdict["result"] == "void" and "the rig was late" in verdict["void"][0]
 
 
-def test_the_command_runs_a_storm_and_tells_how_it_ended(tmp_path: Path) -> None:
+def test_the_command_runs_a_storm_and_reports_its_result(tmp_path: Path) -> None:
     path = tmp_path / "short.toml"
     path.write_text(
         HEAD.format(name="short", seconds=1.0, hosts=1, instances=1, more="", load="")
