--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Paired measurements and long forms of proofs; never in CI beyond a smoke run."""
+"""Paired benchmarks and long property test runs. CI only runs a smoke test of them."""
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,4 +1,4 @@
-"""Copies in memory and measured.
+"""Simulate replicated state in memory and measure its replication.
 
 python -m benchmarks.copies seeds --count 1000 [--plant forgets-deletions]
     python -m benchmarks.copies explore --depth 4
@@ -20,7 +20,8 @@
 from sorrelfront.lab.fleet.copies_explorer import explore
 
 
-def one(plant: str, seed: int) -> tuple[int, list[str]]:
+def run_seed(plant: str, seed: int) -> tuple[int, list[str]]:
+    """Simulate one seed; return it with the violations found, or the traceback of an exception."""
     try:
         found, _ = lab.play(seed, make=lab.PLANTS[plant])
     except Exception:
@@ -29,9 +30,10 @@
 
 
 def seeds(count: int, first: int, plant: str) -> int:
+    """Run `count` seeds on all cores, print the first ten failures and return the number of failures."""
     broken: Counter[str] = Counter()
     with multiprocessing.Pool(os.cpu_count()) as pool:
-        for seed, found in pool.imap_unordered(partial(one, plant), range(first, first + count), 8):
+        for seed, found in pool.imap_unordered(partial(run_seed, plant), range(first, first + count), 8):
             if found:
                 broken[found[0].split(" ")[0]] += 1
                 if sum(broken.values()) <= 10:
@@ -41,26 +43,27 @@
 
 
 SECOND = lab.SECOND
-VALUE = 60  # bytes of an entry's value
-BATCH = 100  # entries put between two steps of the clock
-TIMES = Settings()  # as an operator has them who changes nothing
+VALUE_BYTES = 60  # size of an entry's value
+BATCH_ENTRIES = 100  # entries written between two steps of the virtual clock
+DEFAULT_SETTINGS = Settings()
 
 
 def filled(entries: int, members: int) -> lab.Fleet:
-    """A settled fleet whose first member's book has so many entries."""
-    fleet = lab.Fleet(members, 1, TIMES)
+    """Return a converged fleet whose first member owns `entries` entries."""
+    fleet = lab.Fleet(members, 1, DEFAULT_SETTINGS)
     fleet.unheard = {host_of(name) for name in fleet.nodes}
     fleet.run(15 * SECOND)
     change(fleet, range(entries), b"a")
-    wait(fleet)
+    wait_for_convergence(fleet)
     return fleet
 
 
-def change(fleet: lab.Fleet, numbers: range, word: bytes) -> None:
+def change(fleet: lab.Fleet, numbers: range, fill: bytes) -> None:
+    """Write the numbered entries at the first member, in batches, with `fill` as their content."""
     owner = fleet.nodes["h0/i0"]
     for at, number in enumerate(numbers):
-        owner.copies.put(f"k{number:06}", word * VALUE, fleet.now)
-        if at % BATCH == BATCH - 1:
+        owner.copies.put(f"k{number:06}", fill * VALUE_BYTES, fleet.now)
+        if at % BATCH_ENTRIES == BATCH_ENTRIES - 1:
             fleet.do(owner, owner.copies._take())
             fleet.arm(owner)
             fleet.run(fleet.now + 2_000)
@@ -68,37 +71,45 @@
     fleet.arm(owner)
 
 
-def wait(fleet: lab.Fleet, most_s: int = 600) -> float:
-    """Until all hold the same; virtual seconds."""
-    began = fleet.now
+def wait_for_convergence(fleet: lab.Fleet, timeout_s: int = 600) -> float:
+    """Run until all members hold the same entries; return the virtual seconds it took.
+
+    Exits the program if that takes longer than `timeout_s` virtual seconds.
+    """
+    started_at = fleet.now
     while fleet.differing():
-        if fleet.now - began > most_s * SECOND:
-            raise SystemExit(f"not settled: {fleet.differing()}")
+        if fleet.now - started_at > timeout_s * SECOND:
+            raise SystemExit(f"not converged: {fleet.differing()}")
         fleet.run(fleet.now + 50_000)
-    return (fleet.now - began) / SECOND
+    return (fleet.now - started_at) / SECOND
+
 
+def catch_up(task: tuple[int, int]) -> str:
+    """Measure how a member catches up after an absence; return one table row.
 
-def catch_up(told: tuple[int, int]) -> str:
-    """One row: a member away with its disk, while so many in a hundred of the entries are changed."""
-    entries, percent = told
+    The member keeps its disk while it is away, and the given percentage of the entries changes meanwhile.
+    With 100 percent it comes back without its disk instead.
+    """
+    entries, percent = task
     fleet = filled(entries, 4)
     if percent < 100:
         fleet.kill("h1/i0")
         fleet.run(fleet.now + SECOND)
         change(fleet, range(entries * percent // 100), b"b")
-        wait(fleet)
+        wait_for_convergence(fleet)
         fleet.run(fleet.now + SECOND)
     fleet.sent.clear()
     fleet.back("h1/i0", "none" if percent == 100 else "kept")
-    seconds = wait(fleet)
+    seconds = wait_for_convergence(fleet)
     moved = sum(count for pair, count in fleet.sent.items() if "h1/i0" in pair)
-    whole = sum(
+    all_bytes = sum(
         size(item) for book in fleet.nodes["h0/i0"].copies.books.values() for item in book.after(0, "")
     )
-    return f"| {entries} | {percent}% | {moved:,} | {100 * moved / whole:.2f}% | {seconds:.1f} s |"
+    return f"| {entries} | {percent}% | {moved:,} | {100 * moved / all_bytes:.2f}% | {seconds:.1f} s |"
 
 
 def table(sizes: list[int]) -> None:
+    """Print the catch-up table for each number of entries and for 0, 1, 10 and 100 percent changed."""
     print("| entries | difference | bytes to and from it | of the whole | until level |")
     print("| --- | --- | --- | --- | --- |")
     rows = [(entries, percent) for entries in sizes for percent in (0, 1, 10, 100)]
@@ -107,30 +118,31 @@
             print(row, flush=True)
 
 
-def spreads(members: int) -> str:
-    """One row: a change until all have it, and what each says at rest."""
-    fleet = lab.Fleet(members, 1, TIMES)
+def measure_propagation(members: int) -> str:
+    """Return one table row: how long a change takes to reach all members, and the idle traffic."""
+    fleet = lab.Fleet(members, 1, DEFAULT_SETTINGS)
     fleet.unheard = {host_of(name) for name in fleet.nodes}
     fleet.run(20 * SECOND)
-    wait(fleet)
+    wait_for_convergence(fleet)
     waits = []
     for number in range(5):
         owner = fleet.nodes[f"h{number}/i0"]
         owner.copies.put("k", b"%d" % number, fleet.now)
         fleet.do(owner, owner.copies._take())
         fleet.arm(owner)
-        began = fleet.now
+        started_at = fleet.now
         while fleet.differing():
             fleet.run(fleet.now + 10_000)
-        waits.append((fleet.now - began) / SECOND)
+        waits.append((fleet.now - started_at) / SECOND)
     fleet.sent.clear()
     fleet.run(fleet.now + 20 * SECOND)
-    rest = sum(fleet.sent.values()) / members / 20
-    return f"| {members} | {sorted(waits)[2]:.2f} s | {max(waits):.2f} s | {rest:.0f} |"
+    idle_rate = sum(fleet.sent.values()) / members / 20
+    return f"| {members} | {sorted(waits)[2]:.2f} s | {max(waits):.2f} s | {idle_rate:.0f} |"
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Copies in memory")
+    """Run the chosen simulation; exit with 1 if a violation was found."""
+    parser = argparse.ArgumentParser(description="Simulate replicated state in memory")
     parser.add_argument("word", choices=("seeds", "explore", "table", "fleet"))
     parser.add_argument("--depth", type=int, default=4)
     parser.add_argument("--entries", default="1000,10000,100000")
@@ -138,21 +150,21 @@
     parser.add_argument("--count", type=int, default=1_000)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--plant", choices=sorted(lab.PLANTS), default="")
-    told = parser.parse_args()
-    if told.word == "explore":
-        found = explore(told.depth)
+    args = parser.parse_args()
+    if args.word == "explore":
+        found = explore(args.depth)
         print(f"{found.states} states to depth {found.depth}: {found.broken or 'none broken'}")
         raise SystemExit(bool(found.broken))
-    if told.word == "table":
-        table([int(item) for item in told.entries.split(",")])
+    if args.word == "table":
+        table([int(item) for item in args.entries.split(",")])
         return
-    if told.word == "fleet":
+    if args.word == "fleet":
         print("| members | a change at all, median | worst of five | bytes a second and member at rest |")
         print("| --- | --- | --- | --- |")
-        for members in told.members.split(","):
-            print(spreads(int(members)), flush=True)
+        for members in args.members.split(","):
+            print(measure_propagation(int(members)), flush=True)
         return
-    raise SystemExit(1 if seeds(told.count, told.first, told.plant) and not told.plant else 0)
+    raise SystemExit(1 if seeds(args.count, args.first, args.plant) and not args.plant else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""A change of policy, decided in memory: many seeds, and every order of events to a depth.
+"""Check policy changes in memory: many seeds, and every order of events up to a depth.
 
 python -m benchmarks.policy seeds --count 10000 [--duels] [--jobs 8]
 python -m benchmarks.policy explore --depth 8
@@ -17,33 +17,40 @@
 from sorrelfront.lab.fleet.policies import Run
 
 
-def one(seed: int, duels: bool) -> tuple[int, int, int, str]:
+def run_seed(seed: int, duels: bool) -> tuple[int, int, int, str]:
+    """Simulate one seed and return it with its results.
+
+    The results are the number of changes decided, the number reported as in force, and the first
+    violation ("" if there is none).
+    """
     run = Run(seed, duels=duels).play()
     return seed, run.changes, run.in_force, run.broken[0] if run.broken else ""
 
 
 def main() -> None:
+    """Run the chosen check and print its result as one JSON object."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("word", choices=("seeds", "explore"))
     parser.add_argument("--count", type=int, default=10_000)
-    parser.add_argument("--duels", action="store_true", help="two operators at once, voters that crash")
+    parser.add_argument("--duels", action="store_true", help="two concurrent operators, voters that crash")
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
-    told = parser.parse_args()
-    began = time.monotonic()
-    if told.word == "explore":
-        found = explore(told.depth)
-        print(json.dumps({**found._asdict(), "took_s": round(time.monotonic() - began, 1)}))
+    args = parser.parse_args()
+    started_at = time.monotonic()
+    if args.word == "explore":
+        result = explore(args.depth)
+        print(json.dumps({**result._asdict(), "took_s": round(time.monotonic() - started_at, 1)}))
         return
-    with ProcessPoolExecutor(told.jobs) as pool:
-        rows = list(pool.map(partial(one, duels=told.duels), range(told.count), chunksize=20))
+    with ProcessPoolExecutor(args.jobs) as pool:
+        rows = list(pool.map(partial(run_seed, duels=args.duels), range(args.count), chunksize=20))
     broken = [(seed, why) for seed, _, _, why in rows if why]
     print(json.dumps({
-        "seeds": told.count, "broken": len(broken), "first": broken[:3],
+        "seeds": args.count, "broken": len(broken), "first": broken[:3],
         "decided": sum(changes for _, changes, _, _ in rows),
-        "told_in_force": sum(count for _, _, count, _ in rows), "took_s": round(time.monotonic() - began, 1),
+        "told_in_force": sum(count for _, _, count, _ in rows),
+        "took_s": round(time.monotonic() - started_at, 1),
     }))  # fmt: skip
 
 
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -1,9 +1,10 @@
-"""CPU a request of the platform's program, of two trees in turn.
+"""Measure CPU time per request of the platform adapter, alternating between source trees.
 
     .venv/bin/python -m benchmarks.request_cpu TREE [TREE ...] --requests 4000 --rounds 3
 
-Each round starts the program of each tree anew and asks over kept connections; CPU is user and system time of
-the process after the first 500 answers, in microseconds a request. Prints one JSON object.
+Each round restarts the program of each tree and sends requests over keep-alive connections. CPU is the user
+and system time of the process after the first 500 answers, in microseconds per request. Prints one JSON
+object.
 """
 
 from __future__ import annotations
@@ -23,11 +24,16 @@
 
 
 def cpu_us(pid: int) -> float:
+    """Return the user and system CPU time of a process in microseconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * 1e6 / os.sysconf("SC_CLK_TCK")
 
 
-async def once(tree: str, requests: int, clients: int) -> float:
+async def measure(tree: str, requests: int, clients: int) -> float:
+    """Start the program of one tree and return its CPU time per request in microseconds.
+
+    The first 500 answers are warm-up and are not counted.
+    """
     backends = [await Backend(answer(b"served")).start() for _ in range(4)]
     registry = await Registry().start()
     address = free_address()
@@ -39,7 +45,8 @@
             **os.environ, "BALANCER_CONFIG": file.name, "BALANCER_DISCOVERY": registry.address,
             "BALANCER_LISTEN": "{}:{}".format(*address),
         }  # fmt: skip
-        program = "sorrelfront.platform" if Path(tree, "sorrelfront").is_dir() else "clayscale"  # as it was
+        # Older trees have the package under its former name.
+        program = "sorrelfront.platform" if Path(tree, "sorrelfront").is_dir() else "clayscale"
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", program, cwd=tree, env=environ, stderr=asyncio.subprocess.DEVNULL
         )
@@ -54,9 +61,9 @@
             await crowd.more(500)
             before, at = cpu_us(process.pid), crowd.answered
             await crowd.more(requests)
-            used = (cpu_us(process.pid) - before) / (crowd.answered - at)
+            cost_us = (cpu_us(process.pid) - before) / (crowd.answered - at)
             await crowd.stop()
-            return used
+            return cost_us
         finally:
             process.kill()
             await process.wait()
@@ -65,15 +72,17 @@
                 backend.stop()
 
 
-async def run(words: argparse.Namespace) -> dict[str, dict[str, float | list[float]]]:
-    found: dict[str, list[float]] = {tree: [] for tree in words.trees}
-    for _ in range(words.rounds):
-        for tree in words.trees:
-            found[tree].append(round(await once(tree, words.requests, words.clients), 1))
-    return {tree: {"median_us": statistics.median(all_), "us": all_} for tree, all_ in found.items()}
+async def run(args: argparse.Namespace) -> dict[str, dict[str, float | list[float]]]:
+    """Measure every tree in each round; return the median and all values per tree."""
+    samples: dict[str, list[float]] = {tree: [] for tree in args.trees}
+    for _ in range(args.rounds):
+        for tree in args.trees:
+            samples[tree].append(round(await measure(tree, args.requests, args.clients), 1))
+    return {tree: {"median_us": statistics.median(values), "us": values} for tree, values in samples.items()}
 
 
 def main() -> int:
+    """Print the measurements as one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("trees", nargs="+")
     parser.add_argument("--requests", type=int, default=4_000)
