--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,16 +1,16 @@
-"""What a request costs: the agent beside a byte splice, and beside an earlier revision.
+"""Measure the cost of a request: the agent against a byte splice, and against an earlier revision.
 
-    .venv/bin/python -m benchmarks.capacity                     # CPU a request, added latency at 600 a second
-    .venv/bin/python -m benchmarks.capacity --against 1f773a6    # and those of another revision, in turn
+    .venv/bin/python -m benchmarks.capacity                     # CPU per request, added latency at 600/s
+    .venv/bin/python -m benchmarks.capacity --against 1f773a6    # the same, and of another revision
     .venv/bin/python -m benchmarks.capacity --rate 2500 --runs 3
-    .venv/bin/python -m benchmarks.capacity --find 50            # the rate whose 99th percentile passes 50 ms
-    .venv/bin/python -m benchmarks.capacity --connections 10000  # memory a connection, at rest
+    .venv/bin/python -m benchmarks.capacity --find 50            # rate whose 99th percentile exceeds 50 ms
+    .venv/bin/python -m benchmarks.capacity --connections 10000  # memory per idle connection
     .venv/bin/python -m benchmarks.capacity --rates 300,600,1200,2500 --plot docs/capacity.svg
-    .venv/bin/python -m benchmarks.capacity --uvloop             # the agent on that loop too, if installed
+    .venv/bin/python -m benchmarks.capacity --uvloop             # also the agent on uvloop, if installed
 
-Servers, load and the measured program are processes of their own, each pinned to a core where the machine
-allows it. The load is open: it asks at its rate however slow the answers are, and a latency counts from when
-the request was due.
+Servers, load and the measured program are separate processes, each pinned to a core where the machine allows
+it. The load is open-loop: it sends at its rate however slow the answers are, and a latency counts from the
+time when the request was due. Runs of several programs alternate.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 BACKENDS = 8
 CONNECTIONS = 40
 SERVICE_S = 0.002
-WARM_S = 1.5
+WARM_UP_S = 1.5
 BODY = b"b" * 600
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (
     len(BODY), BODY,
@@ -48,15 +48,17 @@
 # Servers
 
 
-class Served(asyncio.Protocol):
-    """Answers each request SERVICE_S after it has come whole."""
+class ServerProtocol(asyncio.Protocol):
+    """Answer each request SERVICE_S after it has been received completely."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport and start with an empty buffer."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.buffer = b""
 
     def data_received(self, data: bytes) -> None:
+        """Schedule an answer for every complete request in the buffer."""
         self.buffer += data
         while (end := self.buffer.find(b"\r\n\r\n")) >= 0:
             at = self.buffer.lower().find(b"content-length:", 0, end)
@@ -68,10 +70,13 @@
 
 
 async def servers() -> None:
+    """Run the servers and a registry that lists them, and print their addresses, until stdin is closed."""
     loop = asyncio.get_running_loop()
-    made = [await loop.create_server(Served, "127.0.0.1", 0, backlog=1_024) for _ in range(BACKENDS)]
+    listeners = [
+        await loop.create_server(ServerProtocol, "127.0.0.1", 0, backlog=1_024) for _ in range(BACKENDS)
+    ]
     registry = await Registry().start()
-    addresses = ["{}:{}".format(*item.sockets[0].getsockname()) for item in made]
+    addresses = ["{}:{}".format(*item.sockets[0].getsockname()) for item in listeners]
     registry.known = [member(f"b{at}", address) for at, address in enumerate(addresses)]
     print(json.dumps({"registry": registry.address, "addresses": addresses}), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
@@ -80,47 +85,52 @@
 # The splice
 
 
-class Half(asyncio.Protocol):
-    """One side of a spliced connection; what comes here goes out there."""
+class SpliceSide(asyncio.Protocol):
+    """Forward the data of one side of a spliced connection to the other side."""
 
     def __init__(self, address: tuple[str, int] | None) -> None:
-        self.address = address  # to connect to, of a client's side
+        self.address = address  # the server to connect to, None on the server's side
         self.other: asyncio.Transport | None = None
         self.waiting: list[bytes] = []
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Connect to the server if this is the client's side."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self.address is not None:
             self.task = asyncio.create_task(self.open(self.address))
 
     async def open(self, address: tuple[str, int]) -> None:
-        back = Half(None)
-        back.other = self.transport
-        other, _ = await asyncio.get_running_loop().create_connection(lambda: back, *address)
+        """Connect to the server and forward the data received meanwhile."""
+        server_side = SpliceSide(None)
+        server_side.other = self.transport
+        other, _ = await asyncio.get_running_loop().create_connection(lambda: server_side, *address)
         for data in self.waiting:
             other.write(data)
         self.other = other
 
     def data_received(self, data: bytes) -> None:
+        """Forward the data, or keep it until the other side is connected."""
         if self.other is None:
             self.waiting.append(data)
         else:
             self.other.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Close the other side too."""
         if self.other is not None:
             self.other.close()
 
 
 async def splice(listen: str, addresses: list[str]) -> None:
+    """Accept connections and splice each to the next server in turn."""
     host, port = listen.rsplit(":", 1)
-    turn = deque((item.rsplit(":", 1)[0], int(item.rsplit(":", 1)[1])) for item in addresses)
+    round_robin = deque((item.rsplit(":", 1)[0], int(item.rsplit(":", 1)[1])) for item in addresses)
 
-    def accept() -> Half:
-        turn.rotate()
-        return Half(turn[0])
+    def accept() -> SpliceSide:
+        round_robin.rotate()
+        return SpliceSide(round_robin[0])
 
     await asyncio.get_running_loop().create_server(accept, host, int(port), backlog=1_024)
     await asyncio.Event().wait()
@@ -129,8 +139,8 @@
 # Load
 
 
-class Asking(asyncio.Protocol):
-    """One kept connection of the load."""
+class LoadConnection(asyncio.Protocol):
+    """Send the requests of the load over one keep-alive connection, one at a time."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
@@ -138,14 +148,17 @@
         self.due: float | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def ask(self, due: float, data: bytes) -> None:
+    def send(self, due: float, data: bytes) -> None:
+        """Send a request that was due at the given time."""
         self.due = due
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Report a complete answer to the load and become idle."""
         self.buffer += data
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0 or self.due is None:
@@ -154,68 +167,73 @@
         length = int(self.buffer[at + 15 : self.buffer.index(b"\r\n", at)])
         if len(self.buffer) < end + 4 + length:
             return
-        self.load.answered(self, bytes(self.buffer[9:12]), time.monotonic() - self.due)
+        self.load.record_answer(self, bytes(self.buffer[9:12]), time.monotonic() - self.due)
         del self.buffer[:]
         self.due = None
-        self.load.rests(self)
+        self.load.release(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.load.lost(self)
+        """Report the loss to the load."""
+        self.load.on_lost(self)
 
 
 class Load:
-    """Asks at a rate, over connections that are kept; more are opened when all are busy."""
+    """Send requests at a fixed rate over keep-alive connections; open more when all are busy."""
 
     def __init__(self, address: tuple[str, int], rate: float, seconds: float) -> None:
         self.address, self.rate, self.seconds = address, rate, seconds
-        self.free: deque[Asking] = deque()
+        self.idle: deque[LoadConnection] = deque()
         self.queue: deque[tuple[float, bytes]] = deque()
         self.latencies: list[float] = []
         self.statuses: dict[str, int] = {}
         self.broken = 0
-        self.began = 0.0
+        self.started_at = 0.0
 
-    def rests(self, client: Asking) -> None:
+    def release(self, client: LoadConnection) -> None:
+        """Send the next queued request over the connection, or mark it idle."""
         if self.queue:
-            client.ask(*self.queue.popleft())
+            client.send(*self.queue.popleft())
         else:
-            self.free.append(client)
+            self.idle.append(client)
 
-    def answered(self, client: Asking, status: bytes, latency: float) -> None:
-        if time.monotonic() - self.began > WARM_S:
-            word = status.decode()
-            self.statuses[word] = self.statuses.get(word, 0) + 1
+    def record_answer(self, client: LoadConnection, status: bytes, latency: float) -> None:
+        """Count the status and the latency of an answer, except during the warm-up."""
+        if time.monotonic() - self.started_at > WARM_UP_S:
+            code = status.decode()
+            self.statuses[code] = self.statuses.get(code, 0) + 1
             self.latencies.append(latency)
 
-    def lost(self, client: Asking) -> None:
+    def on_lost(self, client: LoadConnection) -> None:
+        """Forget a closed connection; count it as broken if a request was in flight."""
         if client.due is not None:
             self.broken += 1
         with contextlib.suppress(ValueError):
-            self.free.remove(client)
+            self.idle.remove(client)
 
     async def run(self) -> dict[str, Any]:
+        """Send all requests and return the counts and the latencies."""
         loop = asyncio.get_running_loop()
         for _ in range(CONNECTIONS):
-            _, client = await loop.create_connection(lambda: Asking(self), *self.address)
-            self.free.append(client)
-        self.began = began = time.monotonic()
+            _, client = await loop.create_connection(lambda: LoadConnection(self), *self.address)
+            self.idle.append(client)
+        self.started_at = started_at = time.monotonic()
         print("began", flush=True)
-        count, total = 0, int(self.rate * (self.seconds + WARM_S))
+        count, total = 0, int(self.rate * (self.seconds + WARM_UP_S))
         while count < total:
             now = time.monotonic()
-            while count < total and began + count / self.rate <= now:
-                due = began + count / self.rate
+            while count < total and started_at + count / self.rate <= now:
+                due = started_at + count / self.rate
                 data = _request(count)
-                if self.free:
-                    self.free.popleft().ask(due, data)
+                if self.idle:
+                    self.idle.popleft().send(due, data)
                 else:
                     self.queue.append((due, data))
                 count += 1
-            await asyncio.sleep(max(0.0005, began + count / self.rate - time.monotonic()))
-            if not self.free and len(self.queue) > CONNECTIONS:
+            await asyncio.sleep(max(0.0005, started_at + count / self.rate - time.monotonic()))
+            if not self.idle and len(self.queue) > CONNECTIONS:
                 with contextlib.suppress(OSError):
-                    _, client = await loop.create_connection(lambda: Asking(self), *self.address)
-                    self.rests(client)
+                    _, client = await loop.create_connection(lambda: LoadConnection(self), *self.address)
+                    self.release(client)
         await asyncio.sleep(1.0)
         ordered = sorted(self.latencies) or [0.0]
         return {
@@ -238,66 +256,74 @@
     return head.encode() + body
 
 
-# The rig
+# Measured processes
 
 
 def pin(core: int) -> None:
+    """Pin this process to one of its allowed cores, where the machine permits it."""
     cores = sorted(os.sched_getaffinity(0))
     with contextlib.suppress(OSError):
         os.sched_setaffinity(0, {cores[core % len(cores)]})
 
 
 def cpu_us(pid: int) -> float:
+    """Return the user and system CPU time of a process in microseconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * 1e6 / os.sysconf("SC_CLK_TCK")
 
 
 def free_address() -> str:
+    """Return a local address whose port was free a moment ago."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return "{}:{}".format(*sock.getsockname())
 
 
-def role(*words: str, core: int) -> subprocess.Popen[str]:
+def start_role(*args: str, core: int) -> subprocess.Popen[str]:
+    """Start this program in another process as servers, splice or load, pinned to a core."""
     return subprocess.Popen(
-        [sys.executable, "-m", "benchmarks.capacity", "--role", *words, "--core", str(core)],
+        [sys.executable, "-m", "benchmarks.capacity", "--role", *args, "--core", str(core)],
         stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
     )  # fmt: skip
 
 
 @contextlib.contextmanager
-def program(
-    what: str, there: dict[str, Any], folder: Path, sockets: int = 1_024
+def running_program(
+    variant: str, servers_info: dict[str, Any], folder: Path, sockets: int = 1_024
 ) -> Iterator[tuple[int, str]]:
-    """The measured program, by its process number and address: `splice`, or a tree that holds an agent;
-    `uvloop` is this tree's on that loop."""
+    """Run the measured program; yield its process id and its address.
+
+    `variant` is `splice`, `uvloop` (this tree's agent on uvloop), or the path of a tree that holds an
+    agent.
+    """
     listen = free_address()
-    if what == "splice":
-        process = role("splice", listen, *there["addresses"], core=2)
+    if variant == "splice":
+        process = start_role("splice", listen, *servers_info["addresses"], core=2)
         pid = process.pid
     else:
-        config = table(there["registry"], [], maxRetryAfterUs=500_000)
+        config = table(servers_info["registry"], [], maxRetryAfterUs=500_000)
         config["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": sockets}
         file = folder / "agent.json"
         file.write_text(json.dumps(config))
         environ = {
             **os.environ, "BALANCER_CONFIG": str(file), "BALANCER_LISTEN": listen,
-            "BALANCER_DISCOVERY": there["registry"],
+            "BALANCER_DISCOVERY": servers_info["registry"],
         }  # fmt: skip
-        module = "sorrelfront.platform" if Path(what, "sorrelfront").is_dir() else "clayscale"  # as it was
-        words = ["-m", module]
-        if what == "uvloop":
-            what, module = ".", "sorrelfront.platform"
+        # Older trees have the package under its former name.
+        module = "sorrelfront.platform" if Path(variant, "sorrelfront").is_dir() else "clayscale"
+        args = ["-m", module]
+        if variant == "uvloop":
+            variant, module = ".", "sorrelfront.platform"
             run = f"runpy.run_module({module!r}, {{}}, '__main__')"
-            words = ["-c", f"import runpy, uvloop; uvloop.install(); {run}"]
+            args = ["-c", f"import runpy, uvloop; uvloop.install(); {run}"]
         process = subprocess.Popen(
-            [sys.executable, *words], cwd=what, env=environ, stderr=subprocess.DEVNULL,
+            [sys.executable, *args], cwd=variant, env=environ, stderr=subprocess.DEVNULL,
             preexec_fn=lambda: pin(2), text=True,
         )  # fmt: skip
         pid = process.pid
     try:
         host, port = listen.rsplit(":", 1)
-        until = time.monotonic() + 15
-        while time.monotonic() < until:
+        deadline = time.monotonic() + 15
+        while time.monotonic() < deadline:
             with contextlib.suppress(OSError):
                 socket.create_connection((host, int(port)), 1.0).close()
                 break
@@ -309,70 +335,77 @@
         process.wait()
 
 
-def once(what: str, rate: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """One run: CPU of the program for each answer, and the load's figures."""
-    back = role("servers", core=3)
+def run_once(variant: str, rate: float, seconds: float, folder: Path) -> dict[str, Any]:
+    """Run the load once; return the CPU time of the program per request, and the figures of the load."""
+    backends = start_role("servers", core=3)
     try:
-        assert back.stdout is not None
-        there = json.loads(back.stdout.readline())
-        with program(what, there, folder) as (pid, listen):
-            load = role("load", listen, str(rate), str(seconds), core=4)
+        assert backends.stdout is not None
+        servers_info = json.loads(backends.stdout.readline())
+        with running_program(variant, servers_info, folder) as (pid, listen):
+            load = start_role("load", listen, str(rate), str(seconds), core=4)
             assert load.stdout is not None
             assert load.stdout.readline().strip() == "began"
-            time.sleep(WARM_S)
-            before, began = cpu_us(pid), time.monotonic()
+            time.sleep(WARM_UP_S)
+            before, started_at = cpu_us(pid), time.monotonic()
             time.sleep(seconds)
-            used, lasted = cpu_us(pid) - before, time.monotonic() - began
+            cpu_used_us, elapsed_s = cpu_us(pid) - before, time.monotonic() - started_at
             figures: dict[str, Any] = json.loads(load.stdout.readline())
             load.wait()
-        figures["cpu_us"] = used / (rate * lasted)
-        figures["core_percent"] = used / lasted / 1e4
+        figures["cpu_us"] = cpu_used_us / (rate * elapsed_s)
+        figures["core_percent"] = cpu_used_us / elapsed_s / 1e4
         return figures
     finally:
-        back.kill()
-        back.wait()
+        backends.kill()
+        backends.wait()
 
 
 def summary(runs: list[dict[str, Any]]) -> dict[str, Any]:
-    told: dict[str, Any] = {}
+    """Return the median, minimum and maximum of each figure, and the sums of the counts."""
+    results: dict[str, Any] = {}
     for key in ("cpu_us", "core_percent", "median_ms", "p99_ms", "most_ms"):
         values = [run[key] for run in runs]
-        told[key] = {"median": round(statistics.median(values), 2), "least": round(min(values), 2),
+        results[key] = {"median": round(statistics.median(values), 2), "least": round(min(values), 2),
                      "most": round(max(values), 2)}  # fmt: skip
-    told["answered"] = sum(run["answered"] for run in runs)
-    told["not_200"] = sum(count for run in runs for word, count in run["statuses"].items() if word != "200")
-    told["broken"] = sum(run["broken"] for run in runs)
-    return told
+    results["answered"] = sum(run["answered"] for run in runs)
+    results["not_200"] = sum(
+        count for run in runs for code, count in run["statuses"].items() if code != "200"
+    )
+    results["broken"] = sum(run["broken"] for run in runs)
+    return results
+
 
+def memory_per_connection(args: argparse.Namespace, folder: Path) -> dict[str, Any]:
+    """Measure the resident memory per connection.
 
-def at_rest(words: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    """Resident memory a connection: so many that have asked nothing yet are opened and held."""
-    back = role("servers", core=3)
-    held: list[socket.socket] = []
-    told: dict[str, Any] = {}
+    Opens and holds connections that have not sent a request yet.
+    """
+    backends = start_role("servers", core=3)
+    open_sockets: list[socket.socket] = []
+    results: dict[str, Any] = {}
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     try:
-        assert back.stdout is not None
-        there = json.loads(back.stdout.readline())
-        with program(".", there, folder, sockets=hard) as (pid, listen):
+        assert backends.stdout is not None
+        servers_info = json.loads(backends.stdout.readline())
+        with running_program(".", servers_info, folder, sockets=hard) as (pid, listen):
             host, port = listen.rsplit(":", 1)
             before = resident_kb(pid)
-            for wanted in sorted({100, 1_000, words.connections}):
-                while len(held) < wanted:
-                    held.append(socket.create_connection((host, int(port)), 5.0))
-                time.sleep(0.3)  # well before silent ones are closed
-                told[str(wanted)] = round((resident_kb(pid) - before) / wanted, 2)
+            for wanted in sorted({100, 1_000, args.connections}):
+                while len(open_sockets) < wanted:
+                    open_sockets.append(socket.create_connection((host, int(port)), 5.0))
+                time.sleep(0.3)  # well before the agent closes silent connections
+                results[str(wanted)] = round((resident_kb(pid) - before) / wanted, 2)
     finally:
-        for sock in held:
+        for sock in open_sockets:
             sock.close()
-        back.kill()
-        back.wait()
+        backends.kill()
+        backends.wait()
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    return {"kb_a_connection": told}
+    return {"kb_a_connection": results}
 
 
 def resident_kb(pid: int) -> int:
+    """Return the resident memory of a process in KB, 0 if the kernel does not report it."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1])
@@ -381,77 +414,87 @@
 
 @contextlib.contextmanager
 def tree_of(revision: str) -> Iterator[str]:
+    """Check out a revision as a temporary git worktree and yield its path."""
     with tempfile.TemporaryDirectory(prefix="sorrelfront-rev-") as folder:
-        place = str(Path(folder) / "tree")
-        subprocess.run(["git", "worktree", "add", "-q", "--detach", place, revision], check=True)
+        tree_path = str(Path(folder) / "tree")
+        subprocess.run(["git", "worktree", "add", "-q", "--detach", tree_path, revision], check=True)
         try:
-            yield place
+            yield tree_path
         finally:
-            subprocess.run(["git", "worktree", "remove", "--force", place], check=True)
+            subprocess.run(["git", "worktree", "remove", "--force", tree_path], check=True)
 
 
-def measure(words: argparse.Namespace) -> dict[str, Any]:
+def measure(args: argparse.Namespace) -> dict[str, Any]:
+    """Run the measurement that the options ask for."""
     with contextlib.ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="sorrelfront-")))
-        if words.connections:
-            return at_rest(words, folder)
-        whats = {"splice": "splice", "agent": "."}
-        if words.against:
-            whats[words.against] = stack.enter_context(tree_of(words.against))
-        if words.uvloop:
-            whats["uvloop"] = "uvloop"
-        if words.find:
-            return {name: find(what, words, folder) for name, what in whats.items()}
-        if words.rates:
-            return {f"{rate:g}": at_rate(rate, whats, words, folder) for rate in words.rates}
-        return at_rate(words.rate, whats, words, folder)
-
-
-def at_rate(
-    rate: float, whats: dict[str, str], words: argparse.Namespace, folder: Path
+        if args.connections:
+            return memory_per_connection(args, folder)
+        variants = {"splice": "splice", "agent": "."}
+        if args.against:
+            variants[args.against] = stack.enter_context(tree_of(args.against))
+        if args.uvloop:
+            variants["uvloop"] = "uvloop"
+        if args.find:
+            return {name: find_max_rate(variant, args, folder) for name, variant in variants.items()}
+        if args.rates:
+            return {f"{rate:g}": compare_at_rate(rate, variants, args, folder) for rate in args.rates}
+        return compare_at_rate(args.rate, variants, args, folder)
+
+
+def compare_at_rate(
+    rate: float, variants: dict[str, str], args: argparse.Namespace, folder: Path
 ) -> dict[str, Any]:
-    """Runs of each program at this rate, in turn, so that a busy moment of the machine meets all of them."""
-    runs: dict[str, list[dict[str, Any]]] = {name: [] for name in whats}
-    for _ in range(words.runs):
-        for name, what in whats.items():
-            runs[name].append(once(what, rate, words.seconds, folder))
-    told: dict[str, Any] = {"rate": rate, "seconds": words.seconds, "runs": words.runs}
-    told |= {name: summary(items) for name, items in runs.items()}
-    for name in whats:
+    """Run each variant at one rate and compare it with the splice.
+
+    The runs of the variants alternate, so that a busy period of the machine affects all of them.
+    """
+    runs: dict[str, list[dict[str, Any]]] = {name: [] for name in variants}
+    for _ in range(args.runs):
+        for name, variant in variants.items():
+            runs[name].append(run_once(variant, rate, args.seconds, folder))
+    results: dict[str, Any] = {"rate": rate, "seconds": args.seconds, "runs": args.runs}
+    results |= {name: summary(items) for name, items in runs.items()}
+    for name in variants:
         if name != "splice":
-            told[name]["times_the_splice"] = round(
-                told[name]["cpu_us"]["median"] / told["splice"]["cpu_us"]["median"], 2
+            results[name]["times_the_splice"] = round(
+                results[name]["cpu_us"]["median"] / results["splice"]["cpu_us"]["median"], 2
             )
-            told[name]["added_median_ms"] = round(
-                told[name]["median_ms"]["median"] - told["splice"]["median_ms"]["median"], 2
+            results[name]["added_median_ms"] = round(
+                results[name]["median_ms"]["median"] - results["splice"]["median_ms"]["median"], 2
             )
-    return told
+    return results
 
 
-def plot(told: dict[str, Any], file: Path) -> None:
-    """CPU a request and the 99th percentile by rate, a line a program with least and most of its runs; one
-    rate alone is one point each. Written as SVG."""
+def plot(results: dict[str, Any], file: Path) -> None:
+    """Plot CPU per request and the 99th percentile by rate, as SVG.
+
+    Each variant is a line with error bars from the minimum to the maximum of its runs; a single rate
+    gives one point per variant.
+    """
     import matplotlib
 
     matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = "sorrelfront"  # the same figures give the same file
+    matplotlib.rcParams["svg.hashsalt"] = "sorrelfront"  # makes the file reproducible
     from matplotlib import pyplot
 
-    tables = [told] if "rate" in told else [*told.values()]
+    tables = [results] if "rate" in results else [*results.values()]
     names = [name for name, value in tables[0].items() if isinstance(value, dict)]
     figure, axes = pyplot.subplots(1, 2, figsize=(10, 4))
     for axis, key, unit in zip(
-        axes, ("cpu_us", "p99_ms"), ("CPU a request, us", "99th percentile, ms"), strict=True
+        axes, ("cpu_us", "p99_ms"), ("CPU per request, us", "99th percentile, ms"), strict=True
     ):
         for name in names:
             spread = [table[name][key] for table in tables]
-            middle = [item["median"] for item in spread]
-            bars = [
+            medians = [item["median"] for item in spread]
+            error_bars = [
                 [item["median"] - item["least"] for item in spread],
                 [item["most"] - item["median"] for item in spread],
             ]
-            axis.errorbar([table["rate"] for table in tables], middle, yerr=bars, marker="o", label=name)
-        axis.set_xlabel("requests a second")
+            axis.errorbar(
+                [table["rate"] for table in tables], medians, yerr=error_bars, marker="o", label=name
+            )
+        axis.set_xlabel("requests per second")
         axis.set_ylabel(unit)
         axis.set_ylim(bottom=0)
         axis.grid(True, alpha=0.3)
@@ -461,15 +504,19 @@
     pyplot.close(figure)
 
 
-def find(what: str, words: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    """The highest rate, in steps of a tenth, at which the 99th percentile stays below the bound."""
-    rate, good = 500.0, 0.0
+def find_max_rate(variant: str, args: argparse.Namespace, folder: Path) -> dict[str, Any]:
+    """Find the highest rate at which the 99th percentile stays below the bound.
+
+    The rate grows by 25% a step. It also counts as exceeded when fewer than 98% of the requests are
+    answered.
+    """
+    rate, last_good = 500.0, 0.0
     while rate < 20_000:
-        run = once(what, rate, words.seconds, folder)
-        if run["p99_ms"] > words.find or run["answered"] < 0.98 * rate * words.seconds:
+        run = run_once(variant, rate, args.seconds, folder)
+        if run["p99_ms"] > args.find or run["answered"] < 0.98 * rate * args.seconds:
             break
-        good, rate = rate, rate * 1.25
-    return {"rate": round(good), "first_above": round(rate)}
+        last_good, rate = rate, rate * 1.25
+    return {"rate": round(last_good), "first_above": round(rate)}
 
 
 def _rates(text: str) -> list[float]:
@@ -477,27 +524,28 @@
 
 
 def main() -> int:
+    """Run a role in a child process, or measure and print the results as one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--rate", type=float, default=600.0, help="requests a second")
-    parser.add_argument("--seconds", type=float, default=4.0, help="of each run, after its start")
+    parser.add_argument("--seconds", type=float, default=4.0, help="duration of each run, after the warm-up")
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--against", metavar="REV", help="measure this git revision too")
     parser.add_argument("--find", type=float, metavar="MS")
     parser.add_argument("--connections", type=int, default=0)
     parser.add_argument("--rates", type=_rates, help="several, in place of --rate, as in 300,600")
-    parser.add_argument("--plot", type=Path, metavar="SVG", help="draw what was measured (matplotlib)")
+    parser.add_argument("--plot", type=Path, metavar="SVG", help="plot the results (matplotlib)")
     parser.add_argument("--uvloop", action="store_true", help="measure the agent on uvloop too")
     parser.add_argument("--role", nargs="+", help=argparse.SUPPRESS)
     parser.add_argument("--core", type=int, default=0, help=argparse.SUPPRESS)
-    words = parser.parse_args()
-    if not words.role:
-        told = measure(words)
-        print(json.dumps(told, indent=1))
-        if words.plot:
-            plot(told, words.plot)
+    args = parser.parse_args()
+    if not args.role:
+        results = measure(args)
+        print(json.dumps(results, indent=1))
+        if args.plot:
+            plot(results, args.plot)
         return 0
-    pin(words.core)
-    match words.role:
+    pin(args.core)
+    match args.role:
         case ["servers"]:
             asyncio.run(servers())
         case ["splice", listen, *addresses]:
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -81,14 +81,14 @@
 class Result:
     """Count the arrivals of one run.
 
-    `worst` is the highest ratio of requests received to the limit at any cold server. `overruns` counts
+    `worst` is the highest ratio of requests received to the limit at any cold server. `falls` counts
     the arrivals above the limit.
     """
 
     worst: float = 0.0
     arrivals: int = 0
     cold_arrivals: int = 0
-    overruns: int = 0
+    falls: int = 0
 
 
 class Simulation:
@@ -167,7 +167,7 @@
             self.result.cold_arrivals += 1
             share = len(recent) / server.limit(self.now, self.settings)
             self.result.worst = max(self.result.worst, share)
-            self.result.overruns += share > 1
+            self.result.falls += share > 1
         duration_us = server.work_us * self.random.expovariate(1) / server.speed(self.now, self.settings)
         server.free_at_us = max(server.free_at_us, self.now) + duration_us
         self.schedule(server.free_at_us - self.now, "end", number, send.request_id)
@@ -244,7 +244,7 @@
         outcome = run(args.agents, args.servers, seed, args.load, cold=cold, work_us=args.work_ms * 1000)
         print(
             f"seed {seed}: {outcome.arrivals} arrivals, {outcome.cold_arrivals} at cold servers, "
-            f"worst {outcome.worst:.2f} of the limit, {outcome.overruns} over it"
+            f"worst {outcome.worst:.2f} of what one may get, {outcome.falls} over it"
         )
 
 
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,7 +1,7 @@
 """Simulate replicated state in memory and measure its replication.
 
 python -m benchmarks.copies seeds --count 1000 [--plant forgets-deletions]
-    python -m benchmarks.copies explore --depth 4
+python -m benchmarks.copies explore --depth 4
 python -m benchmarks.copies table --entries 1000,10000,100000
 python -m benchmarks.copies fleet --members 9,24,64,1000
 """
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -57,12 +57,12 @@
                     break
                 except OSError:
                     await asyncio.sleep(0.02)
-            crowd = Crowd(address, clients, 0.01)
-            await crowd.more(500)
-            before, at = cpu_us(process.pid), crowd.answered
-            await crowd.more(requests)
-            cost_us = (cpu_us(process.pid) - before) / (crowd.answered - at)
-            await crowd.stop()
+            load = Crowd(address, clients, 0.01)
+            await load.more(500)
+            before, at = cpu_us(process.pid), load.answered
+            await load.more(requests)
+            cost_us = (cpu_us(process.pid) - before) / (load.answered - at)
+            await load.stop()
             return cost_us
         finally:
             process.kill()
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,4 +1,4 @@
-"""Partner sites in memory and measured.
+"""Simulate partner sites in memory and measure route exchange and lookup.
 
 python -m benchmarks.sites seeds --count 10000 --first 20000
 python -m benchmarks.sites explore --depth 5
@@ -21,11 +21,16 @@
 from sorrelfront.lab.sites.explorer import explore
 from sorrelfront.lab.sites.routes import SECOND, World, keys
 
-ROUNDS_MOST = 64
-WAYS = 200_000  # looked up for the cost of one
+MAX_ROUNDS = 64
+LOOKUPS = 200_000  # lookups that the cost of one is averaged over
 
 
-def one(seed: int) -> tuple[int, list[str], int, int, int, int]:
+def run_seed(seed: int) -> tuple[int, list[str], int, int, int, int]:
+    """Simulate one seed.
+
+    Returns the seed, the violations found (or the traceback of an exception), the numbers of requests
+    sent between sites, served, and withheld, and the time until the routes settled in microseconds.
+    """
     world = World(seed)
     try:
         world.play()
@@ -35,9 +40,12 @@
 
 
 def seeds(count: int, first: int, jobs: int) -> int:
+    """Run `count` seeds, print the first ten failures and a summary, and return the number of failures."""
     broken = sent = served = withheld = slowest = 0
     with multiprocessing.Pool(jobs) as pool:
-        for seed, found, out, done, late, settled in pool.imap_unordered(one, range(first, first + count), 8):
+        for seed, found, out, done, late, settled in pool.imap_unordered(
+            run_seed, range(first, first + count), 8
+        ):
             sent, served, withheld = sent + out, served + done, withheld + late
             slowest = max(slowest, settled)
             broken += bool(found)
@@ -50,7 +58,8 @@
     return broken
 
 
-def orders(depth: int) -> int:
+def explore_topologies(depth: int) -> int:
+    """Explore every order of events up to a depth, for a line and a triangle; return the failures."""
     broken = 0
     for triangle in (False, True):
         found = explore(depth, triangle=triangle)
@@ -61,17 +70,20 @@
 
 
 def hierarchy(count: int, seed: int) -> dict[str, dict[str, Relation]]:
-    """So many sites: each but the first has one or two providers among those before it, a few are peers."""
+    """Return the links of `count` sites, by site and neighbour.
+
+    Each site but the first has one or two providers among those before it; a few sites also have a peer.
+    """
     random = Random(seed)
     found: dict[str, dict[str, Relation]] = {f"s{at}": {} for at in range(count)}
 
-    def link(one: int, other: int, what: Relation) -> None:
-        found[f"s{one}"][f"s{other}"] = what
-        found[f"s{other}"][f"s{one}"] = what.other_way
+    def link(one: int, other: int, relation: Relation) -> None:
+        found[f"s{one}"][f"s{other}"] = relation
+        found[f"s{other}"][f"s{one}"] = relation.other_way
 
     for at in range(1, count):
-        for above in set(random.choices(range(max(0, at // 3) + 1), k=random.choice((1, 2)))):
-            link(above, at, Relation.CUSTOMER)
+        for provider in set(random.choices(range(max(0, at // 3) + 1), k=random.choice((1, 2)))):
+            link(provider, at, Relation.CUSTOMER)
         if at > 2 and random.random() < 0.2:
             other = random.randrange(1, at)
             if f"s{other}" not in found[f"s{at}"]:
@@ -79,49 +91,53 @@
     return found
 
 
-def settled(count: int) -> None:
-    """One gateway a site, each lending one thing to all, to be passed on by all: rounds of asking until
-    nothing changes, and what a border holds then."""
+def measure_convergence(count: int) -> None:
+    """Measure how many rounds of queries the routes of `count` sites take to settle, and print it.
+
+    Each site has one gateway and lends one offer to all sites, which may pass it on. Also prints the
+    number of routes that a border holds then, and the CPU time.
+    """
     links = hierarchy(count, 1)
     sign, verify = keys(list(links))
     offer = Lent("x", terms(None, None, ["look"], left_ms=600_000))
     borders: dict[str, Border] = {}
-    for name, near in links.items():
+    for name, neighbours in links.items():
         border = borders[name] = Border(
             name, f"{name}/i", name, sign[name], verify, (1, 1), 0, Settings(SECOND, 60 * SECOND)
         )
         others = [other for other in links if other != name]
         known = [
-            Partner(other, near.get(other, Relation.PEER), 1, frozenset(), other in near) for other in others
+            Partner(other, neighbours.get(other, Relation.PEER), 1, frozenset(), other in neighbours)
+            for other in others
         ]
         border.configure(known, [offer], 0)
-        for other in near:
+        for other in neighbours:
             border.peer(other, other)
-    began, now, rounds, told = time.perf_counter(), 0, 0, 0
-    while rounds < ROUNDS_MOST:
+    started_at, now, rounds, chains = time.perf_counter(), 0, 0, 0
+    while rounds < MAX_ROUNDS:
         rounds += 1
         now += SECOND
         before = [border.changed for border in borders.values()]
-        told = 0
+        chains = 0
         for name, border in borders.items():
             for peer in list(border.peers):
                 tell = borders[peer].on_ask(name, border.ask(peer, now), b"", now)
                 assert tell is not None
-                told += len(tell.chains or ())
+                chains += len(tell.chains or ())
                 border.on_tell(peer, tell, now)
         if before == [border.changed for border in borders.values()]:
             break
-    took = time.perf_counter() - began
+    duration_s = time.perf_counter() - started_at
     routes = [len(border.table) for border in borders.values()]
     print(
         f"{count} sites, {sum(map(len, links.values())) // 2} links: settled after {rounds - 1} rounds; "
-        f"{sum(routes) / count:.1f} routes a border, {max(routes)} at most; {took:.1f} s of one core, "
-        f"{took / rounds / count * 1e3:.2f} ms a border and round"
+        f"{sum(routes) / count:.1f} routes a border, {max(routes)} at most; {duration_s:.1f} s of one core, "
+        f"{duration_s / rounds / count * 1e3:.2f} ms a border and round"
     )
 
 
-def request() -> None:
-    """What a request costs that finds no way, and one that finds one."""
+def measure_lookup() -> None:
+    """Print the cost of a request that finds no route, and of one that finds a route."""
     sign, verify = keys(["a", "b"])
     a = Border("a", "a/i", "a", sign["a"], verify, (1, 1), 0, Settings())
     b = Border("b", "b/i", "b", sign["b"], verify, (1, 1), 0, Settings())
@@ -132,34 +148,35 @@
     assert tell is not None
     a.on_tell("b", tell, 0)
     for cls, what in (("pay", "no way"), ("look", "a way")):
-        began = time.perf_counter()
-        for _ in range(WAYS):
+        started_at = time.perf_counter()
+        for _ in range(LOOKUPS):
             a.ways(cls, 1)
-        print(f"{what}: {(time.perf_counter() - began) / WAYS * 1e6:.2f} us a request")
+        print(f"{what}: {(time.perf_counter() - started_at) / LOOKUPS * 1e6:.2f} us a request")
 
 
 def main() -> int:
+    """Run the chosen benchmark; return 1 if a violation was found."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    words = parser.add_subparsers(dest="word", required=True)
-    word = words.add_parser("seeds")
-    word.add_argument("--count", type=int, default=1_000)
-    word.add_argument("--first", type=int, default=0)
-    word.add_argument("--jobs", type=int, default=os.cpu_count())
-    words.add_parser("explore").add_argument("--depth", type=int, default=4)
-    words.add_parser("table").add_argument("--sites", default="4,64,512")
-    words.add_parser("request")
-    told = parser.parse_args()
-    if told.word == "seeds":
-        return min(1, seeds(told.count, told.first, told.jobs))
-    if told.word == "explore":
-        return min(1, orders(told.depth))
-    if told.word == "table":
-        for count in told.sites.split(","):
-            settled(int(count))
+    subparsers = parser.add_subparsers(dest="word", required=True)
+    seeds_parser = subparsers.add_parser("seeds")
+    seeds_parser.add_argument("--count", type=int, default=1_000)
+    seeds_parser.add_argument("--first", type=int, default=0)
+    seeds_parser.add_argument("--jobs", type=int, default=os.cpu_count())
+    subparsers.add_parser("explore").add_argument("--depth", type=int, default=4)
+    subparsers.add_parser("table").add_argument("--sites", default="4,64,512")
+    subparsers.add_parser("request")
+    args = parser.parse_args()
+    if args.word == "seeds":
+        return min(1, seeds(args.count, args.first, args.jobs))
+    if args.word == "explore":
+        return min(1, explore_topologies(args.depth))
+    if args.word == "table":
+        for count in args.sites.split(","):
+            measure_convergence(int(count))
     else:
-        request()
+        measure_lookup()
     return 0
 
 
