--- a/benchmarks/adoption.py
+++ b/benchmarks/adoption.py
@@ -26,9 +26,9 @@
 from typing import Any
 
 from benchmarks.daemon import resident_mb, summarize_ms
-from sorrelfront.lab.crowd import LOST, Crowd
+from sorrelfront.lab.crowd import LOST, LoadGenerator
 from sorrelfront.lab.http1 import Registry, member
-from sorrelfront.lab.shop import Book, Mode, Server
+from sorrelfront.lab.shop import Ledger, Mode, Server
 from tests.daemon.fleet import Fleet
 
 ORPHAN_MS = 120_000
@@ -39,7 +39,7 @@
     registry = await Registry().start()
     for server in servers:
         await server.start()
-    registry.known = [member(server.name, server.address) for server in servers]
+    registry.members = [member(server.name, server.address) for server in servers]
     return registry
 
 
@@ -56,7 +56,7 @@
     At every tenth kill a server is also told to drain, and every fifth kill happens in the middle of a
     reload.
     """
-    book = Book(4.0)
+    book = Ledger(4.0)
     servers = [Server(f"b{at}", book, service_s=0.005) for at in range(5)]
     registry = await start_servers(servers)
     fleet = Fleet(folder, registry.address, args.instances)
@@ -64,10 +64,10 @@
     fleet.write()
     await fleet.start()
     pids_before = {name: item["pid"] for name, item in (await fleet.ready()).items()}
-    load = Crowd(fleet.address, args.clients, args.pause)
+    load = LoadGenerator(fleet.address, args.clients, args.pause)
     rng = random.Random(1)
-    await load.more(200)
-    load.gap_s = 0.0
+    await load.wait_for_answers(200)
+    load.longest_gap_s = 0.0
     adoptions: list[float] = []
     for number in range(args.kills):
         reload = None
@@ -77,8 +77,8 @@
             await asyncio.sleep(rng.uniform(0.0, 0.02))
         if number % 10 == 5:
             server = servers[number // 10 % len(servers)]
-            registry.change(member(server.name, server.address, "draining"))
-            server.drain()
+            registry.update(member(server.name, server.address, "draining"))
+            server.mark_draining()
         await fleet.kill()
         if reload is not None:
             with contextlib.suppress(Exception):
@@ -89,11 +89,11 @@
         pids = {name: item["pid"] for name, item in (await fleet.ready()).items()}
         adoptions.append(time.monotonic() - started_at)
         assert pids == pids_before, (number, pids, pids_before)
-        await load.more(2 * args.clients)
+        await load.wait_for_answers(2 * args.clients)
         for server in servers:
             if server.drained_at is not None and time.monotonic() - server.drained_at > 0.7:
                 server.drained_at = None
-                registry.change(member(server.name, server.address))
+                registry.update(member(server.name, server.address))
     await load.finish()
     status = await fleet.ask("status")
     fleet.process.terminate()
@@ -103,31 +103,31 @@
         server.stop()
     return {
         "kills": args.kills, "instances": args.instances, "clients": args.clients,
-        "answered": load.answered, "book": {got.decode(): count for got, count in load.book.items()},
-        "adopted_in_ms": summarize_ms(adoptions), "longest_gap_ms": round(1000 * load.gap_s, 1),
+        "answered": load.answered, "book": {got.decode(): count for got, count in load.outcomes.items()},
+        "adopted_in_ms": summarize_ms(adoptions), "longest_gap_ms": round(1000 * load.longest_gap_s, 1),
         "longest_gap_of_a_client_ms": round(1000 * load.longest_wait_s, 1),
         "generation": status["generation"], "exit": exit_code, "refused_connects": load.refused_connects,
-        "cut": len(load.cut_ports), "lost": load.book[LOST], "doubled": len(book.doubled),
+        "cut": len(load.aborted_ports), "lost": load.outcomes[LOST], "doubled": len(book.duplicates),
         "late_drains": sum(server.late_drains for server in servers),
     }  # fmt: skip
 
 
 async def size(folder: Path, args: argparse.Namespace) -> dict[str, Any]:
     """Start, reload and adopt a fleet of `args.instances`, with one server and a few clients."""
-    book = Book(4.0)
+    book = Ledger(4.0)
     servers = [Server("b0", book)]
     registry = await start_servers(servers)
     fleet = Fleet(folder, registry.address, args.instances)
     fleet.orphan_ms = ORPHAN_MS
-    fleet.more = "start_within_ms = 300000"
+    fleet.extra_daemon_lines = "start_within_ms = 300000"
     fleet.write(reload_within_ms=60_000)
     times: dict[str, float] = {}
     started_at = time.monotonic()
     await fleet.start()
     pids_before = {name: item["pid"] for name, item in (await fleet.ready(within_s=300.0)).items()}
     times["ready"] = time.monotonic() - started_at
-    load = Crowd(fleet.address, 20, 0.05)
-    await load.more(200)
+    load = LoadGenerator(fleet.address, 20, 0.05)
+    await load.wait_for_answers(200)
     started_at = time.monotonic()
     fleet.write(reload_within_ms=60_000, sockets=300)
     answered = await fleet.ask("reload")
@@ -139,7 +139,7 @@
     pids = {name: item["pid"] for name, item in (await fleet.ready(within_s=300.0)).items()}
     times["adopted"] = time.monotonic() - started_at
     same = pids == pids_before
-    await load.more(200)
+    await load.wait_for_answers(200)
     await load.finish()
     started_at = time.monotonic()
     status = await fleet.ask("status")
@@ -153,8 +153,8 @@
     registry.stop()
     servers[0].stop()
     return {
-        "instances": args.instances, "same_processes": same, "exit": exit_code, "lost": load.book[LOST],
-        "doubled": len(book.doubled), "refused_connects": load.refused_connects,
+        "instances": args.instances, "same_processes": same, "exit": exit_code, "lost": load.outcomes[LOST],
+        "doubled": len(book.duplicates), "refused_connects": load.refused_connects,
         "seconds": {name: round(value, 2) for name, value in times.items()},
         "memory_mb": {"supervisor": supervisor, "instance": max(memory), "all": round(sum(memory))},
     }  # fmt: skip
@@ -165,7 +165,7 @@
 
     All entries of the list have the address of the same server.
     """
-    book = Book(4.0)
+    book = Ledger(4.0)
     server = Server("b0", book)
     await server.start()
     fleet = Fleet(folder, "127.0.0.1:9", 2)
@@ -177,21 +177,21 @@
     await fleet.start()
     await fleet.ready(within_s=120.0)
     times["ready"] = time.monotonic() - started_at
-    load = Crowd(fleet.address, 20, 0.01)
-    await load.more(500)
-    load.gap_s = 0.0
+    load = LoadGenerator(fleet.address, 20, 0.01)
+    await load.wait_for_answers(500)
+    load.longest_gap_s = 0.0
     started_at = time.monotonic()
     fleet.write(sockets=300)
     answered = await fleet.ask("reload")
     times["reload"] = time.monotonic() - started_at
-    gap = load.gap_s
+    gap = load.longest_gap_s
     assert answered["ok"], answered
     await fleet.kill()
     started_at = time.monotonic()
     await fleet.start()
     await fleet.ready(within_s=120.0)
     times["adopted"] = time.monotonic() - started_at
-    await load.more(200)
+    await load.wait_for_answers(200)
     await load.finish()
     status = await fleet.ask("status")
     memory = [resident_mb(item["pid"]) for item in status["instances"]]
@@ -200,13 +200,17 @@
     exit_code = await fleet.process.wait()
     server.stop()
     return {
-        "servers": args.servers, "file_bytes": fleet.path.stat().st_size, "exit": exit_code,
+        "servers": args.servers,
+        "file_bytes": fleet.path.stat().st_size,
+        "exit": exit_code,
         "known": min(item["servers"] for item in status["instances"]),
-        "lost": load.book[LOST], "doubled": len(book.doubled), "refused_connects": load.refused_connects,
+        "lost": load.outcomes[LOST],
+        "doubled": len(book.duplicates),
+        "refused_connects": load.refused_connects,
         "seconds": {name: round(value, 2) for name, value in times.items()},
         "gap_in_reload_ms": round(1000 * gap, 1),
         "memory_mb": {"supervisor": supervisor, "instance": max(memory)},
-    }  # fmt: skip
+    }
 
 
 async def restart(folder: Path, args: argparse.Namespace) -> dict[str, Any]:
@@ -219,7 +223,7 @@
     lost = doubled = 0
     for number in range(2 * args.plays):
         with_state = number % 2 == 0
-        book = Book(4.0)
+        book = Ledger(4.0)
         servers = [Server(f"b{at}", book, service_s=0.01) for at in range(10)]
         for at, server in enumerate(servers):
             if at % 2:
@@ -228,11 +232,11 @@
         run_folder = folder / str(number)
         run_folder.mkdir()
         fleet = Fleet(run_folder, registry.address, 2)
-        fleet.more = 'state_dir = "state"\nstate_every_ms = 200' if with_state else ""
+        fleet.extra_daemon_lines = 'state_dir = "state"\nstate_every_ms = 200' if with_state else ""
         fleet.write()
         await fleet.start()
         await fleet.ready()
-        load = Crowd(fleet.address, 20, 0.02)
+        load = LoadGenerator(fleet.address, 20, 0.02)
         await asyncio.sleep(args.steady)
         steady = await share_served_well(load, 2.0)
         kill_all(fleet)
@@ -240,11 +244,11 @@
         await load.stop()
         await fleet.start()
         await fleet.ready()
-        load = Crowd(fleet.address, 20, 0.02, name="d")
+        load = LoadGenerator(fleet.address, 20, 0.02, name="d")
         shares["with_state" if with_state else "without"].append(await share_served_well(load, 2.0))
         shares["steady"].append(steady)
         await load.finish()
-        lost, doubled = lost + load.book[LOST], doubled + len(book.doubled)
+        lost, doubled = lost + load.outcomes[LOST], doubled + len(book.duplicates)
         fleet.process.terminate()
         await fleet.process.wait()
         registry.stop()
@@ -263,7 +267,7 @@
 MAX_GOOD_LATENCY_S = 0.05  # five times the service time of a good server
 
 
-async def share_served_well(load: Crowd, seconds: float) -> float:
+async def share_served_well(load: LoadGenerator, seconds: float) -> float:
     """Return the share of the answers within `seconds` that took at most MAX_GOOD_LATENCY_S."""
     answered, served = load.answered, len(load.latencies)
     await asyncio.sleep(seconds)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -32,7 +32,7 @@
 from pathlib import Path
 from typing import Any
 
-from sorrelfront.lab.http1 import Registry, member, table
+from sorrelfront.lab.http1 import Registry, make_config, member
 
 BACKENDS = 8
 CONNECTIONS = 40
@@ -77,7 +77,7 @@
     ]
     registry = await Registry().start()
     addresses = ["{}:{}".format(*item.sockets[0].getsockname()) for item in listeners]
-    registry.known = [member(f"b{at}", address) for at, address in enumerate(addresses)]
+    registry.members = [member(f"b{at}", address) for at, address in enumerate(addresses)]
     print(json.dumps({"registry": registry.address, "addresses": addresses}), flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
 
@@ -300,7 +300,7 @@
         process = start_role("splice", listen, *servers_info["addresses"], core=2)
         pid = process.pid
     else:
-        config = table(servers_info["registry"], [], maxRetryAfterUs=500_000)
+        config = make_config(servers_info["registry"], [], maxRetryAfterUs=500_000)
         config["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": sockets}
         file = folder / "agent.json"
         file.write_text(json.dumps(config))
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Cold:
+class ColdSettings:
     """Hold the slow-start settings of a deployment.
 
     `initial_speed` is the speed of a server that has just started, relative to a warm one.
@@ -38,7 +38,7 @@
     warm_s: float = 9.0
 
 
-def make_settings(number: int, agents: int, cold: Cold) -> api.Settings:
+def make_settings(number: int, agents: int, cold: ColdSettings) -> api.Settings:
     """Return the decision module's settings for agent `number` of `agents`."""
     return api.Settings(
         classes=(REQUEST_CLASS,), drain_grace_us=500_000, cold_from=cold.initial_speed,
@@ -88,14 +88,21 @@
     worst: float = 0.0
     arrivals: int = 0
     cold_arrivals: int = 0
-    falls: int = 0
+    overruns: int = 0
 
 
 class Simulation:
     """Simulate agents and servers in virtual time, driven by a queue of events."""
 
     def __init__(
-        self, agents: int, servers: int, seed: int, load: float, seconds: int, cold: Cold, work_us: float
+        self,
+        agents: int,
+        servers: int,
+        seed: int,
+        load: float,
+        seconds: int,
+        cold: ColdSettings,
+        work_us: float,
     ) -> None:
         self.random = Random(seed)
         self.settings = make_settings(0, agents, cold)
@@ -167,7 +174,7 @@
             self.result.cold_arrivals += 1
             share = len(recent) / server.limit(self.now, self.settings)
             self.result.worst = max(self.result.worst, share)
-            self.result.falls += share > 1
+            self.result.overruns += share > 1
         duration_us = server.work_us * self.random.expovariate(1) / server.speed(self.now, self.settings)
         server.free_at_us = max(server.free_at_us, self.now) + duration_us
         self.schedule(server.free_at_us - self.now, "end", number, send.request_id)
@@ -178,8 +185,8 @@
         call = balancer.held.get(request)
         if call is None:
             return
-        for attempt in sorted(call.open):
-            event = api.AttemptEnded(request, attempt, api.Outcome.OK, self.now - call.arrived, True)
+        for attempt in sorted(call.in_flight):
+            event = api.AttemptEnded(request, attempt, api.Outcome.OK, self.now - call.arrived_at, True)
             self.apply(number, balancer.on_attempt_ended(event, self.now))
 
     def start(self, at: int, _: int) -> None:
@@ -202,7 +209,7 @@
     seed: int,
     load: float = 0.9,
     seconds: int = 20,
-    cold: Cold | None = None,
+    cold: ColdSettings | None = None,
     work_us: float = 60_000.0,
 ) -> Result:
     """Run one simulation.
@@ -210,7 +217,7 @@
     `load` is the share of the capacity of all servers when warm; `work_us` is the mean service time at a
     warm server.
     """
-    return Simulation(agents, servers, seed, load, seconds, cold or Cold(), work_us).play()
+    return Simulation(agents, servers, seed, load, seconds, cold or ColdSettings(), work_us).play()
 
 
 def main() -> None:
@@ -239,12 +246,12 @@
         "--work-ms", type=float, default=60.0, help="mean service time of a request at a warm server"
     )
     args = parser.parse_args()
-    cold = Cold(args.multiple, args.span_s, args.start, args.warm_s)
+    cold = ColdSettings(args.multiple, args.span_s, args.start, args.warm_s)
     for seed in range(1, args.seeds + 1):
         outcome = run(args.agents, args.servers, seed, args.load, cold=cold, work_us=args.work_ms * 1000)
         print(
             f"seed {seed}: {outcome.arrivals} arrivals, {outcome.cold_arrivals} at cold servers, "
-            f"worst {outcome.worst:.2f} of what one may get, {outcome.falls} over it"
+            f"worst {outcome.worst:.2f} of what one may get, {outcome.overruns} over it"
         )
 
 
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from functools import partial
 
-from sorrelfront.decisions.fleet.copies import Settings, host_of, size
+from sorrelfront.decisions.fleet.copies import Settings, entry_size, host_of
 from sorrelfront.lab.fleet import copies as lab
 from sorrelfront.lab.fleet.copies_explorer import explore
 
@@ -23,7 +23,7 @@
 def run_seed(plant: str, seed: int) -> tuple[int, list[str]]:
     """Simulate one seed; return it with the violations found, or the traceback of an exception."""
     try:
-        found, _ = lab.play(seed, make=lab.PLANTS[plant])
+        found, _ = lab.run_seed(seed, make=lab.DEFECTS[plant])
     except Exception:
         found = [traceback.format_exc(limit=-2)]
     return seed, found
@@ -48,10 +48,10 @@
 DEFAULT_SETTINGS = Settings()
 
 
-def filled(entries: int, members: int) -> lab.Fleet:
+def fleet_with_entries(entries: int, members: int) -> lab.Fleet:
     """Return a converged fleet whose first member owns `entries` entries."""
     fleet = lab.Fleet(members, 1, DEFAULT_SETTINGS)
-    fleet.unheard = {host_of(name) for name in fleet.nodes}
+    fleet.registry_down = {host_of(name) for name in fleet.nodes}
     fleet.run(15 * SECOND)
     change(fleet, range(entries), b"a")
     wait_for_convergence(fleet)
@@ -64,10 +64,10 @@
     for at, number in enumerate(numbers):
         owner.copies.put(f"k{number:06}", fill * VALUE_BYTES, fleet.now)
         if at % BATCH_ENTRIES == BATCH_ENTRIES - 1:
-            fleet.do(owner, owner.copies._take())
+            fleet.perform(owner, owner.copies._take_actions())
             fleet.arm(owner)
             fleet.run(fleet.now + 2_000)
-    fleet.do(owner, owner.copies._take())
+    fleet.perform(owner, owner.copies._take_actions())
     fleet.arm(owner)
 
 
@@ -77,9 +77,9 @@
     Exits the program if that takes longer than `timeout_s` virtual seconds.
     """
     started_at = fleet.now
-    while fleet.differing():
+    while fleet.unsettled_reason():
         if fleet.now - started_at > timeout_s * SECOND:
-            raise SystemExit(f"not converged: {fleet.differing()}")
+            raise SystemExit(f"not converged: {fleet.unsettled_reason()}")
         fleet.run(fleet.now + 50_000)
     return (fleet.now - started_at) / SECOND
 
@@ -91,7 +91,7 @@
     With 100 percent it comes back without its disk instead.
     """
     entries, percent = task
-    fleet = filled(entries, 4)
+    fleet = fleet_with_entries(entries, 4)
     if percent < 100:
         fleet.kill("h1/i0")
         fleet.run(fleet.now + SECOND)
@@ -99,11 +99,13 @@
         wait_for_convergence(fleet)
         fleet.run(fleet.now + SECOND)
     fleet.sent.clear()
-    fleet.back("h1/i0", "none" if percent == 100 else "kept")
+    fleet.restart("h1/i0", "none" if percent == 100 else "kept")
     seconds = wait_for_convergence(fleet)
     moved = sum(count for pair, count in fleet.sent.items() if "h1/i0" in pair)
     all_bytes = sum(
-        size(item) for book in fleet.nodes["h0/i0"].copies.books.values() for item in book.after(0, "")
+        entry_size(item)
+        for book in fleet.nodes["h0/i0"].copies.replicas.values()
+        for item in book.after(0, "")
     )
     return f"| {entries} | {percent}% | {moved:,} | {100 * moved / all_bytes:.2f}% | {seconds:.1f} s |"
 
@@ -121,17 +123,17 @@
 def measure_propagation(members: int) -> str:
     """Return one table row: how long a change takes to reach all members, and the idle traffic."""
     fleet = lab.Fleet(members, 1, DEFAULT_SETTINGS)
-    fleet.unheard = {host_of(name) for name in fleet.nodes}
+    fleet.registry_down = {host_of(name) for name in fleet.nodes}
     fleet.run(20 * SECOND)
     wait_for_convergence(fleet)
     waits = []
     for number in range(5):
         owner = fleet.nodes[f"h{number}/i0"]
         owner.copies.put("k", b"%d" % number, fleet.now)
-        fleet.do(owner, owner.copies._take())
+        fleet.perform(owner, owner.copies._take_actions())
         fleet.arm(owner)
         started_at = fleet.now
-        while fleet.differing():
+        while fleet.unsettled_reason():
             fleet.run(fleet.now + 10_000)
         waits.append((fleet.now - started_at) / SECOND)
     fleet.sent.clear()
@@ -149,12 +151,12 @@
     parser.add_argument("--members", default="9,24,64")
     parser.add_argument("--count", type=int, default=1_000)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--plant", choices=sorted(lab.PLANTS), default="")
+    parser.add_argument("--plant", choices=sorted(lab.DEFECTS), default="")
     args = parser.parse_args()
     if args.word == "explore":
         found = explore(args.depth)
-        print(f"{found.states} states to depth {found.depth}: {found.broken or 'none broken'}")
-        raise SystemExit(bool(found.broken))
+        print(f"{found.states} states to depth {found.depth}: {found.violation or 'none broken'}")
+        raise SystemExit(bool(found.violation))
     if args.word == "table":
         table([int(item) for item in args.entries.split(",")])
         return
--- a/benchmarks/daemon.py
+++ b/benchmarks/daemon.py
@@ -20,11 +20,11 @@
 from pathlib import Path
 from typing import Any
 
-from sorrelfront.lab.crowd import LOST, Crowd
+from sorrelfront.lab.crowd import LOST, LoadGenerator
 from sorrelfront.lab.http1 import Registry, member
-from sorrelfront.lab.shop import Book, Server
+from sorrelfront.lab.shop import Ledger, Server
 from tests.daemon.fleet import Fleet
-from tests.daemon.test_replacement import answers_as, replacement
+from tests.daemon.test_replacement import start_replacement, wait_for_control_socket
 
 
 def summarize_ms(seconds: list[float]) -> dict[str, float]:
@@ -37,62 +37,62 @@
 
 async def run(folder: Path, args: argparse.Namespace) -> dict[str, Any]:
     """Run all phases against one daemon and return the figures."""
-    book = Book(4.0)
+    book = Ledger(4.0)
     servers = [Server(f"b{number}", book, service_s=0.005) for number in range(5)]
     registry = await Registry().start()
     for server in servers:
         await server.start()
-    registry.known = [member(server.name, server.address) for server in servers]
+    registry.members = [member(server.name, server.address) for server in servers]
     fleet = Fleet(folder, registry.address, args.instances)
     started_at = time.monotonic()
     await fleet.start()
     await fleet.ready()
     started = time.monotonic() - started_at
-    load = Crowd(fleet.address, args.clients, args.pause)
+    load = LoadGenerator(fleet.address, args.clients, args.pause)
     reloads: list[float] = []
     gaps: dict[str, float] = {}
-    await load.more(100)
-    load.gap_s = 0.0
+    await load.wait_for_answers(100)
+    load.longest_gap_s = 0.0
     for number in range(args.reloads):
         fleet.write(sockets=400 + number % 50)
         if number % 10 == 5:  # a server starts to drain right at a reload, and comes back later
             server = servers[number // 10 % len(servers)]
-            registry.change(member(server.name, server.address, "draining"))
-            server.drain()
+            registry.update(member(server.name, server.address, "draining"))
+            server.mark_draining()
         started_at = time.monotonic()
         answered = await fleet.ask("reload")
         reloads.append(time.monotonic() - started_at)
         assert answered["ok"], answered
-        await load.more(args.clients)
+        await load.wait_for_answers(args.clients)
         if number % 10 == 9:
             await asyncio.sleep(0.6)
             for server in servers:
                 if server.drained_at is not None:
                     server.drained_at = None
-                    registry.change(member(server.name, server.address))
-    gaps["reloads"] = load.gap_s
-    assert not load.cut_ports, load.book
-    load.gap_s = 0.0
+                    registry.update(member(server.name, server.address))
+    gaps["reloads"] = load.longest_gap_s
+    assert not load.aborted_ports, load.outcomes
+    load.longest_gap_s = 0.0
     replacements: list[float] = []
     for _ in range(args.replacements):
         old, started_at = fleet.process, time.monotonic()
-        new = await replacement(fleet)
-        await answers_as(fleet, new.pid)
+        new = await start_replacement(fleet)
+        await wait_for_control_socket(fleet, new.pid)
         replacements.append(time.monotonic() - started_at)
         assert await old.wait() == 0
         fleet.process = new
-        await load.more(args.clients)
-    gaps["replacements"] = load.gap_s
-    assert not load.cut_ports, load.book
+        await load.wait_for_answers(args.clients)
+    gaps["replacements"] = load.longest_gap_s
+    assert not load.aborted_ports, load.outcomes
     kills: list[float] = []
     for number in range(args.kills):
         load.recovery_s.clear()
         victim = (await fleet.ready())[f"i{number % args.instances}"]
         os.kill(victim["pid"], signal.SIGKILL)
-        await load.more(5 * args.clients)
+        await load.wait_for_answers(5 * args.clients)
         kills += load.recovery_s
     await asyncio.sleep(1.5)  # a client waits for a reset before it calls a request lost
-    cut, cut_lost = len(load.cut_ports), load.book[LOST]
+    cut, cut_lost = len(load.aborted_ports), load.outcomes[LOST]
     await fleet.ready()
     await load.finish()
     status = await fleet.ask("status")
@@ -105,14 +105,14 @@
         server.stop()
     return {
         "instances": args.instances, "clients": args.clients, "answered": load.answered,
-        "book": {got.decode(): count for got, count in load.book.items()},
+        "book": {got.decode(): count for got, count in load.outcomes.items()},
         "start_to_ready_ms": round(1000 * started, 1), "reload_ms": summarize_ms(reloads),
         "replacement_ms": summarize_ms(replacements),
         "longest_gap_ms": {name: round(1000 * gap, 1) for name, gap in gaps.items()},
         "memory_mb": memory, "exit": exit_code, "refused_connects": load.refused_connects,
         "kills": args.kills, "cut_by_kills": cut, "lost_by_kills": cut_lost,
         "recovery_after_kill_ms": summarize_ms(kills),
-        "lost": load.book[LOST] - cut_lost, "doubled": len(book.doubled),
+        "lost": load.outcomes[LOST] - cut_lost, "doubled": len(book.duplicates),
         "late_drains": sum(server.late_drains for server in servers),
     }  # fmt: skip
 
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -30,7 +30,7 @@
 
 from sorrelfront.daemon import control, policies
 from sorrelfront.lab.storm.history import Event, History
-from sorrelfront.lab.storm.processes import marked
+from sorrelfront.lab.storm.processes import find_marked
 from sorrelfront.lab.storm.run import play, verdict_of
 from sorrelfront.lab.storm.scenario import Scenario, parse
 from sorrelfront.lab.storm.stage import Stage
@@ -122,7 +122,7 @@
 def _cpu_seconds(mark: str) -> dict[int, float]:
     """Return the CPU seconds of each instance that carries the mark."""
     results = {}
-    for pid in marked(mark):
+    for pid in find_marked(mark):
         command = Path(f"/proc/{pid}/cmdline").read_bytes()
         if b"sorrelfront.daemon.instance" in command:
             fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -169,7 +169,7 @@
         if self.trouble == "down":
             count = max(1, round(len(self.hosts) / 10))
             for host in list(self.hosts.values())[-count:]:
-                host.there = False
+                host.expected_up = False
                 await host.kill()
         elif self.trouble == "cut":
             others = {name for name in self.hosts if name != "h3"}
@@ -186,7 +186,7 @@
         """Return how many messages about policy all instances have sent."""
         total = 0
         for host in self.hosts.values():
-            for item in await host.status() if host.there else ():
+            for item in await host.status() if host.expected_up else ():
                 total += item.get("fleet", {}).get("policy", {}).get("said", 0)
         return total
 
@@ -194,7 +194,7 @@
         path = self.hosts["h1"].folder / "c.sock"
         policy_file = self.hosts["h1"].folder / "policy.toml"
         policy_file.write_text(self.policy(number))
-        document = policies.seal(policies.read(policy_file), "bench", 0.0, "").decode()
+        document = policies.encode_envelope(policies.read(policy_file), "bench", 0.0, "").decode()
         request = {"op": "policy", "what": "propose", "change": f"c{number}", "void": False, "onto": None}
         started_at = time.monotonic()
         answer = await control.ask(path, {**request, "document": document})
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 
 from sorrelfront.agent import Clock
 from sorrelfront.decisions import places
-from sorrelfront.decisions.fleet.seats import places as view_places
+from sorrelfront.decisions.fleet.seats import ring_positions as view_places
 from sorrelfront.decisions.interface import State
 from sorrelfront.decisions.membership import Answering
 from sorrelfront.lab.demo import Demo, Step
@@ -37,7 +37,7 @@
 from sorrelfront.lists import parse_address
 from sorrelfront.messages import Update
 from sorrelfront.net import zookeeper as net
-from sorrelfront.sources.zookeeper import Ephemeral, Terms
+from sorrelfront.sources.zookeeper import EphemeralNodeSource, SourceSettings
 
 PATH = "/services/bench"
 SERVERS = 30
@@ -72,7 +72,7 @@
 async def flap_all(listing: EphemeralListing) -> None:
     """Expire the sessions of all servers twice, half a second apart."""
     for _ in range(2):
-        listing.crowd()
+        listing.expire_all()
         await asyncio.sleep(0.5)
 
 
@@ -83,7 +83,7 @@
     if and_expire:
         for number in [*listing.ensemble.tree.sessions]:
             listing.ensemble.expire(number)
-    listing.ensemble.go_on()
+    listing.ensemble.resume()
 
 
 async def restore(listing: EphemeralListing) -> None:
@@ -125,13 +125,13 @@
     old.stop()
     listing = _ephemeral_listing(demo)
     if listing is not None:
-        await listing.registrar.leave("b4")
+        await listing.registrar.deregister("b4")
     else:
         await demo.listing.drain("b4")
     await old.server.wait_closed()
-    server = demo.servers["b9"] = Server("b9", demo.book)
+    server = demo.servers["b9"] = Server("b9", demo.ledger)
     await server.start(host, int(port))
-    server.begin()
+    server.mark_started()
     await demo.listing.add("b9", server.address, cold=True)
 
 
@@ -154,7 +154,7 @@
     ),
     "all vanish, one real drain among them": (
         Step(0.3, "b1 drains", drain_server),
-        Step(0.31, "all", service_fault(lambda listing: listing.crowd())),
+        Step(0.31, "all", service_fault(lambda listing: listing.expire_all())),
     ),
     "the service stalls for 4 s, a drain behind it": (
         Step(0.2, "stall", service_fault(lambda listing: stall(listing, 4.0, False))),
@@ -215,8 +215,8 @@
         self.ready: set[str] = set()
         self.has_place = asyncio.Event()
         addresses = tuple(parse_address(host) for host in hosts.split(","))
-        self.source = Ephemeral(
-            Terms(net.Terms(addresses, SESSION_S), PATH, "/fleet/bench"),
+        self.source = EphemeralNodeSource(
+            SourceSettings(net.SessionSettings(addresses, SESSION_S), PATH, "/fleet/bench"),
             seed, f"i{seed}", Clock(), lambda *_: Answering.UNKNOWN, self._on_update,
             lambda _: self.has_place.set(),
         )  # fmt: skip
@@ -236,43 +236,45 @@
     registrar = Registrar(ensemble.hosts, PATH, SESSION_S)
     results: dict[str, Any] = {}
     try:
-        await registrar.make_path()
+        await registrar.create_path()
         for at in range(SERVERS):
             await registrar.register(f"b{at}", f"127.0.0.1:{9_000 + at}")
         servers_connections, servers_watches = ensemble.open, ensemble.watches
-        before = ensemble.asked
+        before = ensemble.request_counts
         sources = [ObservedSource(ensemble.hosts, seed) for seed in range(fleet)]
         await _wait_until(
             lambda: all(len(item.ready) == SERVERS and item.has_place.is_set() for item in sources)
         )
         await asyncio.sleep(1.0)
-        results["start"] = _without_pings(ensemble.asked - before)
+        results["start"] = _without_pings(ensemble.request_counts - before)
         results["connections"] = ensemble.open - servers_connections
         results["watches"] = ensemble.watches - servers_watches
-        before = ensemble.asked
+        before = ensemble.request_counts
         await asyncio.sleep(10.0)
-        results["at rest, a second"] = round(sum(_without_pings(ensemble.asked - before).values()) / 10, 2)
-        before, started_at = ensemble.asked, asyncio.get_running_loop().time()
+        results["at rest, a second"] = round(
+            sum(_without_pings(ensemble.request_counts - before).values()) / 10, 2
+        )
+        before, started_at = ensemble.request_counts, asyncio.get_running_loop().time()
         for at in range(SERVERS):
-            await registrar.leave(f"b{at}")
+            await registrar.deregister(f"b{at}")
             await registrar.register(f"c{at}", f"127.0.0.1:{9_100 + at}")
             await asyncio.sleep(0.1)
         wanted = {f"c{at}" for at in range(SERVERS)}
         await _wait_until(lambda: all(item.ready == wanted for item in sources))
         elapsed_s = asyncio.get_running_loop().time() - started_at
-        results["release of 30, all"] = _without_pings(ensemble.asked - before)
+        results["release of 30, all"] = _without_pings(ensemble.request_counts - before)
         results["release of 30, a second"] = round(sum(results["release of 30, all"].values()) / elapsed_s, 1)
         for item in sources:
             assert item.source._session is not None
             ensemble.expire(item.source._session.id)
-        before = ensemble.asked
+        before = ensemble.request_counts
         started_at = asyncio.get_running_loop().time()
         busiest, last = 0, 0
         while asyncio.get_running_loop().time() - started_at < 3.0:
             await asyncio.sleep(0.1)
-            now = sum(_without_pings(ensemble.asked - before).values())
+            now = sum(_without_pings(ensemble.request_counts - before).values())
             busiest, last = max(busiest, now - last), now
-        results["all sessions lost, all"] = _without_pings(ensemble.asked - before)
+        results["all sessions lost, all"] = _without_pings(ensemble.request_counts - before)
         results["all sessions lost, most in 0.1 s"] = busiest
         for item in sources:
             item.source.close()
@@ -305,7 +307,7 @@
     """Count the servers that instances newly get when their slices move to other starting points."""
 
     def servers(begin: int) -> set[int]:
-        start = begin * size // places.POINTS
+        start = begin * size // places.RING_POINTS
         return {(start + step) % size for step in range(wanted)}
 
     return sum(len(servers(new) - servers(old)) for old, new in zip(before, after, strict=True))
@@ -320,10 +322,10 @@
     size, wanted, count = 500, 20, 50
 
     def numbered(many: int) -> list[int]:
-        return [at * places.POINTS // many for at in range(many)]
+        return [at * places.RING_POINTS // many for at in range(many)]
 
-    seated = [places.point(at) for at in range(count)]
-    begins = [place * size // places.POINTS for place in seated]
+    seated = [places.ring_point(at) for at in range(count)]
+    begins = [place * size // places.RING_POINTS for place in seated]
     load = Counter((begin + step) % size for begin in begins for step in range(wanted))
     left = [*seated[:17], *seated[18:]]
     moved = [*left[:-1], seated[17]]  # the highest-numbered instance has taken the freed seat 17
@@ -335,7 +337,7 @@
         "most instances at a server, seated": max(load.values()),
         "least instances at a server, seated": min(load.get(at, 0) for at in range(size)),
         "even": count * wanted / size,
-        "gaps of an even share, least and most": [round(gap, 2) for gap in places.gaps(range(count))],
+        "gaps of an even share, least and most": [round(gap, 2) for gap in places.gap_ratios(range(count))],
         **seats_by_view(size, wanted, count),
     }
 
@@ -348,13 +350,13 @@
         now, more, less = (view_places(names[:many]) for many in (count, count + 1, count - 1))
         joins += count_changed([now[name] for name in now], [more[name] for name in now], size, wanted)
         leaves += count_changed([now[name] for name in less], [less[name] for name in less], size, wanted)
-        begins = [point * size // places.POINTS for point in now.values()]
+        begins = [point * size // places.RING_POINTS for point in now.values()]
         load = Counter((begin + step) % size for begin in begins for step in range(wanted))
         most += max(load.values()) / NAME_SETS
         least += min(load.get(at, 0) for at in range(size)) / NAME_SETS
         points = sorted(now.values())
-        ring = [*points, points[0] + places.POINTS]
-        gaps += [(b - a) * count / places.POINTS for a, b in pairwise(ring)]
+        ring = [*points, points[0] + places.RING_POINTS]
+        gaps += [(b - a) * count / places.RING_POINTS for a, b in pairwise(ring)]
     return {
         "by the view, one joins": round(joins / NAME_SETS, 1),
         "by the view, one leaves": round(leaves / NAME_SETS, 1),
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from sorrelfront.lab.fleet.explorer import explore
-from sorrelfront.lab.fleet.policies import Run
+from sorrelfront.lab.fleet.policies import Simulation
 
 
 def run_seed(seed: int, duels: bool) -> tuple[int, int, int, str]:
@@ -23,8 +23,8 @@
     The results are the number of changes decided, the number reported as in force, and the first
     violation ("" if there is none).
     """
-    run = Run(seed, duels=duels).play()
-    return seed, run.changes, run.in_force, run.broken[0] if run.broken else ""
+    run = Simulation(seed, contended=duels).run()
+    return seed, run.changes, run.in_force, run.violations[0] if run.violations else ""
 
 
 def main() -> None:
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -18,8 +18,8 @@
 import tempfile
 from pathlib import Path
 
-from sorrelfront.lab.crowd import Crowd
-from sorrelfront.lab.http1 import Backend, Registry, answer, connect, member, table
+from sorrelfront.lab.crowd import LoadGenerator
+from sorrelfront.lab.http1 import Backend, Registry, answer, connect, make_config, member
 from tests.test_process import free_address
 
 
@@ -39,7 +39,7 @@
     address = free_address()
     members = [member(f"b{at}", backend.address) for at, backend in enumerate(backends)]
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(table(registry.address, members), file)
+        json.dump(make_config(registry.address, members), file)
         file.flush()
         environ = {
             **os.environ, "BALANCER_CONFIG": file.name, "BALANCER_DISCOVERY": registry.address,
@@ -57,10 +57,10 @@
                     break
                 except OSError:
                     await asyncio.sleep(0.02)
-            load = Crowd(address, clients, 0.01)
-            await load.more(500)
+            load = LoadGenerator(address, clients, 0.01)
+            await load.wait_for_answers(500)
             before, at = cpu_us(process.pid), load.answered
-            await load.more(requests)
+            await load.wait_for_answers(requests)
             cost_us = (cpu_us(process.pid) - before) / (load.answered - at)
             await load.stop()
             return cost_us
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -16,10 +16,10 @@
 from random import Random
 
 from sorrelfront.decisions.sites.offers import Relation
-from sorrelfront.decisions.sites.routes import Border, Lent, Partner, Settings
+from sorrelfront.decisions.sites.routes import Border, OfferConfig, Partner, Settings
 from sorrelfront.decisions.sites.terms import terms
 from sorrelfront.lab.sites.explorer import explore
-from sorrelfront.lab.sites.routes import SECOND, World, keys
+from sorrelfront.lab.sites.routes import SECOND, Simulation, keys
 
 MAX_ROUNDS = 64
 LOOKUPS = 200_000  # lookups that the cost of one is averaged over
@@ -31,12 +31,12 @@
     Returns the seed, the violations found (or the traceback of an exception), the numbers of requests
     sent between sites, served, and withheld, and the time until the routes settled in microseconds.
     """
-    world = World(seed)
+    world = Simulation(seed)
     try:
-        world.play()
+        world.run_scenario()
     except Exception:
         world.breaches.append(traceback.format_exc(limit=-2))
-    return seed, world.breaches, len(world.sent), len(world.served), world.withheld, world.settled_us
+    return seed, world.breaches, len(world.sent), len(world.served), world.sent_via_hostile, world.settled_us
 
 
 def seeds(count: int, first: int, jobs: int) -> int:
@@ -63,9 +63,9 @@
     broken = 0
     for triangle in (False, True):
         found = explore(depth, triangle=triangle)
-        broken += bool(found.broken)
+        broken += bool(found.violation)
         shape = "triangle" if triangle else "line"
-        print(f"{shape}: {found.states} states to depth {found.depth}; {found.broken or 'none broken'}")
+        print(f"{shape}: {found.states} states to depth {found.depth}; {found.violation or 'none broken'}")
     return broken
 
 
@@ -79,7 +79,7 @@
 
     def link(one: int, other: int, relation: Relation) -> None:
         found[f"s{one}"][f"s{other}"] = relation
-        found[f"s{other}"][f"s{one}"] = relation.other_way
+        found[f"s{other}"][f"s{one}"] = relation.inverse
 
     for at in range(1, count):
         for provider in set(random.choices(range(max(0, at // 3) + 1), k=random.choice((1, 2)))):
@@ -99,7 +99,7 @@
     """
     links = hierarchy(count, 1)
     sign, verify = keys(list(links))
-    offer = Lent("x", terms(None, None, ["look"], left_ms=600_000))
+    offer = OfferConfig("x", terms(None, None, ["look"], left_ms=600_000))
     borders: dict[str, Border] = {}
     for name, neighbours in links.items():
         border = borders[name] = Border(
@@ -112,20 +112,20 @@
         ]
         border.configure(known, [offer], 0)
         for other in neighbours:
-            border.peer(other, other)
+            border.add_peer(other, other)
     started_at, now, rounds, chains = time.perf_counter(), 0, 0, 0
     while rounds < MAX_ROUNDS:
         rounds += 1
         now += SECOND
-        before = [border.changed for border in borders.values()]
+        before = [border.table_version for border in borders.values()]
         chains = 0
         for name, border in borders.items():
             for peer in list(border.peers):
-                tell = borders[peer].on_ask(name, border.ask(peer, now), b"", now)
+                tell = borders[peer].on_query(name, border.query(peer, now), b"", now)
                 assert tell is not None
                 chains += len(tell.chains or ())
-                border.on_tell(peer, tell, now)
-        if before == [border.changed for border in borders.values()]:
+                border.on_advertisement(peer, tell, now)
+        if before == [border.table_version for border in borders.values()]:
             break
     duration_s = time.perf_counter() - started_at
     routes = [len(border.table) for border in borders.values()]
@@ -142,15 +142,17 @@
     a = Border("a", "a/i", "a", sign["a"], verify, (1, 1), 0, Settings())
     b = Border("b", "b/i", "b", sign["b"], verify, (1, 1), 0, Settings())
     a.configure([Partner("b", Relation.PEER)], [], 0)
-    b.configure([Partner("a", Relation.PEER)], [Lent("x", terms(None, [], ["look"], left_ms=600_000))], 0)
-    a.peer("b", "b")
-    tell = b.on_ask("a", a.ask("b", 0), b"", 0)
+    b.configure(
+        [Partner("a", Relation.PEER)], [OfferConfig("x", terms(None, [], ["look"], left_ms=600_000))], 0
+    )
+    a.add_peer("b", "b")
+    tell = b.on_query("a", a.query("b", 0), b"", 0)
     assert tell is not None
-    a.on_tell("b", tell, 0)
+    a.on_advertisement("b", tell, 0)
     for cls, what in (("pay", "no way"), ("look", "a way")):
         started_at = time.perf_counter()
         for _ in range(LOOKUPS):
-            a.ways(cls, 1)
+            a.best_routes(cls, 1)
         print(f"{what}: {(time.perf_counter() - started_at) / LOOKUPS * 1e6:.2f} us a request")
 
 
--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 from typing import Any
 
-from sorrelfront.decisions.fleet.view import Settings, bound_us
-from sorrelfront.lab.fleet.storms import play
+from sorrelfront.decisions.fleet.view import Settings, convergence_bound_us
+from sorrelfront.lab.fleet.storms import run_seed
 from sorrelfront.lab.fleet.virtual import SECOND, VirtualFleet
 
 LIFEGUARD = Settings()
@@ -41,12 +41,12 @@
     started_at = fleet.now
     died: dict[str, int] = {}
     lines_read = 0
-    while len(died) < size - 1 and fleet.now < started_at + 2 * bound_us(settings, size):
+    while len(died) < size - 1 and fleet.now < started_at + 2 * convergence_bound_us(settings, size):
         fleet.run(fleet.now + SECOND // 5)
-        for line in fleet.lines[lines_read:]:
+        for line in fleet.events[lines_read:]:
             if line.what == "died" and line.name == name:
-                died.setdefault(line.viewer, line.t)
-        lines_read = len(fleet.lines)
+                died.setdefault(line.viewer, line.at_us)
+        lines_read = len(fleet.events)
     times = [at - started_at for at in died.values()]
     return min(times) / SECOND, (max(times) if len(died) >= size - 1 else float("inf")) / SECOND
 
@@ -56,20 +56,20 @@
     fleet = VirtualFleet(size, seed, settings, settled=True)
     slow = [f"m{number:04}" for number in range(max(1, size // 100))]
     for name in slow:
-        fleet.nodes[name].slow = STARVED_SLOWDOWN
+        fleet.nodes[name].slowdown = STARVED_SLOWDOWN
     fleet.run(seconds * SECOND)
     found: dict[str, set[tuple[str, int]]] = {"suspected": set(), "died": set()}
-    for line in fleet.lines:
+    for line in fleet.events:
         if line.what in found and line.name not in slow:
-            found[line.what].add((line.name, line.t // (10 * SECOND)))
+            found[line.what].add((line.name, line.at_us // (10 * SECOND)))
     return len(found["suspected"]), len(found["died"])
 
 
 def idle_bytes_s(size: int, settings: Settings, seconds: int = 20) -> float:
     """Return the bytes per second that each member sends when nothing happens."""
-    fleet = VirtualFleet(size, 1, settings, settled=True, sizes=True)
+    fleet = VirtualFleet(size, 1, settings, settled=True, count_bytes=True)
     fleet.run(seconds * SECOND)
-    return sum(node.bytes for node in fleet.nodes.values()) / size / seconds
+    return sum(node.sent_bytes for node in fleet.nodes.values()) / size / seconds
 
 
 def row(task: tuple[int, str, int, int]) -> dict[str, Any]:
@@ -79,13 +79,18 @@
     times = [measure_crash(size, seed, settings) for seed in range(crashes)]
     suspected, died = false_positives(size, 1, settings, seconds)
     return {
-        "members": size, "with": name, "first_s": round(statistics.median(first for first, _ in times), 2),
+        "members": size,
+        "with": name,
+        "first_s": round(statistics.median(first for first, _ in times), 2),
         "all_s": round(statistics.median(last for _, last in times), 2),
-        "worst_all_s": round(max(last for _, last in times), 2), "crashes": crashes,
+        "worst_all_s": round(max(last for _, last in times), 2),
+        "crashes": crashes,
         "false_suspicions_h": round(suspected * 3_600 / seconds),
-        "false_deaths_h": round(died * 3_600 / seconds), "sick_s": seconds,
-        "bytes_s": round(idle_bytes_s(size, settings)), "bound_s": round(bound_us(settings, size) / 1e6, 1),
-    }  # fmt: skip
+        "false_deaths_h": round(died * 3_600 / seconds),
+        "sick_s": seconds,
+        "bytes_s": round(idle_bytes_s(size, settings)),
+        "bound_s": round(convergence_bound_us(settings, size) / 1e6, 1),
+    }
 
 
 def table(sizes: list[int], crashes: int, jobs: int, plot: Path | None) -> None:
@@ -138,7 +143,7 @@
     settled_s: list[float] = []
     broken = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for result in pool.map(play, range(first, first + count), chunksize=8):
+        for result in pool.map(run_seed, range(first, first + count), chunksize=8):
             settled_s.append(result.settled_us / 1e6)
             if result.why:
                 broken += 1
--- a/sorrelfront/agent.py
+++ b/sorrelfront/agent.py
@@ -12,11 +12,11 @@
 
 from sorrelfront.decisions import interface as api
 from sorrelfront.decisions.balancer import Balancer
-from sorrelfront.decisions.orders import Orders
+from sorrelfront.decisions.orders import Overrides
 from sorrelfront.events import Event, EventCounter
 from sorrelfront.lists import Directory
-from sorrelfront.messages import Address, Answer, Call, Ended, Failed, Final, Refused, Update
-from sorrelfront.net.budget import STREAM_MOST
+from sorrelfront.messages import Address, Answer, AttemptResult, Call, Failed, FinalAnswer, Refused, Update
+from sorrelfront.net.budget import MAX_STREAMED_BODY
 from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
@@ -25,10 +25,10 @@
 DEADLINE_MARGIN_US = 5_000
 # How long past the deadline the agent waits for a decision before it answers the request itself. This is less
 # than the slack that the rules allow.
-OVERDUE_US = 10_000
+ANSWER_GRACE_US = 10_000
 # Minimum rate of a streamed request body, in bytes per second; a front ends slower ones. It bounds the time
 # that a request takes to reach its server.
-UPLOAD_RATE_LEAST = 16_000
+MIN_UPLOAD_RATE = 16_000
 # Sent with a refusal when the maximum number of requests is in flight: about how long one request takes.
 FULL_RETRY_AFTER_US = 500_000
 MAX_NAMES_LOGGED = 8  # maximum number of servers named in one log line
@@ -66,8 +66,8 @@
         call: Call,
         address: Address,
         timeout_us: int,
-        fit: Callable[[], bool],
-        done: Callable[[Ended], None],
+        may_send: Callable[[], bool],
+        done: Callable[[AttemptResult], None],
     ) -> AttemptHandle | None:
         """Start an attempt like `attempt` does, if that needs no wait for a connection.
 
@@ -75,7 +75,9 @@
         Returns None if nothing was started.
         """
 
-    async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
+    async def attempt(
+        self, call: Call, address: Address, timeout_us: int, may_send: Callable[[], bool]
+    ) -> AttemptResult:
         """Send the request to the backend at this address and return how the attempt ended.
 
         `fit` returns whether the attempt may still be sent.
@@ -114,19 +116,21 @@
 SourceFactory = Callable[[Config, Callable[[Update], None], Callable[[], None]], Source]
 
 
-class Held:
+class PendingRequest:
     """A request in flight: taken, without its final answer yet."""
 
-    __slots__ = ("answer", "attempts", "call", "id", "outcome", "overdue", "told")
+    __slots__ = ("answer", "attempts", "call", "deadline_timer", "id", "on_answered", "outcome")
 
-    def __init__(self, number: int, call: Call, answer: asyncio.Future[Final]) -> None:
+    def __init__(self, number: int, call: Call, answer: asyncio.Future[FinalAnswer]) -> None:
         self.id = number
         self.call = call
         self.answer = answer
         self.attempts = 0
         self.outcome: api.Outcome | None = None  # of the last attempt that ended
-        self.overdue: asyncio.TimerHandle | None = None
-        self.told: Callable[[], None] | None = None  # called as soon as the answer is set, synchronously
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.on_answered: Callable[[], None] | None = (
+            None  # called as soon as the answer is set, synchronously
+        )
 
 
 class Tally:
@@ -138,7 +142,7 @@
         self.served = self.refused = self.failed = 0
 
 
-def close(answer: Final) -> None:
+def discard_answer(answer: FinalAnswer) -> None:
     """Discard an answer that will not be delivered, and close its stream."""
     if isinstance(answer, Answer) and answer.stream is not None:
         answer.stream.close()
@@ -169,15 +173,15 @@
         self.balancer = Balancer(config.settings, config.seed, self.now())
         self._classes = {cls.name: cls for cls in config.settings.classes}
         self._directory = Directory()
-        self._orders = Orders()
-        self.listed = False  # the membership source has delivered a list
+        self._orders = Overrides()
+        self.list_received = False  # the membership source has delivered a list
         self._subscribed_early = False  # subscribed before the decision module asked for it
         self._source = make_source(config, self._on_update, self._on_failure)
-        self._held: dict[int, Held] = {}
+        self._pending: dict[int, PendingRequest] = {}
         self._open_ids: set[bytes] = set()  # client ids of the requests in flight
         self._running: dict[tuple[int, int], AttemptHandle] = {}
         self._closed = False
-        self._count = 0
+        self._requests_taken = 0
         self.tallies = {name: Tally() for name in self._classes}
         self._events = EventCounter()
 
@@ -204,12 +208,12 @@
     def start(self) -> None:
         """Start the decision module with the cached list; subscribe at once if the source is local."""
         self._execute(self.balancer.start())
-        self._apply_with_orders(self._config.known, api.ListKind.CACHED)
-        if self.pushed:
+        self._apply_with_orders(self._config.cached_list, api.ListKind.CACHED)
+        if self.source_is_local:
             self._source.subscribe()
 
     @property
-    def pushed(self) -> bool:
+    def source_is_local(self) -> bool:
         """Whether the list comes from this machine, at no cost.
 
         The decision module requests the list only from a remote source. With a local source the cached list
@@ -217,7 +221,7 @@
         """
         return not self._config.settings.subscribe
 
-    def ask(self) -> None:
+    def subscribe_early(self) -> None:
         """Request the list now instead of at the random time that the decision module has chosen.
 
         Otherwise a process started beside another version would use its initial list for seconds and miss a
@@ -234,15 +238,15 @@
         self._classes = {cls.name: cls for cls in config.settings.classes}
         for name in self._classes:
             self.tallies.setdefault(name, Tally())
-        self._tell(self.balancer.on_settings, config.settings)
+        self._dispatch(self.balancer.on_settings, config.settings)
         self._upstream.reload(config)
         self._source.reload(config)
 
-    def place(self, number: int, agents: int) -> None:
+    def set_subset(self, number: int, agents: int) -> None:
         """Move the start of this agent's subset of servers to part `number` of the list's `agents` parts."""
         settings = replace(self._config.settings, number=number, agents=agents)
         self._config = replace(self._config, settings=settings)
-        self._tell(self.balancer.on_settings, settings)
+        self._dispatch(self.balancer.on_settings, settings)
 
     def close(self) -> None:
         """Fail all requests in flight, cancel all attempts and start nothing more."""
@@ -254,14 +258,14 @@
         self._upstream.close()
 
     @property
-    def owed(self) -> int:
+    def pending_requests(self) -> int:
         """Number of requests without a final answer yet."""
-        return len(self._held)
+        return len(self._pending)
 
     @property
-    def offered(self) -> int:
+    def requests_taken(self) -> int:
         """Number of requests received since the start, refused ones included."""
-        return self._count
+        return self._requests_taken
 
     @property
     def attempts(self) -> int:
@@ -283,28 +287,30 @@
 
     # Events
 
-    def take(self, call: Call) -> Held:
+    def submit(self, call: Call) -> PendingRequest:
         """Accept a request; the `answer` future of the returned object gets its final answer.
 
         The request is complete, except for the body if that is streamed.
         """
         now = self.now()
-        self._count += 1
-        held = Held(self._count, call, self._loop.create_future())
-        if len(self._held) >= self._config.most_held:
+        self._requests_taken += 1
+        held = PendingRequest(self._requests_taken, call, self._loop.create_future())
+        if len(self._pending) >= self._config.max_pending:
             self.tallies[call.class_name].refused += 1
             self._events.add(Event.REFUSED, api.EndReason.UNSENT, _log_id(call))
             held.answer.set_result(Refused(FULL_RETRY_AFTER_US))
             return held
-        self._held[held.id] = held
+        self._pending[held.id] = held
         self._open_ids.add(call.client_id)
         left_us = call.budget_us - DEADLINE_MARGIN_US
         if call.upload is not None:
             # Its deadline counts from its last byte (`whole`); until then, from the latest time at which that
             # byte has to arrive.
-            longest = STREAM_MOST if call.upload.length is None else call.upload.length
-            left_us += longest * 1_000_000 // UPLOAD_RATE_LEAST
-        held.overdue = self._loop.call_later((left_us + OVERDUE_US) / 1e6, self._overdue, held)
+            longest = MAX_STREAMED_BODY if call.upload.length is None else call.upload.length
+            left_us += longest * 1_000_000 // MIN_UPLOAD_RATE
+        held.deadline_timer = self._loop.call_later(
+            (left_us + ANSWER_GRACE_US) / 1e6, self._on_deadline_passed, held
+        )
         event = api.Request(
             held.id,
             call.class_name,
@@ -315,39 +321,43 @@
             call.is_retry,
             call.upload is not None,
         )
-        self._tell(self.balancer.on_request, event, held)
+        self._dispatch(self.balancer.on_request, event, held)
         return held
 
-    def whole(self, held: Held) -> None:
+    def body_received(self, held: PendingRequest) -> None:
         """Record that the last byte of a streamed body has arrived; its deadline counts from now."""
-        if held.id in self._held and held.overdue is not None:
-            held.overdue.cancel()
-            left_us = held.call.budget_us - DEADLINE_MARGIN_US + OVERDUE_US
-            held.overdue = self._loop.call_later(left_us / 1e6, self._overdue, held)
-            self._tell(self.balancer.on_whole, api.Whole(held.id, self.now() + left_us - OVERDUE_US), held)
+        if held.id in self._pending and held.deadline_timer is not None:
+            held.deadline_timer.cancel()
+            left_us = held.call.budget_us - DEADLINE_MARGIN_US + ANSWER_GRACE_US
+            held.deadline_timer = self._loop.call_later(left_us / 1e6, self._on_deadline_passed, held)
+            self._dispatch(
+                self.balancer.on_body_received,
+                api.BodyReceived(held.id, self.now() + left_us - ANSWER_GRACE_US),
+                held,
+            )
 
-    def abandon(self, held: Held) -> None:
+    def abandon(self, held: PendingRequest) -> None:
         """Drop a request whose client has disconnected."""
-        if self._end(held):
-            self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
+        if self._remove_pending(held):
+            self._dispatch(self.balancer.on_client_gone, api.ClientGone(held.id))
 
-    def _overdue(self, held: Held) -> None:
+    def _on_deadline_passed(self, held: PendingRequest) -> None:
         # A request that was taken is answered even if deciding on it went wrong. After this process was
         # suspended, this timer may also run before the timeout of an attempt that expired earlier.
-        late_s = 0.0 if held.overdue is None else self._loop.time() - held.overdue.when()
+        late_s = 0.0 if held.deadline_timer is None else self._loop.time() - held.deadline_timer.when()
         log.error("no answer to request %d by its deadline, timer %.3f s late", held.id, late_s,
                   extra=_log_fields(held.call))  # fmt: skip
         self._finish(held, Failed())
-        self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
+        self._dispatch(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     def _on_update(self, update: Update) -> None:
-        self.listed = True
+        self.list_received = True
         self._apply_with_orders(update, api.ListKind.FULL if update.complete else api.ListKind.DELTA)
 
     def _apply_with_orders(self, update: Update, kind: api.ListKind) -> None:
         """Apply a list from the source with the operators' orders laid over it."""
         self._apply_update(
-            update._replace(backends=self._orders.heard(update.backends, update.complete)), kind
+            update._replace(backends=self._orders.apply_list(update.backends, update.complete)), kind
         )
 
     def _apply_update(self, update: Update, kind: api.ListKind) -> None:
@@ -358,13 +368,13 @@
                      len(withdrawn), names)  # fmt: skip
         for address in withdrawn.values():
             self._upstream.forget(address)
-        self._tell(self.balancer.on_list, api.BackendList(kind, update.backends))
+        self._dispatch(self.balancer.on_list, api.BackendList(kind, update.backends))
 
     # Operators
 
-    def put_out(self, servers: Iterable[str]) -> None:
+    def set_disabled(self, servers: Iterable[str]) -> None:
         """Replace the set of servers that operators have disabled; no new attempts go to these."""
-        changed = self._orders.ordered(servers)
+        changed = self._orders.disable_only(servers)
         if changed:
             self._apply_update(Update(0, False, changed, {}), api.ListKind.DELTA)
 
@@ -375,23 +385,25 @@
     @property
     def targets(self) -> int:
         """Number of servers in the list."""
-        return self._orders.listed
+        return self._orders.listed_count
 
     @property
-    def avoided(self) -> int:
+    def targets_excluded(self) -> int:
         """Number of listed servers that get no attempts now.
 
         They are disabled by operators or closed by the decision module.
         """
         now = self.now()
-        return len(self._orders.listed_out()) + sum(not item.open(now) for item in self.balancer.ready)
+        return len(self._orders.listed_disabled()) + sum(
+            not item.accepts_attempts(now) for item in self.balancer.ready
+        )
 
     def _on_failure(self) -> None:
         self._subscribed_early = False
-        self._tell(self.balancer.on_list, api.BackendList(api.ListKind.FAILED))
+        self._dispatch(self.balancer.on_list, api.BackendList(api.ListKind.FAILED))
 
-    def _tell(
-        self, handler: Callable[[E, int], list[api.Action]], event: E, held: Held | None = None
+    def _dispatch(
+        self, handler: Callable[[E, int], list[api.Action]], event: E, held: PendingRequest | None = None
     ) -> None:
         """Pass an event to the decision module and execute the actions that it returns."""
         try:
@@ -400,7 +412,7 @@
             log_fields = _log_fields(held.call) if held is not None else None
             log.exception("the decision on %s raised an exception", type(event).__name__, extra=log_fields)
             if held is not None and self._finish(held, Failed()):
-                self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
+                self._dispatch(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     # Actions
 
@@ -424,33 +436,35 @@
                     if task is not None:
                         task.cancel()
                 case api.SetTimer(delay_us, tag):
-                    self._loop.call_later(delay_us / 1e6, self._tell, self.balancer.on_timer, api.Timer(tag))
+                    self._loop.call_later(
+                        delay_us / 1e6, self._dispatch, self.balancer.on_timer, api.Timer(tag)
+                    )
                 case api.Subscribe():
                     if not self._subscribed_early:
                         self._source.subscribe()
                     self._subscribed_early = False
 
     def _count_end(self, event: Event, reason: api.EndReason, request_id: int) -> None:
-        held = self._held.get(request_id)
+        held = self._pending.get(request_id)
         if held is not None:
             self._events.add(event, reason, _log_id(held.call))
 
-    def _answer(self, request_id: int, answer: Final) -> None:
-        held = self._held.get(request_id)
+    def _answer(self, request_id: int, answer: FinalAnswer) -> None:
+        held = self._pending.get(request_id)
         if held is not None:
             self._finish(held, answer)
 
-    def _end(self, held: Held) -> bool:
+    def _remove_pending(self, held: PendingRequest) -> bool:
         """Remove a request from those in flight. Returns False if it was not in flight."""
-        if self._held.pop(held.id, None) is None:
+        if self._pending.pop(held.id, None) is None:
             return False
         self._open_ids.discard(held.call.client_id)
-        if held.overdue is not None:
-            held.overdue.cancel()
+        if held.deadline_timer is not None:
+            held.deadline_timer.cancel()
         return True
 
-    def _finish(self, held: Held, answer: Final) -> bool:
-        if not self._end(held):
+    def _finish(self, held: PendingRequest, answer: FinalAnswer) -> bool:
+        if not self._remove_pending(held):
             return False
         tally = self.tallies[held.call.class_name]
         if isinstance(answer, Refused):
@@ -460,27 +474,27 @@
         else:
             tally.served += 1
         if held.answer.done():
-            close(answer)
+            discard_answer(answer)
         else:
             held.answer.set_result(answer)
             # Cleared, since a reference cycle of request and connection would wait for the garbage collector.
-            told, held.told = held.told, None
+            told, held.on_answered = held.on_answered, None
             if told is not None:
                 told()
         return True
 
     def fail_all(self) -> None:
         """Answer every request in flight as failed, because there is no time left."""
-        for held in [*self._held.values()]:
+        for held in [*self._pending.values()]:
             self.fail(held)
 
-    def fail(self, held: Held) -> None:
+    def fail(self, held: PendingRequest) -> None:
         """Answer this request as failed, if it is in flight, and have its attempts cancelled."""
         if self._finish(held, Failed()):
-            self._tell(self.balancer.on_client_gone, api.ClientGone(held.id))
+            self._dispatch(self.balancer.on_client_gone, api.ClientGone(held.id))
 
     def _send(self, action: api.Send) -> None:
-        held = self._held.get(action.request_id)
+        held = self._pending.get(action.request_id)
         if held is None:
             log.error("an attempt was decided on for request %d, which is not in flight", action.request_id)
             return
@@ -502,27 +516,29 @@
         task = self._running[key] = asyncio.create_task(self._exchange(held, key, action, started))
         task.add_done_callback(lambda done: self._on_task_done(held, key, backend, done, started))
 
-    def _may_send(self, held: Held, action: api.Send) -> bool:
+    def _may_send(self, held: PendingRequest, action: api.Send) -> bool:
         """Return whether an attempt may still be sent; checked before each of its steps.
 
         By the time its connection is established, its client may have disconnected, its server may drain, or
         the deduplication window of an earlier attempt may have passed.
         """
-        if held.id not in self._held or self.now() >= action.begin_before_us:
+        if held.id not in self._pending or self.now() >= action.begin_before_us:
             return False
         # On a shared CPU core one iteration of the event loop can take long, and until it ends the client's
         # disconnect is known only to the kernel.
-        if held.call.left is not None and held.call.left():
+        if held.call.client_gone is not None and held.call.client_gone():
             return False
         return self._directory.is_ready(action.backend)
 
-    def _on_attempt_done(self, held: Held, key: tuple[int, int], started: int, ended: Ended) -> None:
+    def _on_attempt_done(
+        self, held: PendingRequest, key: tuple[int, int], started: int, ended: AttemptResult
+    ) -> None:
         """Handle the end of an attempt that `Upstream.begin` has started."""
         del self._running[key]
-        self._ended(held, key, ended, self._elapsed_us(held, started))
+        self._on_attempt_ended(held, key, ended, self._elapsed_us(held, started))
 
     def _on_task_done(
-        self, held: Held, key: tuple[int, int], backend: str, task: asyncio.Task[None], started: int
+        self, held: PendingRequest, key: tuple[int, int], backend: str, task: asyncio.Task[None], started: int
     ) -> None:
         """Report the end of an attempt whose task was cancelled or has raised.
 
@@ -532,14 +548,14 @@
         """
         if self._running.pop(key, None) is None:
             return
-        ended = Ended(api.Outcome.CANCELLED)
+        ended = AttemptResult(api.Outcome.CANCELLED)
         if not task.cancelled():
             log_fields = {**_log_fields(held.call), "server": backend}
             log.error("an attempt raised an exception", exc_info=task.exception(), extra=log_fields)
-            ended = Ended(api.Outcome.UNKNOWN)
-        self._ended(held, key, ended, self._elapsed_us(held, started))
+            ended = AttemptResult(api.Outcome.UNKNOWN)
+        self._on_attempt_ended(held, key, ended, self._elapsed_us(held, started))
 
-    def _elapsed_us(self, held: Held, started: int) -> int:
+    def _elapsed_us(self, held: PendingRequest, started: int) -> int:
         """Return how long the server had for the attempt, in microseconds.
 
         The time of a streamed body is left out, since a slow client would make its server look slow.
@@ -547,11 +563,13 @@
         upload, now = held.call.upload, self.now()
         if upload is None:
             return now - started
-        if upload.whole_at is None:
+        if upload.completed_at is None:
             return 0
-        return min(now - started, int((time.monotonic() - upload.whole_at) * 1e6))
+        return min(now - started, int((time.monotonic() - upload.completed_at) * 1e6))
 
-    async def _exchange(self, held: Held, key: tuple[int, int], action: api.Send, started: int) -> None:
+    async def _exchange(
+        self, held: PendingRequest, key: tuple[int, int], action: api.Send, started: int
+    ) -> None:
         """Run one attempt and report its outcome.
 
         Both happen in one step, because a callback would cost an iteration of the event loop.
@@ -560,27 +578,29 @@
         address = self._directory.address(backend)
         # The server may have left the list between the decision and this step. UNSENT would mean that this
         # process has no room, and the request would be refused although other servers could serve it.
-        ended = Ended(api.Outcome.UNREACHABLE)
+        ended = AttemptResult(api.Outcome.UNREACHABLE)
         if address is not None:
             ended = await self._upstream.attempt(
                 held.call, address, action.timeout_us, partial(self._may_send, held, action)
             )
         del self._running[key]
-        self._ended(held, key, ended, self._elapsed_us(held, started))
+        self._on_attempt_ended(held, key, ended, self._elapsed_us(held, started))
 
-    def _ended(self, held: Held, key: tuple[int, int], ended: Ended, elapsed_us: int) -> None:
+    def _on_attempt_ended(
+        self, held: PendingRequest, key: tuple[int, int], ended: AttemptResult, elapsed_us: int
+    ) -> None:
         if ended.answer is not None and not self._finish(held, ended.answer):
-            close(ended.answer)
-        finished = held.id not in self._held
+            discard_answer(ended.answer)
+        finished = held.id not in self._pending
         # The time until the answer's first byte. Counted to its last byte, a server that writes its answer
         # slowly would look like one with a queue, and requests that it could serve in time would be refused.
-        waited_us = max(0, elapsed_us - ended.tail_us)
+        waited_us = max(0, elapsed_us - ended.answer_duration_us)
         outcome = held.outcome = ended.outcome
         if outcome is not api.Outcome.OK:
             self._events.add(Event.ATTEMPT, outcome, _log_id(held.call))
-        if outcome is api.Outcome.UNREACHABLE and held.id not in self._held:
+        if outcome is api.Outcome.UNREACHABLE and held.id not in self._pending:
             # Nothing may have been sent only because the client had disconnected, and the server must not be
             # closed as unreachable for that. If it is in fact unreachable, the next attempt shows it.
             outcome = api.Outcome.UNSENT
         event = api.AttemptEnded(*key, outcome, waited_us, finished)
-        self._tell(self.balancer.on_attempt_ended, event, held)
+        self._dispatch(self.balancer.on_attempt_ended, event, held)
--- a/sorrelfront/cli/main.py
+++ b/sorrelfront/cli/main.py
@@ -43,7 +43,9 @@
 @FILE
 @click.option("--replace", is_flag=True, help="Replace FILE's running daemon, without interruption.")
 @click.option(
-    "--last-good", type=click.Path(path_type=Path), metavar="DIR",
+    "--last-good",
+    type=click.Path(path_type=Path),
+    metavar="DIR",
     help="If FILE is faulty, start with the last good file, as saved in the state folder DIR.",
 )
 def serve(file: Path, replace: bool, last_good: Path | None) -> None:
@@ -90,14 +92,14 @@
 def _request(document: Document, message: dict[str, Any]) -> dict[str, Any]:
     try:
         return asyncio.run(control.ask(document.control, message))
-    except control.NobodyThere:
+    except control.DaemonNotRunning:
         text = f"no daemon runs by this file: {document.path} (nobody answers at {document.control})"
         sockets = len([*document.run_folder.glob("*-*.sock")])
         if sockets:
             text += f"\nup to {sockets} instances may serve without one; `sorrelfront serve` adopts them"
         raise click.ClickException(text) from None
-    except control.Unavailable as fault:
-        raise click.ClickException(f"the daemon does not answer: {fault.told()}") from None
+    except control.DaemonUnavailable as fault:
+        raise click.ClickException(f"the daemon does not answer: {fault.message_with_remedy()}") from None
 
 
 def _print_result(answer: dict[str, Any], as_json: bool, success: str) -> None:
@@ -258,7 +260,10 @@
 @click.option("--instances", type=click.IntRange(1, 16), default=2, show_default=True)
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @click.option(
-    "--membership", type=click.Choice(["registry", "zookeeper"]), default="registry", show_default=True,
+    "--membership",
+    type=click.Choice(["registry", "zookeeper"]),
+    default="registry",
+    show_default=True,
     help="Source of the list of servers; with zookeeper, faults are injected into that service too.",
 )
 @JSON
@@ -267,10 +272,10 @@
     from sorrelfront.lab import demo as demo_run
 
     try:
-        figures = demo_run.play(seconds, instances, seed, as_json, membership)
+        figures = demo_run.run_demo(seconds, instances, seed, as_json, membership)
     except demo_run.CannotRun as fault:
         raise click.ClickException(str(fault)) from None
-    broken = demo_run.broken(figures)
+    broken = demo_run.broken_rules(figures)
     if as_json:
         click.echo(json.dumps(figures))
     else:
--- a/sorrelfront/cli/policy.py
+++ b/sorrelfront/cli/policy.py
@@ -39,7 +39,7 @@
         raise click.ClickException("\n".join(bad.lines())) from None
 
 
-class Unreached(SorrelfrontError):
+class DaemonUnreachable(SorrelfrontError):
     """No daemon, or none of its instances, answers."""
 
     remedy = "Call it at another member of the fleet, or start the daemon of this FILE."
@@ -49,18 +49,18 @@
     """Send a policy command to the daemon; raises Unreached without a valid answer."""
     try:
         answer = asyncio.run(control.ask(daemon.control, {"op": "policy", **command}))
-    except control.Unavailable as fault:
-        raise Unreached(f"the daemon does not answer: {fault}") from None
+    except control.DaemonUnavailable as fault:
+        raise DaemonUnreachable(f"the daemon does not answer: {fault}") from None
     if not answer.get("ok"):
-        raise Unreached("\n".join(map(str, answer.get("faults", ["the answer is not known here"]))))
+        raise DaemonUnreachable("\n".join(map(str, answer.get("faults", ["the answer is not known here"]))))
     return answer
 
 
 def _query(document: Document, history: bool = False) -> dict[str, Any]:
     try:
         return _ask(document, what="look", history=history)
-    except Unreached as fault:
-        raise click.ClickException(fault.told()) from None
+    except DaemonUnreachable as fault:
+        raise click.ClickException(fault.message_with_remedy()) from None
 
 
 def _latest(answer: dict[str, Any]) -> dict[str, Any] | None:
@@ -165,7 +165,7 @@
     try:
         found = _policy_in_force(_ask(document, what="look", history=True))
         base = "the policy in force" if found is not None else "the file"
-    except Unreached:
+    except DaemonUnreachable:
         found, base = None, "the file (no daemon answers)"
     old = found[0] if found is not None else policies.from_document(document)
     lines = policies.differences(old, made)
@@ -209,7 +209,7 @@
             as_json, str(latest["change"]), "in force", int(latest["slot"]), "it is the policy there is", {}
         )
     name = change or f"{made.digest}-{latest['slot'] + 1}"
-    encoded = policies.seal(made, getpass.getuser(), time.time(), str(policy))
+    encoded = policies.encode_envelope(made, getpass.getuser(), time.time(), str(policy))
     _propose_and_wait(document, name, encoded.decode(), False, int(latest["slot"]), wait, as_json)
 
 
@@ -246,7 +246,7 @@
                 )
             time.sleep(POLL_S)
             answer = _ask(document, what="outcome", instance=proposer)
-    except Unreached as fault:
+    except DaemonUnreachable as fault:
         # The proposer may have died; what it had proposed may still be chosen.
         _report_and_exit(
             as_json, change, "under way", 0, f"{fault}; run it again, or `policy FILE status`", {}
@@ -329,12 +329,12 @@
     """Make the voters those of a new fleet. Once, when all of them run."""
     command: dict[str, Any] = {"what": "found"}
     if force is not None:
-        encoded = policies.seal(_read(force), getpass.getuser(), time.time(), str(force))
+        encoded = policies.encode_envelope(_read(force), getpass.getuser(), time.time(), str(force))
         command |= {"document": encoded.decode(), "change": f"forced-{secrets.token_hex(4)}"}
     try:
         answer = _ask(document, **command)
-    except Unreached as fault:
-        raise click.ClickException(fault.told()) from None
+    except DaemonUnreachable as fault:
+        raise click.ClickException(fault.message_with_remedy()) from None
     initialized = sorted(item["voter"] for item in answer["shown"] if item["slot"] >= 0)
     ok = not answer["fault"] and len(initialized) > len(answer["voters"]) // 2
     if as_json:
--- a/sorrelfront/cli/storm.py
+++ b/sorrelfront/cli/storm.py
@@ -61,10 +61,10 @@
     print_line = (lambda _: None) if as_json else (lambda line: click.echo(line, err=True))
     try:
         verdict = run.play(scenario, seed, keep, print_line)
-    except stage.CannotPlay as fault:
-        click.echo(f"void: {fault.told()}", err=True)
+    except stage.StormSetupError as fault:
+        click.echo(f"void: {fault.message_with_remedy()}", err=True)
         raise SystemExit(run.VOID) from None
-    except run.Ended as fault:
+    except run.Interrupted as fault:
         click.echo(f"ended by {fault}; nothing is left running", err=True)
         raise SystemExit(1) from None
     if as_json:
@@ -72,7 +72,7 @@
     else:
         _print_verdict(verdict)
         if verdict["result"] != "held":
-            click.echo(f"again: {run.again(scenario.path, seed)}")
+            click.echo(f"again: {run.rerun_command(scenario.path, seed)}")
     raise SystemExit({"held": run.HELD, "broken": run.BROKEN, "void": run.VOID}[verdict["result"]])
 
 
@@ -98,7 +98,7 @@
     """List the storms that come with the program."""
     from sorrelfront.lab.storm import run, scenario
 
-    for path in run.listed():
+    for path in run.list_scenarios():
         loaded = scenario.read(path)
         click.echo(f"{path.stem:>22}  {loaded.storm['about']}")
 
@@ -127,7 +127,7 @@
                 rules = [name for name, row in verdict["rules"].items() if row["breaches"]]
                 reason = "; ".join(verdict["void"]) or ", ".join(rules)
                 click.echo(f"seed {verdict['seed']}: {verdict['result']}: {reason}")
-                click.echo(f"  again: {run.again(scenario.path, verdict['seed'])}")
+                click.echo(f"  again: {run.rerun_command(scenario.path, verdict['seed'])}")
     if as_json:
         click.echo(json.dumps({**counts, "failed": failed}))
     else:
@@ -143,7 +143,7 @@
     from sorrelfront.lab.storm import run
 
     try:
-        scenario, seed = run.replayed(folder)
+        scenario, seed = run.load_kept(folder)
     except (OSError, ValueError, BadDocument) as fault:
         raise click.ClickException(str(fault)) from None
     _run_scenario(scenario, seed, None, as_json)
--- a/sorrelfront/daemon/adopting.py
+++ b/sorrelfront/daemon/adopting.py
@@ -27,7 +27,15 @@
 from sorrelfront.daemon.fleet import Fleet, adopted_run, now_us
 from sorrelfront.daemon.journal import Journal, RunFolder
 from sorrelfront.daemon.processes import boot_id, open_process, send_signal, start_ticks
-from sorrelfront.decisions.adoption import Adopt, Drain, FoundProcess, Kill, Leave, Life, decide_each
+from sorrelfront.decisions.adoption import (
+    Adopt,
+    Drain,
+    FoundProcess,
+    Kill,
+    Leave,
+    LifecycleState,
+    decide_each,
+)
 
 log = logging.getLogger("sorrelfront.daemon")
 
@@ -148,7 +156,7 @@
     if reported != ("hello", found.name, found.pid, candidate.ticks) or len(descriptors) > MAX_SOCKETS:
         return
     try:
-        life = Life(message.get("life"))
+        life = LifecycleState(message.get("life"))
     except ValueError:
         return
     run, generation, protocol = message.get("run"), message.get("generation"), message.get("protocol")
@@ -186,14 +194,14 @@
     counts = AdoptionCounts()
     by_pid = {item.found.pid: item for item in candidates}
     decisions = decide_each(
-        [item.found for item in candidates], fleet.document.names, fleet.terms.digest, taken
+        [item.found for item in candidates], fleet.document.instance_names, fleet.config.digest, taken
     )
     fleet.generation = max([fleet.generation, *(item.found.generation for item in candidates)])
     for candidate in candidates:
         # An instance that is leaving still holds the address, so it could not be bound again.
         if candidate.found.orphan:
             for sock in candidate.sockets:
-                fleet.take_socket(sock)
+                fleet.add_socket(sock)
             candidate.sockets.clear()
     adopted = [item for item in decisions if isinstance(item, Adopt)]
     if adopted and all(item.reconfigure for item in adopted):
@@ -207,7 +215,7 @@
                         counts.adopted += 1
                         if reconfigure:
                             counts.reconfigured += 1
-                            fleet.retake(found.name, fleet.runs[found.name])
+                            fleet.resend_config(found.name, fleet.runs[found.name])
                         else:  # its supervisor may have ended between a reload and the commit
                             send(fleet.runs[found.name].channel, {"op": "commit"})
                 case Drain(_, why):
@@ -222,7 +230,11 @@
                 case Leave(_, why):
                     counts.left += 1
                     log.info("%s (%d) is left alone: %s", found.name, found.pid, why)
-                    if found.life is Life.LEAVING and found.orphan and candidate.channel is not None:
+                    if (
+                        found.life is LifecycleState.LEAVING
+                        and found.orphan
+                        and candidate.channel is not None
+                    ):
                         send(candidate.channel, {"op": "others"})
     finally:
         for candidate in candidates:
@@ -244,7 +256,7 @@
             fault = got[0].get("fault")
             if fault is None and got[0].get("op") != "adopted":
                 fault = "its answer is not known here"
-    generation = fleet.generation if found.digest == fleet.terms.digest else found.generation
+    generation = fleet.generation if found.digest == fleet.config.digest else found.generation
     run = None
     if fault is None:
         run = adopted_run(found.pid, candidate.ticks, channel, found.run, generation)
@@ -255,7 +267,7 @@
         log.warning("%s (%d) is not adopted: %s", name, found.pid, fault)
         return False
     candidate.channel = None  # now owned by the run
-    fleet.adopt(name, run, found.life is Life.READY)
+    fleet.adopt(name, run, found.life is LifecycleState.READY)
     return True
 
 
@@ -265,7 +277,7 @@
     if found.life is not None and candidate.channel is not None:
         surplus = f"{found.name}@{found.pid}"
         if await _adopt(fleet, candidate, surplus):
-            fleet.do(fleet.decide.on_drain(surplus, now_us(), fleet.stop_within_us))
+            fleet.execute(fleet.supervisor.on_drain(surplus, now_us(), fleet.stop_timeout_us))
             return
     if candidate.pidfd is not None:
         send_signal(candidate.pidfd, signal.SIGTERM)
--- a/sorrelfront/daemon/border.py
+++ b/sorrelfront/daemon/border.py
@@ -15,28 +15,35 @@
 import msgspec
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.configuration import MEMBERS
+from sorrelfront.daemon.configuration import ALL_PARTNERS
 from sorrelfront.daemon.gate import GatedAgent
 from sorrelfront.decisions.sites.offers import OfferId, Relation
-from sorrelfront.decisions.sites.passage import Passage
-from sorrelfront.decisions.sites.routes import IDS_MOST, Border, Lent, Newest, Partner, Settings
+from sorrelfront.decisions.sites.passage import Admission
+from sorrelfront.decisions.sites.routes import (
+    MAX_OFFER_IDS,
+    Border,
+    OfferConfig,
+    OfferState,
+    Partner,
+    Settings,
+)
 from sorrelfront.decisions.sites.terms import terms
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.lists import parse_address
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import BadConfig
 from sorrelfront.sites.carrier import PartnerTransport, now_us
-from sorrelfront.sites.keys import BadSiteKey, Keys, private
+from sorrelfront.sites.keys import BadSiteKey, Keys, load_private_key
 from sorrelfront.sites.requests import Forwarder, ForwardingAgent, Gateway
 from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 if TYPE_CHECKING:
-    from sorrelfront.fleet.copier import Copier
+    from sorrelfront.fleet.copier import Replicator
 
 log = logging.getLogger("sorrelfront.sites")
 
-_newest_decoder = msgspec.msgpack.Decoder(Newest)
+_newest_decoder = msgspec.msgpack.Decoder(OfferState)
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -58,7 +65,7 @@
     """
     if path is None:
         return 1
-    payload = records.trusted(path, records.Kind.SITE)
+    payload = records.read_or_set_aside(path, records.RecordKind.SITE)
     previous = 0
     if payload is not None:
         try:
@@ -72,12 +79,12 @@
 def store_epoch(path: Path, epoch: int) -> None:
     """Write the epoch to disk; a failure is logged only, as partners report a lost epoch."""
     try:
-        records.write(path, records.seal(records.Kind.SITE, msgspec.msgpack.encode(epoch)))
+        records.write(path, records.encode_record(records.RecordKind.SITE, msgspec.msgpack.encode(epoch)))
     except OSError as error:
         log.warning("%s: %s; the epoch will be recovered from partners", path, error)
 
 
-class Frontier:
+class SiteGateway:
     """This instance's gateway to partner sites: routes, advertisements and requests."""
 
     def __init__(self, table: dict[str, Any]) -> None:
@@ -87,9 +94,9 @@
             BadConfig: The site's key or a partner's key cannot be used.
         """
         try:
-            self._keys = Keys(private(Path(table["key_file"])), _keys(table))
+            self._keys = Keys(load_private_key(Path(table["key_file"])), _keys(table))
         except BadSiteKey as error:
-            raise BadConfig(f"site.key_file: {error.told()}") from None
+            raise BadConfig(f"site.key_file: {error.message_with_remedy()}") from None
         self._table = table
         self._path = Path(table["record"]) if table["record"] else None
         birth_id = int.from_bytes(os.urandom(6), "big")
@@ -97,26 +104,28 @@
             table["name"], table["member"], table["gateway"], self._keys.sign, self._keys.verify,
             (reserve_epoch(self._path), birth_id), now_us(), _settings(table),
         )  # fmt: skip
-        self._stored_epoch = self.border.life[0]
-        self._admission = Passage(table["name"])
+        self._stored_epoch = self.border.incarnation[0]
+        self._admission = Admission(table["name"])
         self._transport = PartnerTransport(self.border, self._keys, self._on_change)
         self._forwarder: Forwarder | None = None
         self._agent: ForwardingAgent | None = None
         self._listener: Listener | None = None
         self._starting: asyncio.Task[None] | None = None
-        self._copier: Copier | None = None
+        self._copier: Replicator | None = None
         self._share_timer: asyncio.TimerHandle | None = None
         # (offer, its `until`) -> its end in monotonic time, as first computed
         self._end_times_us: dict[tuple[str, float], int] = {}
 
-    def agent(self, config: Config, upstream: Upstream, source: Any, governed: bool) -> ForwardingAgent:
+    def create_agent(
+        self, config: Config, upstream: Upstream, source: Any, governed: bool
+    ) -> ForwardingAgent:
         """Create the agent of this instance; `governed` if it is under the fleet's policy."""
         agent_class = GatedForwardingAgent if governed else ForwardingAgent
         self._agent = agent_class(config, upstream, source)
         self._forwarder = self._agent.forwarder = Forwarder(self.border, config, upstream)
         return self._agent
 
-    def open(self, config: Config, bodies: BodyBudget) -> None:
+    def start_listening(self, config: Config, bodies: BodyBudget) -> None:
         """Start to listen for advertisements and requests from partners.
 
         Raises:
@@ -159,10 +168,10 @@
             BadConfig: A key cannot be used; the previous table stays in effect.
         """
         try:
-            keys = Keys(private(Path(table["key_file"])), _keys(table))
+            keys = Keys(load_private_key(Path(table["key_file"])), _keys(table))
         except BadSiteKey as error:
-            raise BadConfig(f"site.key_file: {error.told()}") from None
-        self._keys.take(keys)
+            raise BadConfig(f"site.key_file: {error.message_with_remedy()}") from None
+        self._keys.replace_with(keys)
         self._table = table
         self._apply(table)
         if self._listener is not None:
@@ -171,7 +180,7 @@
     def _apply(self, table: dict[str, Any]) -> None:
         self.border.settings = _settings(table)
         lent = self._offers_of(table)
-        self._admission.keep({item.name: item for item in lent})
+        self._admission.retain({item.name: item for item in lent})
         gateways = {
             address: (name, requests_to)
             for name, partner in table["partners"].items()
@@ -181,7 +190,7 @@
         }
         self._transport.change(_partners(table), lent, gateways)
 
-    def _offers_of(self, table: dict[str, Any]) -> list[Lent]:
+    def _offers_of(self, table: dict[str, Any]) -> list[OfferConfig]:
         lent = []
         end_times_us: dict[tuple[str, float], int] = {}
         for name, offer in table["offers"].items():
@@ -198,20 +207,22 @@
                 _site_names(offer["to"]), _site_names(offer["onward"]), offer["classes"], offer["rate"],
                 int(offer["lifetime_ms"]),
             )  # fmt: skip
-            lent.append(Lent(name, offer_terms, offer["cost"], offer["capacity"], offer["group"], until_us))
+            lent.append(
+                OfferConfig(name, offer_terms, offer["cost"], offer["capacity"], offer["group"], until_us)
+            )
         self._end_times_us = end_times_us
         return lent
 
     def _on_change(self) -> None:
         if self._forwarder is not None:
             self._forwarder.on_routes_changed()
-        if self.border.life[0] != self._stored_epoch:
-            self._stored_epoch = self.border.life[0]
+        if self.border.incarnation[0] != self._stored_epoch:
+            self._stored_epoch = self.border.incarnation[0]
             if self._path is not None:
                 store_epoch(self._path, self._stored_epoch)
         self._schedule_share()
 
-    def share(self, copier: Copier) -> None:
+    def replicate_offers(self, copier: Replicator) -> None:
         """Replicate the newest state of each offer among the members of this site.
 
         Then a replayed old advertisement is rejected by all members, whichever of them saw the newer one.
@@ -223,8 +234,8 @@
     def _on_replicated(self, key: str) -> None:
         id = _offer_id(key)
         assert self._copier is not None
-        for book, value in self._copier.copies.values(key) if id is not None else ():
-            if book.owner == self._copier.copies.me and id in self.border.newest:
+        for book, value in self._copier.store.values(key) if id is not None else ():
+            if book.owner == self._copier.store.member_name and id in self.border.newest:
                 continue
             try:
                 mark = _newest_decoder.decode(value)
@@ -232,7 +243,7 @@
                 log.warning("a replicated state of an offer is not used: %s", error)
                 continue
             assert id is not None
-            self.border.on_mark(id, mark, now_us())
+            self.border.on_state(id, mark, now_us())
 
     def _schedule_share(self) -> None:
         """Schedule the replication of changed offer states.
@@ -241,18 +252,18 @@
         changes its offers ten times a second would cause as many writes and messages among this site's
         members.
         """
-        if self._share_timer is None and self.border.marks:
+        if self._share_timer is None and self.border.pending_states:
             self._share_timer = asyncio.get_running_loop().call_later(SHARE_INTERVAL_S, self._share_marks)
 
     def _share_marks(self) -> None:
         self._share_timer = None
-        marks = self.border.take_marks()
+        marks = self.border.take_states()
         if self._copier is None:
             return
         for id, mark in marks.items():
             self._copier.put(OFFER_PREFIX + KEY_SEPARATOR.join(id), _encode(mark))
-        own = self._copier.copies.mine
-        if own is not None and len(own.entries) > 2 * IDS_MOST:
+        own = self._copier.store.own_replica
+        if own is not None and len(own.entries) > 2 * MAX_OFFER_IDS:
             for key in [key for key in own.entries if key.startswith(OFFER_PREFIX)]:
                 if _offer_id(key) not in self.border.newest:
                     self._copier.put(key, None)
@@ -263,16 +274,16 @@
         status["requests"] = {
             "in": dict(self._admission.counts),
             "out": {} if self._forwarder is None else dict(self._forwarder.counts),
-            "inside": dict(self._admission.inside),
+            "inside": dict(self._admission.in_flight),
         }
         return status
 
-    async def close(self) -> None:
+    async def drain(self) -> None:
         """Accept no further requests, and finish those that partners have sent."""
         if self._listener is not None:
             await self._listener.close()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Stop the timers and the exchange of advertisements."""
         if self._starting is not None:
             self._starting.cancel()
@@ -310,4 +321,4 @@
 
 
 def _site_names(names: list[str]) -> list[str] | None:
-    return None if MEMBERS in names else names
+    return None if ALL_PARTNERS in names else names
--- a/sorrelfront/daemon/channel.py
+++ b/sorrelfront/daemon/channel.py
@@ -20,7 +20,7 @@
 from sorrelfront.errors import SorrelfrontError
 
 MAX_PACKET_BYTES = 64 * 1024  # bytes of a packet; longer messages are sent in a memory descriptor
-MESSAGE_MOST = 16 * 1024 * 1024  # bytes; 10,000 servers with their estimates take less than four million
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # bytes; 10,000 servers with their estimates take less than four million
 MAX_DESCRIPTORS = 40  # twice the listeners, during a reload, and a memory descriptor
 SEALS = fcntl.F_SEAL_SEAL | fcntl.F_SEAL_SHRINK | fcntl.F_SEAL_GROW | fcntl.F_SEAL_WRITE
 CREDENTIALS = struct.Struct("3i")  # pid, uid, gid: struct ucred
@@ -36,7 +36,7 @@
     remedy = "Start supervisor and instances from one version of the program, by `serve --replace`."
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
+def socket_pair() -> tuple[socket.socket, socket.socket]:
     """Return two connected non-blocking sockets."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     for end in (ours, theirs):
@@ -101,7 +101,7 @@
     the message is too long.
     """
     data = _encoder.encode(message)
-    if len(data) > MESSAGE_MOST:
+    if len(data) > MAX_MESSAGE_BYTES:
         raise ValueError(f"the message is too long: {len(data)} bytes")
     attached = list(descriptors or [])
     memory = -1
@@ -122,7 +122,7 @@
 
 def _read_sealed(descriptor: int, size: Any) -> bytes:
     """Read a memory descriptor. Raises BadMessage if its sender could still change it, OSError."""
-    if not isinstance(size, int) or not 0 < size <= MESSAGE_MOST:
+    if not isinstance(size, int) or not 0 < size <= MAX_MESSAGE_BYTES:
         raise BadMessage("a sealed message has no valid size")
     # A descriptor that is not memory, or not sealed, could be changed or truncated while it is read.
     if fcntl.fcntl(descriptor, fcntl.F_GET_SEALS) & SEALS != SEALS or os.fstat(descriptor).st_size != size:
--- a/sorrelfront/daemon/configuration.py
+++ b/sorrelfront/daemon/configuration.py
@@ -25,12 +25,12 @@
 from msgspec.structs import FieldInfo
 
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.lists import Malformed, parse_address
+from sorrelfront.lists import MalformedList, parse_address
 from sorrelfront.messages import Address
 
-FILE_MOST = 4 * 1024 * 1024  # bytes; a fixed list of 10,000 servers takes about one million
+MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes; a fixed list of 10,000 servers takes about one million
 MAX_SERVERS = 10_000  # in a fixed list
-INSTANCES_MOST = 256
+MAX_INSTANCES = 256
 MAX_LISTENERS = 16
 MAX_HOSTS = 16
 MAX_VOTERS = 7  # of a fleet; more would slow down each change without making the fleet safer
@@ -72,7 +72,7 @@
 def _check_address(value: str) -> str | None:
     try:
         parse_address(value)
-    except Malformed:
+    except MalformedList:
         return "is not an IPv4 address and a port, as in 127.0.0.1:8080"
     return None
 
@@ -114,7 +114,7 @@
     name: Annotated[str, Meta(min_length=1, max_length=64)] = "sorrelfront"
     control: Annotated[str, Meta(min_length=1)]
     seed: Annotated[int, Meta(ge=0, le=2**63 - 1)] = 1
-    instances: Annotated[int, Meta(ge=1, le=INSTANCES_MOST)] = 2
+    instances: Annotated[int, Meta(ge=1, le=MAX_INSTANCES)] = 2
     memory_mb: Annotated[int, Meta(ge=1, le=65_536)] = 64
     sockets: Annotated[int, Meta(ge=64, le=1_048_576)] = 512
     start_within_ms: Annotated[int, Meta(ge=100, le=600_000)] = 10_000
@@ -343,7 +343,7 @@
     group: Annotated[str, Meta(max_length=64)] = ""
 
 
-MEMBERS = "members"  # stands for all sites whose keys are known
+ALL_PARTNERS = "members"  # stands for all sites whose keys are known
 
 TOP_LEVEL_KEYS = (
     "daemon", "log", "listeners", "classes", "limits", "rules", "membership", "fleet", "site", "partners",
@@ -386,12 +386,12 @@
         return self.path.parent / state_dir if state_dir else None
 
     @property
-    def addresses(self) -> dict[str, Address]:
+    def listener_addresses(self) -> dict[str, Address]:
         """The address of each listener, by the listener's name."""
         return {name: parse_address(table["address"]) for name, table in self.listeners.items()}
 
     @property
-    def names(self) -> list[str]:
+    def instance_names(self) -> list[str]:
         """The names of the instances: i0, i1 and so on."""
         return [f"i{number}" for number in range(self.daemon["instances"])]
 
@@ -407,16 +407,16 @@
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
-    def fault(self, table: str, key: str, message: str) -> None:
+    def add_fault(self, table: str, key: str, message: str) -> None:
         """Record a fault. An empty `table` or `key` means that it concerns the whole file or table."""
         self.faults.append(Fault(table, key, message))
 
-    def unknown(self, table: str, key: str, known: Mapping[str, Any] | tuple[str, ...]) -> None:
+    def add_unknown_key(self, table: str, key: str, known: Mapping[str, Any] | tuple[str, ...]) -> None:
         """Record that `key` is unknown, and suggest the nearest of the `known` keys."""
         nearest = difflib.get_close_matches(key, list(known), n=1, cutoff=0.0)
-        self.fault(table, key, f"is not a key known here; the nearest is {nearest[0]!r}")
+        self.add_fault(table, key, f"is not a key known here; the nearest is {nearest[0]!r}")
 
-    def table(self, value: Any, name: str, model: type[Table]) -> dict[str, Any]:
+    def check_table(self, value: Any, name: str, model: type[Table]) -> dict[str, Any]:
         """Convert and check one table, and return its values.
 
         A value with a fault is replaced by the key's default, or None. Each key is converted separately,
@@ -424,11 +424,11 @@
         """
         keys = _key_fields(model)
         if not isinstance(value, dict):
-            self.fault(name, "", "is not a table")
+            self.add_fault(name, "", "is not a table")
             return {key: _default(spec) for key, spec in keys.items()}
         for key in value:
             if key not in keys:
-                self.unknown(name, key, keys)
+                self.add_unknown_key(name, key, keys)
         return {key: self.check_value(value, name, key, spec, model) for key, spec in keys.items()}
 
     def check_value(
@@ -437,30 +437,30 @@
         """Convert and check one key of a table, and return its value, or its default after a fault."""
         if key not in table:
             if spec.required:
-                self.fault(name, key, "is missing")
+                self.add_fault(name, key, "is missing")
             return _default(spec)
         value = table[key]
         try:
             converted = msgspec.convert(value, type=spec.type)
         except msgspec.ValidationError as fault:
-            self.fault(name, key, f"{_describe_error(str(fault), spec)}: {_short_repr(value)}")
+            self.add_fault(name, key, f"{_describe_error(str(fault), spec)}: {_short_repr(value)}")
             return _default(spec)
         if converted != converted:  # NaN passes msgspec's range checks
-            self.fault(name, key, f"must be at least {_minimum(spec):g}: {_short_repr(value)}")
+            self.add_fault(name, key, f"must be at least {_minimum(spec):g}: {_short_repr(value)}")
             return _default(spec)
         check = model.CHECKS.get(key)
         message = check(converted) if check is not None else None
         if message is not None:
-            self.fault(name, key, f"{message}: {_short_repr(value)}")
+            self.add_fault(name, key, f"{message}: {_short_repr(value)}")
             return _default(spec)
         return converted
 
-    def named(self, value: Any, name: str, model: type[Table]) -> dict[str, dict[str, Any]]:
+    def check_named_tables(self, value: Any, name: str, model: type[Table]) -> dict[str, dict[str, Any]]:
         """Convert and check a table of tables whose names operators choose."""
         if not isinstance(value, dict) or not value:
-            self.fault(name, "", "needs at least one table of its own, as in [" + name + ".NAME]")
+            self.add_fault(name, "", "needs at least one table of its own, as in [" + name + ".NAME]")
             return {}
-        return {item: self.table(value[item], f"{name}.{item}", model) for item in value}
+        return {item: self.check_table(value[item], f"{name}.{item}", model) for item in value}
 
 
 @cache
@@ -512,7 +512,7 @@
     """
     try:
         with path.open("rb") as file:
-            data = file.read(FILE_MOST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as fault:
         raise BadDocument(path, [Fault("", "", fault.strerror or str(fault))]) from None
     return parse(data, path)
@@ -524,8 +524,8 @@
     Raises:
         BadDocument: the bytes have faults. No bytes raise anything else.
     """
-    if len(data) > FILE_MOST:
-        raise BadDocument(path, [Fault("", "", f"is longer than {FILE_MOST} bytes")])
+    if len(data) > MAX_FILE_BYTES:
+        raise BadDocument(path, [Fault("", "", f"is longer than {MAX_FILE_BYTES} bytes")])
     try:
         top = tomllib.loads(data.decode())
     except UnicodeDecodeError as fault:
@@ -544,20 +544,22 @@
     checker = Checker()
     for key in top:
         if key not in TOP_LEVEL_KEYS:
-            checker.unknown("", key, TOP_LEVEL_KEYS)
+            checker.add_unknown_key("", key, TOP_LEVEL_KEYS)
     document = Document(
         path=path,
-        daemon=checker.table(top.get("daemon", {}), "daemon", Daemon),
-        log=checker.table(top.get("log", {}), "log", Log),
-        listeners=checker.named(top.get("listeners"), "listeners", Listener),
-        classes=checker.named(top.get("classes"), "classes", Class),
-        limits=checker.table(top.get("limits", {}), "limits", Limits),
-        rules=checker.table(top.get("rules", {}), "rules", Rules),
-        membership=checker.table(top.get("membership", {}), "membership", Membership),
-        fleet=checker.table(top["fleet"], "fleet", FleetTable) if "fleet" in top else None,
-        site=checker.table(top["site"], "site", SiteTable) if "site" in top else None,
-        partners=checker.named(top["partners"], "partners", PartnerTable) if "partners" in top else {},
-        offers=checker.named(top["offers"], "offers", OfferTable) if "offers" in top else {},
+        daemon=checker.check_table(top.get("daemon", {}), "daemon", Daemon),
+        log=checker.check_table(top.get("log", {}), "log", Log),
+        listeners=checker.check_named_tables(top.get("listeners"), "listeners", Listener),
+        classes=checker.check_named_tables(top.get("classes"), "classes", Class),
+        limits=checker.check_table(top.get("limits", {}), "limits", Limits),
+        rules=checker.check_table(top.get("rules", {}), "rules", Rules),
+        membership=checker.check_table(top.get("membership", {}), "membership", Membership),
+        fleet=checker.check_table(top["fleet"], "fleet", FleetTable) if "fleet" in top else None,
+        site=checker.check_table(top["site"], "site", SiteTable) if "site" in top else None,
+        partners=checker.check_named_tables(top["partners"], "partners", PartnerTable)
+        if "partners" in top
+        else {},
+        offers=checker.check_named_tables(top["offers"], "offers", OfferTable) if "offers" in top else {},
     )
     _check_document(document, checker)
     if checker.faults:
@@ -568,16 +570,16 @@
 def _check_document(document: Document, checker: Checker) -> None:
     """Check the rules between keys of the whole document."""
     if len(document.listeners) > MAX_LISTENERS:
-        checker.fault("listeners", "", f"has more than {MAX_LISTENERS} tables")
+        checker.add_fault("listeners", "", f"has more than {MAX_LISTENERS} tables")
     seen: dict[str, str] = {}
     for name, listener in document.listeners.items():
         other = seen.setdefault(listener["address"] or name, name)
         if other != name:
-            checker.fault(f"listeners.{name}", "address", f"is that of listeners.{other} too")
-    cross_classes(document.classes, checker)
+            checker.add_fault(f"listeners.{name}", "address", f"is that of listeners.{other} too")
+    check_class_tables(document.classes, checker)
     daemon = document.daemon
     if daemon["restart_first_ms"] > daemon["restart_longest_ms"]:
-        checker.fault("daemon", "restart_first_ms", "must not be above restart_longest_ms")
+        checker.add_fault("daemon", "restart_first_ms", "must not be above restart_longest_ms")
     _check_membership_table(document.membership, checker)
     if document.fleet is not None and document.fleet["listen"]:
         _check_fleet_table(document.fleet, document, checker)
@@ -589,10 +591,10 @@
     if site is None:
         for name in ("partners", "offers"):
             if getattr(document, name):
-                checker.fault(name, "", "goes with [site] only")
+                checker.add_fault(name, "", "goes with [site] only")
         return
     if document.fleet is None:
-        checker.fault("site", "", "needs [fleet]: the members of a site know of each other")
+        checker.add_fault("site", "", "needs [fleet]: the members of a site know of each other")
     count = document.daemon["instances"]
     taken = {item["address"]: f"listeners.{name}" for name, item in document.listeners.items()}
     for key in ("listen", "gateway"):
@@ -600,44 +602,48 @@
             continue
         host, port = parse_address(site[key])
         if port + count - 1 > 65_535:
-            checker.fault("site", key, f"has no {count} ports from {port} on, one for each instance")
+            checker.add_fault("site", key, f"has no {count} ports from {port} on, one for each instance")
         if not host.startswith("127."):
             # Messages between sites are signed, but requests are not encrypted: others could read them.
-            checker.fault("site", key, "is no loopback address: between machines, lead it through a tunnel")
+            checker.add_fault(
+                "site", key, "is no loopback address: between machines, lead it through a tunnel"
+            )
         for number in range(count):
             other = taken.setdefault(f"{host}:{port + number}", f"site.{key}")
             if other != f"site.{key}":
-                checker.fault("site", key, f"with the ports that follow is that of {other} too")
+                checker.add_fault("site", key, f"with the ports that follow is that of {other} too")
     _check_partner_tables(document, site, checker)
     _check_offer_tables(document, site, checker)
 
 
 def _check_partner_tables(document: Document, site: dict[str, Any], checker: Checker) -> None:
-    from sorrelfront.decisions.sites.offers import circle
+    from sorrelfront.decisions.sites.offers import provider_cycle
 
     partners = document.partners
     owners: dict[str, str] = {}
     for name, table in partners.items():
         where = f"partners.{name}"
         if _check_site_name(name) is not None:
-            checker.fault(where, "", f"{_check_site_name(name)}: {_short_repr(name)}")
+            checker.add_fault(where, "", f"{_check_site_name(name)}: {_short_repr(name)}")
         if name == site["name"]:
-            checker.fault(where, "", "is this site itself")
+            checker.add_fault(where, "", "is this site itself")
         if table["gateways"] and len(table["gateways"]) != len(table["at"]):
-            checker.fault(where, "gateways", "must have as many addresses as `at`, in the same order")
+            checker.add_fault(where, "gateways", "must have as many addresses as `at`, in the same order")
         for key in table["keys"] or ():
             other = owners.setdefault(key, name)
             if other != name:
-                checker.fault(where, "keys", f"has one of partners.{other}: they could speak as each other")
+                checker.add_fault(
+                    where, "keys", f"has one of partners.{other}: they could speak as each other"
+                )
     providers = {name: frozenset(table["providers"] or ()) for name, table in partners.items()}
     for name, table in partners.items():
         if table["relation"] == "customer" and site["name"]:
             providers[name] |= {site["name"]}
     own = frozenset(name for name, table in partners.items() if table["relation"] == "provider")
-    cycle = circle({**providers, site["name"]: own}) if site["name"] else []
+    cycle = provider_cycle({**providers, site["name"]: own}) if site["name"] else []
     if cycle:
         chain = " -> ".join((*cycle, cycle[0]))
-        checker.fault("partners", "relation", f"makes a circle in which each lends to the next: {chain}")
+        checker.add_fault("partners", "relation", f"makes a circle in which each lends to the next: {chain}")
 
 
 def _check_offer_tables(document: Document, site: dict[str, Any], checker: Checker) -> None:
@@ -645,29 +651,29 @@
         where = f"offers.{name}"
         for cls in table["classes"] or ():
             if cls not in document.classes:
-                checker.fault(where, "classes", f"has {_short_repr(cls)}, which is not in [classes]")
+                checker.add_fault(where, "classes", f"has {_short_repr(cls)}, which is not in [classes]")
         for key in ("to", "onward"):
             for other in table[key] or ():
-                if other != MEMBERS and other not in document.partners:
-                    checker.fault(where, key, f"has {_short_repr(other)}, which is not in [partners]")
+                if other != ALL_PARTNERS and other not in document.partners:
+                    checker.add_fault(where, key, f"has {_short_repr(other)}, which is not in [partners]")
         if table["lifetime_ms"] < MIN_LIFETIME_RENEWALS * site["renew_ms"]:
-            checker.fault(
+            checker.add_fault(
                 where, "lifetime_ms", f"must be at least {MIN_LIFETIME_RENEWALS} times [site] renew_ms"
             )
         if len(name) > 64:
-            checker.fault(where, "", "has a name of more than 64 characters")
+            checker.add_fault(where, "", "has a name of more than 64 characters")
 
 
-def cross_classes(classes: dict[str, dict[str, Any]], checker: Checker) -> None:
+def check_class_tables(classes: dict[str, dict[str, Any]], checker: Checker) -> None:
     """Check the rules between keys of each class."""
     for name, cls in classes.items():
         where = f"classes.{name}"
         if cls["repeat"] == "keyed" and not cls["window_ms"]:
-            checker.fault(where, "window_ms", "is missing: for how long do servers remember a key?")
+            checker.add_fault(where, "window_ms", "is missing: for how long do servers remember a key?")
         if cls["repeat"] in ("safe", "unsafe") and cls["window_ms"]:
-            checker.fault(where, "window_ms", "goes with repeat = 'keyed' only")
+            checker.add_fault(where, "window_ms", "goes with repeat = 'keyed' only")
         if cls["aim_ms"] and cls["deadline_ms"] and cls["aim_ms"] > cls["deadline_ms"]:
-            checker.fault(where, "aim_ms", "must not be above deadline_ms")
+            checker.add_fault(where, "aim_ms", "must not be above deadline_ms")
 
 
 def _check_fleet_table(fleet: dict[str, Any], document: Document, checker: Checker) -> None:
@@ -676,65 +682,67 @@
     for key in ("listen", "advertise"):
         port = parse_address(fleet[key])[1]
         if port + count - 1 > 65_535:
-            checker.fault("fleet", key, f"has no {count} ports from {port} on, one for each instance")
+            checker.add_fault("fleet", key, f"has no {count} ports from {port} on, one for each instance")
     _check_voters(fleet["voters"], document, checker)
     loopback = all(parse_address(fleet[key])[0].startswith("127.") for key in ("listen", "advertise"))
     if not fleet["key_file"] and not loopback:
         # Without a key, messages are not authenticated: anyone who reaches the port could forge them.
-        checker.fault("fleet", "key_file", "is missing: without one only loopback addresses will do")
+        checker.add_fault("fleet", "key_file", "is missing: without one only loopback addresses will do")
     if fleet["seats"] and document.membership["fleet"]:
-        checker.fault("fleet", "seats", "does not go with [membership] fleet, which says the same")
+        checker.add_fault("fleet", "seats", "does not go with [membership] fleet, which says the same")
     if fleet["answer_ms"] >= fleet["probe_ms"]:
-        checker.fault("fleet", "answer_ms", "must be below probe_ms: others are asked in the time between")
+        checker.add_fault(
+            "fleet", "answer_ms", "must be below probe_ms: others are asked in the time between"
+        )
     listen, listeners = parse_address(fleet["listen"]), document.listeners.values()
     taken = {(listen[0], listen[1] + number) for number in range(count)}
     if any(item["address"] and parse_address(item["address"]) in taken for item in listeners):
-        checker.fault("fleet", "listen", "with the ports that follow is that of a listener too")
+        checker.add_fault("fleet", "listen", "with the ports that follow is that of a listener too")
 
 
 def _check_voters(voters: list[Any], document: Document, checker: Checker) -> None:
     if not voters:
         return
     if not all(isinstance(name, str) and 0 < len(name) <= 128 for name in voters):
-        checker.fault("fleet", "voters", "is not a list of members' names, as in shop-a/i0")
+        checker.add_fault("fleet", "voters", "is not a list of members' names, as in shop-a/i0")
     elif len(set(voters)) != len(voters) or len(voters) % 2 == 0:
-        checker.fault("fleet", "voters", "must be 1, 3, 5 or 7 members, none of them twice")
+        checker.add_fault("fleet", "voters", "must be 1, 3, 5 or 7 members, none of them twice")
     elif not document.daemon["state_dir"]:
         # A voter that loses its votes at a restart could vote twice, which breaks the quorum's guarantee.
-        checker.fault("daemon", "state_dir", "is missing: [fleet] voters needs it")
+        checker.add_fault("daemon", "state_dir", "is missing: [fleet] voters needs it")
 
 
 def _check_membership_table(membership: dict[str, Any], checker: Checker) -> None:
     if membership["source"] != "zookeeper":
         for key in ZOOKEEPER_KEYS:
             if membership[key]:
-                checker.fault("membership", key, "goes with source = 'zookeeper' only")
+                checker.add_fault("membership", key, "goes with source = 'zookeeper' only")
     if membership["source"] == "zookeeper":
         for key in ("hosts", "path"):
             if not membership[key]:
-                checker.fault("membership", key, "is missing: source = 'zookeeper' needs it")
+                checker.add_fault("membership", key, "is missing: source = 'zookeeper' needs it")
         for key in ("address", "servers"):
             if membership[key]:
-                checker.fault("membership", key, "goes with other sources only")
+                checker.add_fault("membership", key, "goes with other sources only")
         if membership["fleet"] and membership["fleet"] == membership["path"]:
-            checker.fault("membership", "fleet", "is that of the servers")
+            checker.add_fault("membership", "fleet", "is that of the servers")
         return
     if membership["source"] == "registry":
         if not membership["address"]:
-            checker.fault("membership", "address", "is missing: source = 'registry' needs it")
+            checker.add_fault("membership", "address", "is missing: source = 'registry' needs it")
         if membership["servers"]:
-            checker.fault("membership", "servers", "goes with source = 'fixed' only")
+            checker.add_fault("membership", "servers", "goes with source = 'fixed' only")
         return
     if membership["address"]:
-        checker.fault("membership", "address", "goes with source = 'registry' only")
+        checker.add_fault("membership", "address", "goes with source = 'registry' only")
     if not membership["servers"]:
-        checker.fault("membership", "servers", "is missing: source = 'fixed' needs it")
+        checker.add_fault("membership", "servers", "is missing: source = 'fixed' needs it")
     servers, ids = [], set()
     for number, server in enumerate(membership["servers"]):
         where = f"membership.servers.{number}"
-        table = checker.table(server, where, Server)
+        table = checker.check_table(server, where, Server)
         if table["id"] in ids:
-            checker.fault(where, "id", f"is there twice: {_short_repr(table['id'])}")
+            checker.add_fault(where, "id", f"is there twice: {_short_repr(table['id'])}")
         ids.add(table["id"])
         servers.append(table)
     membership["servers"] = servers
@@ -759,19 +767,19 @@
         "zookeeper": _zookeeper_terms(document),
         "fleet": _fleet_terms(document, number),
         "site": _site_terms(document, number),
-        "seed": f"{(daemon['seed'] * INSTANCES_MOST + number) & (2**64 - 1):x}",
+        "seed": f"{(daemon['seed'] * MAX_INSTANCES + number) & (2**64 - 1):x}",
         "limits": {"memory_mb": daemon["memory_mb"], "sockets": daemon["sockets"]},
         "known": known,
         "settings": {
             "instances": daemon["instances"],
             "ordinal": number,
             "registryMode": "fixed" if fixed else "subscribe",
-            **how_to_decide(document.classes, document.limits, document.rules),
+            **decision_settings(document.classes, document.limits, document.rules),
         },
     }
 
 
-def how_to_decide(
+def decision_settings(
     classes: dict[str, dict[str, Any]], limits: dict[str, Any], rules: dict[str, Any]
 ) -> dict[str, Any]:
     """Return the terms that govern an instance's decisions; a policy for the whole fleet may replace them."""
--- a/sorrelfront/daemon/control.py
+++ b/sorrelfront/daemon/control.py
@@ -20,7 +20,7 @@
 
 from sorrelfront.daemon.channel import Message, bind_private, is_owner
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.net.streams import end_stream
+from sorrelfront.net.streams import close_stream
 
 MAX_FRAME_BYTES = 64 * 1024  # in either direction
 MAX_CONNECTIONS = 16  # concurrent ones; further connections are closed immediately
@@ -32,7 +32,7 @@
 Handler = Callable[[Message], Awaitable[Message]]
 
 
-class Unavailable(SorrelfrontError):
+class DaemonUnavailable(SorrelfrontError):
     """No daemon answers at the control socket, or its answer is not valid."""
 
     remedy = (
@@ -41,7 +41,7 @@
     )
 
 
-class NobodyThere(Unavailable):
+class DaemonNotRunning(DaemonUnavailable):
     """No daemon listens on the socket."""
 
 
@@ -86,7 +86,7 @@
             pass
         finally:
             with contextlib.suppress(asyncio.CancelledError):
-                await end_stream(writer)
+                await close_stream(writer)
             self._connection_tasks.discard(task)
 
     async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -187,11 +187,11 @@
                         merged[key] += answer[key]
             raise ValueError("the answer has too many frames")
     except TimeoutError:
-        raise Unavailable(f"{path}: no answer in {within_s:g} s") from None
+        raise DaemonUnavailable(f"{path}: no answer in {within_s:g} s") from None
     except (FileNotFoundError, ConnectionRefusedError):
-        raise NobodyThere(f"{path}: nobody answers") from None
+        raise DaemonNotRunning(f"{path}: nobody answers") from None
     except (OSError, EOFError, ValueError, KeyError, TypeError) as fault:
-        raise Unavailable(f"{path}: {fault or type(fault).__name__}") from None
+        raise DaemonUnavailable(f"{path}: {fault or type(fault).__name__}") from None
     finally:
         if writer is not None:
-            await end_stream(writer)
+            await close_stream(writer)
--- a/sorrelfront/daemon/door.py
+++ b/sorrelfront/daemon/door.py
@@ -32,7 +32,7 @@
 AdoptHandler = Callable[[Message, socket.socket], str | None]
 
 
-class Door:
+class InstanceSocket:
     """Listens in the run folder as NAME-PID.sock.
 
     `adopt` receives the message and the connection, and returns the reason of a refusal, or None if it now
--- a/sorrelfront/daemon/ephemeral.py
+++ b/sorrelfront/daemon/ephemeral.py
@@ -12,7 +12,7 @@
 from sorrelfront.messages import Update
 from sorrelfront.net import zookeeper as net
 from sorrelfront.platform.config import BadConfig
-from sorrelfront.sources.zookeeper import Ephemeral, Terms
+from sorrelfront.sources.zookeeper import EphemeralNodeSource, SourceSettings
 from sorrelfront.terms import Config
 
 MAX_AUTH_BYTES = 512  # of user and password
@@ -39,42 +39,42 @@
     return text
 
 
-def source_settings(table: dict[str, Any]) -> Terms:
+def source_settings(table: dict[str, Any]) -> SourceSettings:
     """Return the source's settings from an instance's table.
 
     Raises:
         BadConfig: The file with the credentials cannot be read.
     """
     session_us = int(table["session_ms"] * 1000)
-    return Terms(
-        session=net.Terms(
+    return SourceSettings(
+        session=net.SessionSettings(
             hosts=tuple(parse_address(host) for host in table["hosts"]),
             timeout_s=session_us / 1e6,
             chroot=table["chroot"],
             auth=read_credentials(table["auth_file"]),
         ),
         path=table["path"],
-        fleet=table["fleet"],
-        trust=membership.Terms(
+        seats_path=table["fleet"],
+        suspicion=membership.Settings(
             suspect_us=int(table["suspect_ms"] * 1000),
             confirm_us=int(table["confirm_ms"] * 1000),
             doubt_us=int(table["doubt_ms"] * 1000),
         ),
-        seats=places.Terms(
+        seats=places.Settings(
             hole_us=int(table["hole_ms"] * 1000), keep_us=int(SEAT_RETENTION_SESSIONS * session_us)
         ),
     )
 
 
 def create_source(
-    settings: Terms,
+    settings: SourceSettings,
     config: Config,
     evidence: membership.Evidence,
     on_update: Callable[[Update], None],
     set_seat: Callable[[int | None], None],
-) -> Ephemeral:
+) -> EphemeralNodeSource:
     """Return a source of ephemeral nodes.
 
     `evidence` tells what attempts show of a server, `set_seat` is called with the instance's seat.
     """
-    return Ephemeral(settings, config.seed, config.name, Clock(), evidence, on_update, set_seat)
+    return EphemeralNodeSource(settings, config.seed, config.name, Clock(), evidence, on_update, set_seat)
--- a/sorrelfront/daemon/fellow.py
+++ b/sorrelfront/daemon/fellow.py
@@ -18,9 +18,9 @@
 
 if TYPE_CHECKING:
     from sorrelfront.daemon.gate import GatedAgent
-    from sorrelfront.daemon.policies import Governed
-    from sorrelfront.fleet.copier import Copier
-    from sorrelfront.fleet.council import Council
+    from sorrelfront.daemon.policies import PolicyOverlay
+    from sorrelfront.fleet.copier import Replicator
+    from sorrelfront.fleet.council import PolicyMember
     from sorrelfront.messages import Update
 
 log = logging.getLogger("sorrelfront.daemon")
@@ -31,7 +31,7 @@
 
     It raises no exceptions.
     """
-    payload = records.trusted(path, records.Kind.INCARNATION)
+    payload = records.read_or_set_aside(path, records.RecordKind.INCARNATION)
     if payload is None:
         return 0
     try:
@@ -41,7 +41,7 @@
         return 0
 
 
-class Fellow:
+class FleetMembership:
     """This instance's membership of the fleet."""
 
     def __init__(self, table: dict[str, Any]) -> None:
@@ -50,8 +50,8 @@
         Raises:
             BadConfig: The fleet's key cannot be used.
         """
-        from sorrelfront.decisions.fleet.seats import Seat
-        from sorrelfront.fleet.envelope import BadKey
+        from sorrelfront.decisions.fleet.seats import RingPosition
+        from sorrelfront.fleet.envelope import InvalidKeyFile
         from sorrelfront.fleet.member import Member
 
         self._path = Path(table["record"]) if table["record"] else None
@@ -59,26 +59,26 @@
         incarnation = load_incarnation(self._path) if self._path is not None else 0
         try:
             self._member = Member(table, incarnation, _version(), self._store_incarnation)
-        except BadKey as error:
+        except InvalidKeyFile as error:
             raise BadConfig(f"fleet.key_file: {error}") from None
-        self._ring_position = Seat(table["member"], int(table["rest_ms"] * 1_000))
-        self.council: Council | None = None
-        self.copier: Copier | None = None
+        self._ring_position = RingPosition(table["member"], int(table["rest_ms"] * 1_000))
+        self.policy_member: PolicyMember | None = None
+        self.replicator: Replicator | None = None
         self._member.start()
 
-    def copy(self, list_is_numbered: bool, update: Callable[[Update], None]) -> None:
+    def start_replication(self, list_is_numbered: bool, update: Callable[[Update], None]) -> None:
         """Start to replicate server states and drains among the members.
 
         Args:
             list_is_numbered: Whether this member's list service numbers its states, the same for all members.
             update: Passes a changed server list to the agent.
         """
-        from sorrelfront.daemon.ledger import Ledger
-        from sorrelfront.fleet.copier import Copier, Ports, changes, settings
+        from sorrelfront.daemon.ledger import ReplicaLog
+        from sorrelfront.fleet.copier import Ports, Replicator, decode_changes, replication_settings
 
-        table, view = self._member.table, self._member.carrier.view
-        ledger = Ledger(Path(table["copies_record"])) if table["copies_record"] else None
-        stored = changes(ledger.load()) if ledger is not None else []
+        table, view = self._member.table, self._member.transport.view
+        ledger = ReplicaLog(Path(table["copies_record"])) if table["copies_record"] else None
+        stored = decode_changes(ledger.load()) if ledger is not None else []
 
         async def write(payloads: list[bytes]) -> None:
             if ledger is not None:
@@ -89,51 +89,67 @@
                 await asyncio.to_thread(ledger.snapshot, payloads)
 
         ports = Ports(
-            say=self._member.keep(lambda sender, data: copier.hear(sender, data)),
-            members=view.alive, known=lambda: set(view.members), write=write, snapshot=snapshot,
-            wants_snapshot=lambda: ledger is not None and ledger.wants_snapshot, update=update,
+            send=self._member.attach_replication(lambda sender, data: copier.on_message(sender, data)),
+            live_members=view.alive, known_members=lambda: set(view.members), write=write, snapshot=snapshot,
+            needs_snapshot=lambda: ledger is not None and ledger.needs_snapshot, update_agent=update,
         )  # fmt: skip
-        copier = Copier(
-            table["member"], "registry" if list_is_numbered else "", settings(table), ports, stored
+        copier = Replicator(
+            table["member"],
+            "registry" if list_is_numbered else "",
+            replication_settings(table),
+            ports,
+            stored,
         )
-        self.copier = copier
+        self.replicator = copier
         copier.start()
 
-    def govern(self, agent: GatedAgent, governed: Governed) -> None:
+    def join_policy(self, agent: GatedAgent, governed: PolicyOverlay) -> None:
         """Take part in the fleet's policy.
 
         Args:
             agent: It checks the policy before it decides on a request.
             governed: It applies the version that is in force.
         """
-        from sorrelfront.fleet.council import Council, Ports
+        from sorrelfront.fleet.council import PolicyMember, Ports
 
-        table, view = self._member.table, self._member.carrier.view
+        table, view = self._member.table, self._member.transport.view
         vote_path, held_path = Path(table["vote_record"]), Path(table["held_record"])
         writer = self._writer
         assert writer is not None  # the configuration is checked to have a state_dir
 
         async def store_vote(data: bytes) -> None:
-            await asyncio.to_thread(records.write, vote_path, records.seal(records.Kind.VOTE, data))
+            await asyncio.to_thread(
+                records.write, vote_path, records.encode_record(records.RecordKind.VOTE, data)
+            )
 
         ports = Ports(
-            say=self._member.say, keep=store_vote,
-            remember=lambda data: writer.put(held_path, records.seal(records.Kind.HELD, data)),
-            members=view.alive, check=governed.refusal, take=governed.take,
-            finished=lambda: agent.finished, opened=agent.opened,
-        )  # fmt: skip
-        self.council = Council(
-            table["member"], tuple(table["voters"]), int(table["lease_ms"] * 1_000), ports,
-            records.trusted(vote_path, records.Kind.VOTE), records.trusted(held_path, records.Kind.HELD),
-        )  # fmt: skip
-        agent.council = self.council
-        self._member.sit(self.council)
-        self.council.start()
+            send=self._member.send_policy_message,
+            persist_vote=store_vote,
+            store_served=lambda data: writer.put(
+                held_path, records.encode_record(records.RecordKind.HELD, data)
+            ),
+            live_members=view.alive,
+            rejection_reason=governed.rejection_reason,
+            apply=governed.apply_version,
+            none_in_flight=lambda: agent.none_in_flight,
+            on_lease_granted=agent.on_lease_granted,
+        )
+        self.policy_member = PolicyMember(
+            table["member"],
+            tuple(table["voters"]),
+            int(table["lease_ms"] * 1_000),
+            ports,
+            records.read_or_set_aside(vote_path, records.RecordKind.VOTE),
+            records.read_or_set_aside(held_path, records.RecordKind.HELD),
+        )
+        agent.policy_member = self.policy_member
+        self._member.attach_policy(self.policy_member)
+        self.policy_member.start()
 
     def _store_incarnation(self, incarnation: int) -> None:
         """Store the incarnation; if it is lost, it becomes the one that other members remember, plus one."""
         if self._writer is not None and self._path is not None:
-            data = records.seal(records.Kind.INCARNATION, msgspec.msgpack.encode(incarnation))
+            data = records.encode_record(records.RecordKind.INCARNATION, msgspec.msgpack.encode(incarnation))
             self._writer.put(self._path, data)
 
     def change(self, table: dict[str, Any]) -> None:
@@ -142,47 +158,50 @@
         Raises:
             BadConfig: The fleet's key cannot be used.
         """
-        from sorrelfront.fleet.envelope import BadKey
+        from sorrelfront.fleet.envelope import InvalidKeyFile
 
         try:
-            self._member.change(table)
-        except BadKey as error:
+            self._member.reconfigure(table)
+        except InvalidKeyFile as error:
             raise BadConfig(f"fleet.key_file: {error}") from None
 
-    def seat(self) -> int | None:
+    def new_slice_start(self) -> int | None:
         """Return the new start of this instance's slice of the servers, or None if it is unchanged.
 
         The start is a point on a ring of `places.POINTS`. Call this periodically.
         """
         if not self._member.table["seats"]:
             return None
-        view = self._member.carrier.view
+        view = self._member.transport.view
         return self._ring_position.on_view(view.alive(), view.now)
 
-    def told(self, after: int) -> dict[str, Any]:
+    def members_since(self, after: int) -> dict[str, Any]:
         """Return all members and the events after this number, for `ctl members`."""
-        carrier = self._member.carrier
+        carrier = self._member.transport
         return {
-            "fleet": self._member.table["name"], "self": carrier.view.me.name,
-            "agreeing": carrier.view.agreeing(), "events": carrier.told(after), "members": carrier.members(),
-        }  # fmt: skip
+            "fleet": self._member.table["name"],
+            "self": carrier.view.me.name,
+            "agreeing": carrier.view.agreeing(),
+            "events": carrier.events_after(after),
+            "members": carrier.members(),
+        }
 
     def figures(self) -> dict[str, Any]:
         """Return the status of the membership, the policy and the replication, for `ctl status`."""
-        status = self._member.carrier.figures()
-        if self.council is not None:
-            status["policy"] = self.council.figures()
-        if self.copier is not None:
-            status["copies"] = self.copier.figures()
+        status = self._member.transport.status()
+        if self.policy_member is not None:
+            status["policy"] = self.policy_member.figures()
+        if self.replicator is not None:
+            status["copies"] = self.replicator.status()
         return status
 
     def close(self, leave: bool) -> None:
         """Stop all of it; `leave`: first announce that this member leaves for good."""
-        if self.council is not None:
-            self.council.close()
-        if self.copier is not None:
-            self.copier.close()
-        self._member.carrier.close(leave)
+        if self.policy_member is not None:
+            self.policy_member.close()
+        if self.replicator is not None:
+            self.replicator.close()
+        self._member.transport.close(leave)
         if self._writer is not None:
             self._writer.close()
 
--- a/sorrelfront/daemon/fleet.py
+++ b/sorrelfront/daemon/fleet.py
@@ -23,18 +23,18 @@
 
 import msgspec
 
-from sorrelfront.daemon.channel import BadMessage, Message, pair, receive, send
+from sorrelfront.daemon.channel import BadMessage, Message, receive, send, socket_pair
 from sorrelfront.daemon.configuration import Document, instance_table
 from sorrelfront.daemon.processes import open_process, send_signal, start_ticks
 from sorrelfront.decisions import supervision
 from sorrelfront.decisions.supervision import Kill, Phase, Policy, Report, Start, Stop, Supervisor
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.fronts.http1 import BACKLOG, GOING_AWAY_MORE_S, GOING_AWAY_S
+from sorrelfront.fronts.http1 import BACKLOG, SHUTDOWN_GRACE_S, SHUTDOWN_MARGIN_S
 from sorrelfront.messages import Address
 
 log = logging.getLogger("sorrelfront.daemon")
 
-INSTANCE = [sys.executable, "-m", "sorrelfront.daemon.instance"]  # the command, before its arguments
+INSTANCE_COMMAND = [sys.executable, "-m", "sorrelfront.daemon.instance"]  # the command, before its arguments
 # Added to the longest deadline and the listener's own close time, for a busy core and the final steps.
 STOP_MARGIN_S = 1.0
 
@@ -45,7 +45,7 @@
     remedy = "Mend what is named, an address in use or a folder that cannot be written, and start again."
 
 
-class Unanswered(SorrelfrontError):
+class InstanceUnavailable(SorrelfrontError):
     """An instance did not answer in time or, if `ended`, its process ended."""
 
     remedy = "Look at the instance's log and at the load of this machine; it is started again by itself."
@@ -114,7 +114,7 @@
     return sock
 
 
-class Terms:
+class InstanceConfig:
     """The configuration that a document gives to instances.
 
     The list of servers, which may be long, is encoded once for all instances.
@@ -130,7 +130,7 @@
 
     def message(self, op: str, name: str, generation: int) -> Message:
         """Return the message that configures one instance; its sockets are passed as descriptors."""
-        number = self.document.names.index(name)
+        number = self.document.instance_names.index(name)
         return {
             "op": op, "table": instance_table(self.document, number, self._encoded_known),
             "generation": generation, "digest": self.digest,
@@ -146,41 +146,43 @@
     """
 
     def __init__(self, document: Document, folder: Path) -> None:
-        self.terms = Terms(document)
+        self.config = InstanceConfig(document)
         self.folder = folder
         self.generation = 0
         self.provisional = False  # the program to be replaced still controls the sockets
         self.handed_over = False  # a replacement accepts connections from now on
-        self.learnt: dict[str, str] = {}  # estimates by instance, for its next start; "" is any
+        self.estimates: dict[str, str] = {}  # estimates by instance, for its next start; "" is any
         self.sockets: dict[Address, socket.socket] = {}
         self.runs: dict[str, Run] = {}
-        self.decide = Supervisor(
-            document.names, supervision_policy(document), document.daemon["seed"], now_us()
+        self.supervisor = Supervisor(
+            document.instance_names, supervision_policy(document), document.daemon["seed"], now_us()
         )
-        self.changed: Callable[[], None] = lambda: None
-        self.spawned: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
+        self.on_processes_changed: Callable[[], None] = lambda: None
         self._timer: asyncio.TimerHandle | None = None
         self._last_request_id = 0
 
     @property
     def document(self) -> Document:
         """The document in force."""
-        return self.terms.document
+        return self.config.document
 
     @property
     def all_ready(self) -> bool:
         """Whether every instance of the document in force is ready."""
-        return len(set(self.decide.ready) & set(self.document.names)) == len(self.document.names)
+        return len(set(self.supervisor.ready) & set(self.document.instance_names)) == len(
+            self.document.instance_names
+        )
 
     @property
-    def stop_within_us(self) -> int:
+    def stop_timeout_us(self) -> int:
         """The time in microseconds within which an instance that was told to stop has to end."""
-        margin_s = GOING_AWAY_S + GOING_AWAY_MORE_S + STOP_MARGIN_S
+        margin_s = SHUTDOWN_GRACE_S + SHUTDOWN_MARGIN_S + STOP_MARGIN_S
         return self.document.longest_deadline_us + int(margin_s * 1e6)
 
     # Sockets
 
-    def open(self, passed: list[tuple[str, socket.socket]]) -> None:
+    def open_sockets(self, passed: list[tuple[str, socket.socket]]) -> None:
         """Open the sockets of all listeners that are not open yet.
 
         Sockets that the service manager passed are used first; those that no listener needs are closed.
@@ -188,7 +190,7 @@
         Raises:
             CannotStart: An address cannot be bound; all sockets are closed then.
         """
-        wanted = self.document.addresses
+        wanted = self.document.listener_addresses
         for name, sock in passed:
             address = wanted.get(name)
             bound_to = sock.getsockname()
@@ -208,10 +210,10 @@
             self.close_sockets(list(self.sockets))
             raise
 
-    def take_socket(self, sock: socket.socket) -> None:
+    def add_socket(self, sock: socket.socket) -> None:
         """Use a socket received from another process that listens on it too, or close it if not needed."""
         address = sock.getsockname()
-        if address in self.document.addresses.values() and address not in self.sockets:
+        if address in self.document.listener_addresses.values() and address not in self.sockets:
             sock.setblocking(False)
             self.sockets[address] = sock
         else:
@@ -224,7 +226,7 @@
 
     # Supervision
 
-    def do(self, actions: list[supervision.Action]) -> None:
+    def execute(self, actions: list[supervision.Action]) -> None:
         """Execute these actions and set the timer for the next decision."""
         for action in actions:
             match action:
@@ -233,7 +235,7 @@
                 case Stop(name, number):
                     run = self.find_run(name, number)
                     if run is not None:
-                        others = self.handed_over or not self.decide.stopping
+                        others = self.handed_over or not self.supervisor.stopping
                         # A replaced instance does not leave the fleet: its successor has the same name.
                         leave = not self.handed_over
                         send(run.channel, {"op": "stop", "others": others, "leave": leave})
@@ -244,17 +246,17 @@
                 case Report(name, what):
                     log.warning("%s %s", name, what, extra={"instance": name})
         self._schedule()
-        self.changed()
+        self.on_change()
 
     def _schedule(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        at = self.decide.next_us()
+        at = self.supervisor.next_us()
         if at is not None:
             delay = max(0.0, (at - now_us()) / 1e6)
             self._timer = asyncio.get_running_loop().call_later(
-                delay, lambda: self.do(self.decide.on_time(now_us()))
+                delay, lambda: self.execute(self.supervisor.on_timer(now_us()))
             )
 
     def find_run(self, name: str, number: int) -> Run | None:
@@ -263,11 +265,11 @@
         return run if run is not None and run.number == number else None
 
     def _start(self, name: str, number: int) -> None:
-        ours, theirs = pair()
+        ours, theirs = socket_pair()
         try:
             child = subprocess.Popen(
                 [
-                    *INSTANCE,
+                    *INSTANCE_COMMAND,
                     str(theirs.fileno()), name, str(number), str(self.folder),
                     self.document.log["format"], self.document.log["level"],
                 ],
@@ -277,23 +279,27 @@
         except OSError as fault:
             log.warning("%s cannot be started: %s", name, fault, extra={"instance": name})
             ours.close()
-            asyncio.get_running_loop().call_soon(lambda: self.do(self.decide.on_end(name, number, now_us())))
+            asyncio.get_running_loop().call_soon(
+                lambda: self.execute(self.supervisor.on_end(name, number, now_us()))
+            )
             return
         finally:
             theirs.close()
         pidfd = os.pidfd_open(child.pid)  # not reaped yet, so the pid is still its own
         run = Run(number, child.pid, pidfd, ours, self.generation, start_ticks(child.pid), child)
         self._watch_process(name, run)
-        message = self.terms.message("start", name, self.generation)
+        message = self.config.message("start", name, self.generation)
         message["provisional"] = self.provisional
-        learnt = self.learnt.get(name) or self.learnt.get("")
+        learnt = self.estimates.get(name) or self.estimates.get("")
         if learnt:
             message["learnt"] = learnt
         started = self._request(run, message, [sock.fileno() for sock in self._listening_sockets()])
         started.add_done_callback(lambda done: self._on_started(name, run, done))
 
     def _listening_sockets(self) -> list[socket.socket]:
-        return [self.sockets[item] for item in self.document.addresses.values() if item in self.sockets]
+        return [
+            self.sockets[item] for item in self.document.listener_addresses.values() if item in self.sockets
+        ]
 
     def _watch_process(self, name: str, run: Run) -> None:
         """Record this process, and watch its channel and its end."""
@@ -301,7 +307,7 @@
         loop = asyncio.get_running_loop()
         loop.add_reader(run.pidfd, self._on_end, name, run)
         loop.add_reader(run.channel.fileno(), self._on_readable, name, run)
-        self.spawned()
+        self.on_processes_changed()
 
     def adopt(self, name: str, run: Run, ready: bool) -> None:
         """Take charge of a process that an earlier supervisor started and that uses `run.channel` already.
@@ -309,7 +315,7 @@
         Raises:
             ValueError: The instance has a process already.
         """
-        self.decide.on_adopted(name, run.number, ready, now_us())
+        self.supervisor.on_adopted(name, run.number, ready, now_us())
         self._watch_process(name, run)
         if run.number and not ready:
             # Its configuration was sent already; its first heartbeat shows that it is in force.
@@ -323,15 +329,15 @@
             log.warning("%s rejected its configuration: %s", name, fault, extra={"instance": name})
             run.kill()
             return
-        self.do(self.decide.on_ready(name, run.number, now_us()))
-        if run.generation != self.generation and name in self.document.names:
+        self.execute(self.supervisor.on_ready(name, run.number, now_us()))
+        if run.generation != self.generation and name in self.document.instance_names:
             # The file that it was started with has been replaced meanwhile.
-            self.retake(name, run)
+            self.resend_config(name, run)
 
-    def retake(self, name: str, run: Run) -> None:
+    def resend_config(self, name: str, run: Run) -> None:
         """Send it the configuration in force and commit it, without waiting for the answer."""
         run.generation = self.generation
-        future = self._request(run, *self._reload_message(name, self.terms, self.generation, self.sockets))
+        future = self._request(run, *self._reload_message(name, self.config, self.generation, self.sockets))
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
         send(run.channel, {"op": "commit"})
 
@@ -346,7 +352,7 @@
         run.pending[self._last_request_id] = answer
         if not send(run.channel, {**message, "id": self._last_request_id}, descriptors):
             del run.pending[self._last_request_id]
-            answer.set_exception(Unanswered(ended=False))
+            answer.set_exception(InstanceUnavailable(ended=False))
         return answer
 
     async def ask(
@@ -362,26 +368,26 @@
             async with asyncio.timeout(within_s):
                 return await answer
         except TimeoutError:
-            raise Unanswered(ended=False) from None
+            raise InstanceUnavailable(ended=False) from None
         except asyncio.CancelledError:
             if answer.cancelled() and run.channel.fileno() < 0:
-                raise Unanswered(ended=True) from None
+                raise InstanceUnavailable(ended=True) from None
             raise
         finally:
             for number in [number for number, item in run.pending.items() if item is answer]:
                 del run.pending[number]
 
     def _reload_message(
-        self, name: str, config: Terms, generation: int, sockets: dict[Address, socket.socket]
+        self, name: str, config: InstanceConfig, generation: int, sockets: dict[Address, socket.socket]
     ) -> tuple[Message, list[int]]:
-        listed = [sockets[item] for item in config.document.addresses.values() if item in sockets]
+        listed = [sockets[item] for item in config.document.listener_addresses.values() if item in sockets]
         return config.message("reload", name, generation), [sock.fileno() for sock in listed]
 
     async def send_config(
         self,
         run: Run,
         name: str,
-        config: Terms,
+        config: InstanceConfig,
         generation: int,
         sockets: dict[Address, socket.socket],
     ) -> str | None:
@@ -397,10 +403,10 @@
             within_s = self.document.daemon["reload_within_ms"] / 1e3
             fault = (await self.ask(run, request[0], within_s, request[1])).get("fault")
             return None if fault is None else str(fault)
-        except Unanswered as unanswered:
+        except InstanceUnavailable as unanswered:
             if not unanswered.ended:
                 return "it did not take the file in time"
-            if self.decide.stopping:
+            if self.supervisor.stopping:
                 raise asyncio.CancelledError from None
             return None
 
@@ -422,8 +428,8 @@
             run.figures = message["figures"]
             if run.generation < 0:  # it was adopted while it started
                 run.generation = self.generation
-                self.do(self.decide.on_ready(name, run.number, now_us()))
-            self.do(self.decide.on_beat(name, run.number, now_us()))
+                self.execute(self.supervisor.on_ready(name, run.number, now_us()))
+            self.execute(self.supervisor.on_heartbeat(name, run.number, now_us()))
         else:
             answer = run.pending.pop(message.get("id", 0), None)
             if answer is not None and not answer.done():
@@ -444,12 +450,12 @@
             (self.folder / f"{name.partition('@')[0]}-{run.pid}.sock").unlink(missing_ok=True)
         suffix = "" if code is None else f" with {code}"
         log.info("%s ended%s", name, suffix, extra={"instance": name, "run": run.number})
-        self.spawned()
-        self.do(self.decide.on_end(name, run.number, now_us()))
+        self.on_processes_changed()
+        self.execute(self.supervisor.on_end(name, run.number, now_us()))
 
     # All instances
 
-    def tell_all(self, message: Message) -> None:
+    def send_to_all(self, message: Message) -> None:
         """Send a message to every process."""
         for run in self.runs.values():
             send(run.channel, message)
@@ -459,15 +465,15 @@
         for run in self.runs.values():
             run.kill()
 
-    def instances(self) -> list[dict[str, Any]]:
+    def instance_statuses(self) -> list[dict[str, Any]]:
         """Return one row for each instance, as `ctl status` shows it."""
         rows = []
-        for item in self.decide.standings():
+        for item in self.supervisor.instance_statuses():
             run = self.runs.get(item.name)
             rows.append(
                 {
                     "name": item.name, "phase": item.phase.value, "run": item.run, "failures": item.failures,
-                    "crash_loop": item.looping, "pid": run.pid if run else None,
+                    "crash_loop": item.in_crash_loop, "pid": run.pid if run else None,
                     "adopted": run is not None and run.child is None,
                     **(run.figures if run and item.phase is not Phase.STARTING else {}),
                 }
--- a/sorrelfront/daemon/gate.py
+++ b/sorrelfront/daemon/gate.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from sorrelfront.agent import DEADLINE_MARGIN_US, OVERDUE_US, Agent, Held
+from sorrelfront.agent import ANSWER_GRACE_US, DEADLINE_MARGIN_US, Agent, PendingRequest
 from sorrelfront.decisions import interface as api
-from sorrelfront.fleet.council import Council, Standing
-from sorrelfront.messages import Answer, Call, Ended, Failed, Final, Refused
+from sorrelfront.fleet.council import LeaseStatus, PolicyMember
+from sorrelfront.messages import Answer, AttemptResult, Call, Failed, FinalAnswer, Refused
 
 MAX_WAITING = 512  # requests that wait for a lease
 MAX_WAIT_S = 0.5  # how long a request waits for a lease; then it is refused, and the client may retry
@@ -42,93 +42,95 @@
 class GatedAgent(Agent):
     """An agent that admits requests by the lease of its policy member; without one, it admits all."""
 
-    council: Council | None = None
+    policy_member: PolicyMember | None = None
     isolation: dict[str, str]
-    header = False
+    adds_policy_header = False
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.isolation = {}
-        self.gate = Counts()
+        self.admission_counts = Counts()
         self._admissions: dict[int, Admission] = {}
-        self._waiting: dict[int, tuple[Held, int]] = {}  # with its deadline by the agent's clock
+        self._waiting: dict[int, tuple[PendingRequest, int]] = {}  # with its deadline by the agent's clock
 
     # Admission
 
-    def _admit(self, cls: str) -> Admission | Standing:
-        council = self.council
+    def _admit(self, cls: str) -> Admission | LeaseStatus:
+        council = self.policy_member
         assert council is not None
-        standing = council.standing()
-        if standing is Standing.LEASED:
+        standing = council.lease_status()
+        if standing is LeaseStatus.LEASED:
             return Admission(council.applied_version, True)
-        if standing is Standing.FREE:
+        if standing is LeaseStatus.FREE:
             return Admission(0, True)
-        if standing is Standing.CUT_OFF and self.isolation.get(cls, "go-on") == "go-on":
+        if standing is LeaseStatus.CUT_OFF and self.isolation.get(cls, "go-on") == "go-on":
             return Admission(council.applied_version, False)
         return standing
 
-    def take(self, call: Call) -> Held:
+    def submit(self, call: Call) -> PendingRequest:
         """Admit a request, queue it until a lease is granted, or refuse it."""
-        if self.council is None:
-            return super().take(call)
+        if self.policy_member is None:
+            return super().submit(call)
         admission = self._admit(call.class_name)
         if isinstance(admission, Admission):
-            number = self._count + 1
+            number = self._requests_taken + 1
             self._admissions[number] = admission  # before it is decided: the first attempt looks it up
-            held = super().take(call)
-            if number not in self._held:
+            held = super().submit(call)
+            if number not in self._pending:
                 self._admissions.pop(number, None)
             self._count_admission(admission)
             return held
-        if admission is Standing.WAIT and call.upload is None and len(self._waiting) < MAX_WAITING:
+        if admission is LeaseStatus.WAIT and call.upload is None and len(self._waiting) < MAX_WAITING:
             return self._wait(call)
         return self._refuse(call)
 
     def _count_admission(self, admission: Admission) -> None:
         if admission.leased:
-            self.gate.inside += 1
+            self.admission_counts.inside += 1
         else:
-            self.gate.outside += 1
+            self.admission_counts.outside += 1
 
-    def _refuse(self, call: Call) -> Held:
-        self._count += 1
-        self.gate.refused += 1
-        held = Held(self._count, call, self._loop.create_future())
+    def _refuse(self, call: Call) -> PendingRequest:
+        self._requests_taken += 1
+        self.admission_counts.refused += 1
+        held = PendingRequest(self._requests_taken, call, self._loop.create_future())
         self.tallies[call.class_name].refused += 1
         held.answer.set_result(Refused(RETRY_AFTER_US))
         return held
 
-    def _wait(self, call: Call) -> Held:
-        self._count += 1
-        self.gate.waited += 1
-        held = Held(self._count, call, self._loop.create_future())
-        self._held[held.id] = held
+    def _wait(self, call: Call) -> PendingRequest:
+        self._requests_taken += 1
+        self.admission_counts.waited += 1
+        held = PendingRequest(self._requests_taken, call, self._loop.create_future())
+        self._pending[held.id] = held
         self._open_ids.add(call.client_id)
         left_us = call.budget_us - DEADLINE_MARGIN_US
-        held.overdue = self._loop.call_later((left_us + OVERDUE_US) / 1e6, self._overdue, held)
+        held.deadline_timer = self._loop.call_later(
+            (left_us + ANSWER_GRACE_US) / 1e6, self._on_deadline_passed, held
+        )
         self._waiting[held.id] = (held, self.now() + left_us)
         self._loop.call_later(min(MAX_WAIT_S, max(0.0, left_us / 2e6)), self._on_wait_timeout, held)
         return held
 
-    def _on_wait_timeout(self, held: Held) -> None:
+    def _on_wait_timeout(self, held: PendingRequest) -> None:
         """Decide a request that has waited for as long as it may."""
         waiting = self._waiting.pop(held.id, None)
         if waiting is not None:
             self._decide_queued(*waiting)
 
-    def opened(self) -> None:
+    def on_lease_granted(self) -> None:
         """A lease was granted: decide the requests that wait for one."""
         waiting, self._waiting = self._waiting, {}
         for held, until in waiting.values():
             self._decide_queued(held, until)
 
-    def _decide_queued(self, held: Held, until: int) -> None:
-        if held.id not in self._held:
+    def _decide_queued(self, held: PendingRequest, until: int) -> None:
+        if held.id not in self._pending:
             return
         call = held.call
         admission = self._admit(call.class_name)
         if not isinstance(admission, Admission):
-            self.gate.refused += 1
+            self.admission_counts.refused += 1
             self._finish(held, Refused(RETRY_AFTER_US))
             return
         self._admissions[held.id] = admission
@@ -136,58 +138,58 @@
         event = api.Request(
             held.id, call.class_name, until, call.cost_hint_us, call.tenant, call.key, call.is_retry, False
         )
-        self._tell(self.balancer.on_request, event, held)
+        self._dispatch(self.balancer.on_request, event, held)
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        held = self._held.get(action.request_id)
-        if self.council is None or held is None or self._may_attempt(held):
+        held = self._pending.get(action.request_id)
+        if self.policy_member is None or held is None or self._may_attempt(held):
             super()._send(action)
             return
-        self.gate.ended += 1
+        self.admission_counts.ended += 1
         key = (held.id, held.attempts)
         # Before the first attempt nothing was sent, so a refusal is safe to retry. Later it may have run.
         self._finish(held, Failed() if held.attempts else Refused(RETRY_AFTER_US))
         # The balancer counts the attempt that it has just ordered, so its end has to be reported.
-        self._loop.call_soon(self._ended, held, key, Ended(api.Outcome.CANCELLED), 0)
+        self._loop.call_soon(self._on_attempt_ended, held, key, AttemptResult(api.Outcome.CANCELLED), 0)
 
-    def _may_attempt(self, held: Held) -> bool:
-        council, admission = self.council, self._admissions.get(held.id)
+    def _may_attempt(self, held: PendingRequest) -> bool:
+        council, admission = self.policy_member, self._admissions.get(held.id)
         if council is None or admission is None:
             return True
         if council.free:
             return admission.version == 0
-        if admission.leased and council.may_go_on(admission.version):
+        if admission.leased and council.may_attempt(admission.version):
             return True
         serves_cut_off = self.isolation.get(held.call.class_name, "go-on") == "go-on"
         if (
             serves_cut_off
             and admission.version == council.applied_version
-            and council.standing() is Standing.CUT_OFF
+            and council.lease_status() is LeaseStatus.CUT_OFF
         ):
-            self.gate.outside += admission.leased
+            self.admission_counts.outside += admission.leased
             self._admissions[held.id] = admission._replace(leased=False)
             return True
         return False
 
     @property
-    def finished(self) -> bool:
+    def none_in_flight(self) -> bool:
         """Whether no admitted request is in flight."""
         return not self._admissions
 
     # End
 
-    def _end(self, held: Held) -> bool:
+    def _remove_pending(self, held: PendingRequest) -> bool:
         self._waiting.pop(held.id, None)
-        ended = super()._end(held)
+        ended = super()._remove_pending(held)
         if ended:
             self._admissions.pop(held.id, None)
         return ended
 
-    def _finish(self, held: Held, answer: Final) -> bool:
+    def _finish(self, held: PendingRequest, answer: FinalAnswer) -> bool:
         admission = self._admissions.get(held.id)
-        if self.header and admission is not None and isinstance(answer, Answer):
+        if self.adds_policy_header and admission is not None and isinstance(answer, Answer):
             value = b"%d" % admission.version + (b"" if admission.leased else b" outside")
             answer.headers.append((POLICY_HEADER, value))
         return super()._finish(held, answer)
--- a/sorrelfront/daemon/instance.py
+++ b/sorrelfront/daemon/instance.py
@@ -26,27 +26,27 @@
 from sorrelfront.agent import Agent, Source
 from sorrelfront.daemon import logs
 from sorrelfront.daemon.channel import BadMessage, Message, receive, send
-from sorrelfront.daemon.door import Door
-from sorrelfront.daemon.fellow import Fellow
+from sorrelfront.daemon.door import InstanceSocket
+from sorrelfront.daemon.fellow import FleetMembership
 from sorrelfront.daemon.processes import start_ticks
 from sorrelfront.decisions import places
-from sorrelfront.decisions.adoption import PROTOCOL, Life
-from sorrelfront.decisions.learnt import KEPT_MOST_US, Unusable, adopt, snapshot
-from sorrelfront.decisions.listing import SILENCE_US
+from sorrelfront.decisions.adoption import PROTOCOL_VERSION, LifecycleState
+from sorrelfront.decisions.learnt import MAX_STORED_AGE_US, UnusableSnapshot, restore_snapshot, take_snapshot
+from sorrelfront.decisions.listing import READ_TIMEOUT_US
 from sorrelfront.decisions.membership import Answering
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.messages import Address, Update
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import BadConfig, parse
-from sorrelfront.signals import ignore_from_here, on_signal
+from sorrelfront.signals import ignore_until_exit, on_signal
 from sorrelfront.sources import registry
 from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 if TYPE_CHECKING:
-    from sorrelfront.daemon.border import Frontier
-    from sorrelfront.daemon.policies import Governed, Policy
-    from sorrelfront.sources.zookeeper import Ephemeral
+    from sorrelfront.daemon.border import SiteGateway
+    from sorrelfront.daemon.policies import Policy, PolicyOverlay
+    from sorrelfront.sources.zookeeper import EphemeralNodeSource
 
 log = logging.getLogger("sorrelfront.instance")
 
@@ -58,7 +58,7 @@
     """A membership source whose list changes only by a reload."""
 
     def __init__(self, config: Config, on_update: Any) -> None:
-        self._known = config.known
+        self._known = config.cached_list
         self._on_update = on_update
 
     def subscribe(self) -> None:
@@ -67,8 +67,8 @@
 
     def reload(self, config: Config) -> None:
         """Deliver the list of the new configuration if it differs."""
-        if config.known != self._known:
-            self._known = config.known
+        if config.cached_list != self._known:
+            self._known = config.cached_list
             self._on_update(self._known)
 
     def close(self) -> None:
@@ -93,7 +93,7 @@
         self._provisional = True  # the supervisor is not in charge yet
         self._orphan_s = 0.0
         self._orphan_timer: asyncio.TimerHandle | None = None
-        self._adoption_socket = Door(
+        self._adoption_socket = InstanceSocket(
             folder, name, self._hello_message, self._accept_supervisor, self._on_sockets_taken
         )
         self._agent: Agent | None = None
@@ -104,13 +104,13 @@
         self._pending_estimates: object = None  # a snapshot to be adopted once the list is known
         self._closing_listeners: set[asyncio.Task[None]] = set()  # of listeners that a reload removed
         self._body_budget: BodyBudget | None = None
-        self._zookeeper_source: Ephemeral | None = None  # the membership source, if it is ZooKeeper
+        self._zookeeper_source: EphemeralNodeSource | None = None  # the membership source, if it is ZooKeeper
         self._registry_source: registry.Discovery | None = None  # the same, if it is the registry
         self._update_agent: Callable[[Update], None] = lambda update: None  # delivers to the agent
         self._seat: int | None = None  # among the instances, if ZooKeeper assigns it
-        self._fleet_member: Fellow | None = None  # if the file has [fleet]
-        self._policy_overlay: Governed | None = None  # if the fleet has voters
-        self._partner_sites: Frontier | None = None  # if the file has [site]
+        self._fleet_member: FleetMembership | None = None  # if the file has [fleet]
+        self._policy_overlay: PolicyOverlay | None = None  # if the fleet has voters
+        self._partner_sites: SiteGateway | None = None  # if the file has [site]
         self._policy_tasks: set[asyncio.Task[None]] = set()
         self._leave_fleet = False  # whether to tell the fleet that this member leaves
         self.stop_requested = asyncio.Event()
@@ -130,11 +130,11 @@
     # Without a supervisor
 
     @property
-    def life(self) -> Life:
+    def life(self) -> LifecycleState:
         """Whether the instance is starting, ready or leaving."""
         if self.stop_requested.is_set():
-            return Life.LEAVING
-        return Life.STARTING if self._agent is None else Life.READY
+            return LifecycleState.LEAVING
+        return LifecycleState.STARTING if self._agent is None else LifecycleState.READY
 
     def _on_supervisor_lost(self) -> None:
         """Serve on for a bounded time, or drain, after the channel has ended."""
@@ -163,10 +163,17 @@
             self._on_readable()  # the channel may have ended, unread so far
         listeners = [*self._listeners.values()]
         message = {
-            "op": "hello", "protocol": PROTOCOL, "name": self._name, "pid": os.getpid(), "run": self._run,
-            "ticks": start_ticks(os.getpid()), "generation": self._generation, "digest": self._digest,
-            "life": self.life.value, "orphan": self._channel is None,
-        }  # fmt: skip
+            "op": "hello",
+            "protocol": PROTOCOL_VERSION,
+            "name": self._name,
+            "pid": os.getpid(),
+            "run": self._run,
+            "ticks": start_ticks(os.getpid()),
+            "generation": self._generation,
+            "digest": self._digest,
+            "life": self.life.value,
+            "orphan": self._channel is None,
+        }
         return message, [item.fileno() for item in listeners if item.fileno() >= 0]
 
     def _on_sockets_taken(self) -> None:
@@ -227,7 +234,7 @@
             case "members":
                 after = message.get("after")
                 reply = (
-                    self._fleet_member.told(after if isinstance(after, int) else 0)
+                    self._fleet_member.members_since(after if isinstance(after, int) else 0)
                     if self._fleet_member
                     else {}
                 )
@@ -295,10 +302,10 @@
         self._table = table  # its `source` selects the membership source
         governed = table.get("fleet") is not None and table["fleet"]["voters"]
         if table.get("site") is not None:
-            from sorrelfront.daemon.border import Frontier
+            from sorrelfront.daemon.border import SiteGateway
 
-            self._partner_sites = Frontier(table["site"])
-            self._agent = self._partner_sites.agent(config, upstream, self._create_source, governed)
+            self._partner_sites = SiteGateway(table["site"])
+            self._agent = self._partner_sites.create_agent(config, upstream, self._create_source, governed)
         elif governed:
             self._agent = self._create_gated_agent(config, upstream)
         else:
@@ -306,16 +313,16 @@
         self._config = config
         self._agent.start()
         if table.get("fleet") is not None:
-            self._fleet_member = Fellow(table["fleet"])
+            self._fleet_member = FleetMembership(table["fleet"])
             if table["fleet"]["copies"]:
-                self._fleet_member.copy(table["source"] == "registry", self._update_agent)
+                self._fleet_member.start_replication(table["source"] == "registry", self._update_agent)
             if governed:
                 self._enable_policy(table)
         if self._partner_sites is not None:
-            self._partner_sites.open(config, self._body_budget)
-            if self._fleet_member is not None and self._fleet_member.copier is not None:
-                self._partner_sites.share(self._fleet_member.copier)
-        if config.known.backends:
+            self._partner_sites.start_listening(config, self._body_budget)
+            if self._fleet_member is not None and self._fleet_member.replicator is not None:
+                self._partner_sites.replicate_offers(self._fleet_member.replicator)
+        if config.cached_list.backends:
             learnt, self._pending_estimates = self._pending_estimates, None
             self._adopt_estimates(learnt)
         asyncio.get_running_loop().call_soon(self._send_heartbeat)
@@ -330,14 +337,14 @@
     def _enable_policy(self, table: Message) -> None:
         """Apply the fleet's policy, and ask for permission before the agent decides anything."""
         from sorrelfront.daemon.gate import GatedAgent
-        from sorrelfront.daemon.policies import Governed
+        from sorrelfront.daemon.policies import PolicyOverlay
 
         agent, member = self._agent, self._fleet_member
         assert isinstance(agent, GatedAgent) and member is not None
-        self._policy_overlay = Governed(table, self._apply_policy)
-        agent.header = bool(table["fleet"]["policy_header"])
+        self._policy_overlay = PolicyOverlay(table, self._apply_policy)
+        agent.adds_policy_header = bool(table["fleet"]["policy_header"])
         agent.isolation = table["fleet"]["isolation"]
-        member.govern(agent, self._policy_overlay)
+        member.join_policy(agent, self._policy_overlay)
 
     def _apply_policy(self, table: Message, policy: Policy | None) -> None:
         """Balance with this configuration and policy from now on. Raises BadConfig."""
@@ -347,19 +354,19 @@
         assert isinstance(agent, GatedAgent)
         config = parse(table)
         agent.reload(config)
-        agent.put_out(() if policy is None else policy.out)
+        agent.set_disabled(() if policy is None else policy.out)
         agent.isolation = table["fleet"]["isolation"] if policy is None else policy.isolation
         self._config = config
         self._set_seat(self._seat)
 
     async def _answer_policy_command(self, message: Message) -> None:
-        policy_member = self._fleet_member.council if self._fleet_member is not None else None
+        policy_member = self._fleet_member.policy_member if self._fleet_member is not None else None
         reply: Message = {"policy_ok": False, "fault": "this instance has no part in a policy"}
         if policy_member is not None:
-            from sorrelfront.daemon.policies import answer
+            from sorrelfront.daemon.policies import handle_command
 
             try:
-                reply = await answer(policy_member, message)
+                reply = await handle_command(policy_member, message)
             except (KeyError, TypeError, ValueError) as fault:
                 reply = {"policy_ok": False, "fault": f"it is not understood: {fault}"}
         self.send_to_supervisor({"op": "policy", "id": message.get("id"), **reply})
@@ -375,18 +382,18 @@
             return
         try:
             # Estimates decay over `recent_us`, so of a longer pause only that much counts.
-            count = adopt(
+            count = restore_snapshot(
                 agent.balancer, text, agent.now(), time.time_ns() // 1000,
-                KEPT_MOST_US, int(agent.balancer.recent_us),
+                MAX_STORED_AGE_US, int(agent.balancer.recent_us),
             )  # fmt: skip
-        except Unusable as why:
+        except UnusableSnapshot as why:
             log.warning("earlier estimates are not used: %s", why)
             return
         log.info("estimates of %d servers are taken up", count)
 
     def _send_estimates(self, number: object) -> None:
         agent = self._agent
-        text = "" if agent is None else snapshot(agent.balancer, agent.now(), time.time_ns() // 1000)
+        text = "" if agent is None else take_snapshot(agent.balancer, agent.now(), time.time_ns() // 1000)
         self.send_to_supervisor({"op": "learnt", "id": number, "text": text})
 
     def _create_source(self, config: Config, on_update: Any, on_failure: Any) -> Source:
@@ -397,8 +404,8 @@
                 self._adopt_estimates(learnt)
 
         def update(received: Update) -> None:
-            copier = self._fleet_member.copier if self._fleet_member is not None else None
-            deliver(received if copier is None else copier.heard(received))
+            copier = self._fleet_member.replicator if self._fleet_member is not None else None
+            deliver(received if copier is None else copier.on_list(received))
 
         self._update_agent = deliver
 
@@ -432,10 +439,10 @@
         if (
             self._policy_overlay is not None
             and self._fleet_member is not None
-            and self._fleet_member.council is not None
+            and self._fleet_member.policy_member is not None
         ):
             self._policy_overlay.table = table
-            self._fleet_member.council.again()
+            self._fleet_member.policy_member.reapply()
         self._set_seat(self._seat)
 
     def _set_seat(self, seat: int | None) -> None:
@@ -445,9 +452,9 @@
             return
         settings = self._config.settings
         if seat is None:
-            self._agent.place(settings.number, settings.agents)
+            self._agent.set_subset(settings.number, settings.agents)
         else:
-            self._agent.place(places.point(seat), places.POINTS)
+            self._agent.set_subset(places.ring_point(seat), places.RING_POINTS)
 
     def _evidence(self, server: str, since: int) -> Answering:
         """Return what attempts since `since` (agent time, us) show about a server."""
@@ -456,7 +463,7 @@
             return Answering.UNKNOWN
         if known.breaker.failures:
             return Answering.NO
-        return Answering.YES if known.heard_at >= since else Answering.UNKNOWN
+        return Answering.YES if known.last_answer_at >= since else Answering.UNKNOWN
 
     def _update_listeners(self, config: Config, sockets: list[socket.socket]) -> None:
         """Listen on these sockets too, and resize the limits of existing listeners.
@@ -470,7 +477,7 @@
         descriptors = Descriptors(config.sockets)
         share = max(1, len(wanted))
         descriptors.clients //= share
-        descriptors.asking //= share
+        descriptors.max_active //= share
         for address, sock in wanted.items():
             if address in self._listeners:
                 self._listeners[address].resize(descriptors, config.memory_bytes)
@@ -488,8 +495,8 @@
         agent = self._agent
         assert agent is not None
         figures: dict[str, Any] = {
-            "offered": agent.offered, "served": agent.served, "refused": agent.refused,
-            "failed": agent.failed, "held": agent.owed, "attempts": agent.attempts,
+            "offered": agent.requests_taken, "served": agent.served, "refused": agent.refused,
+            "failed": agent.failed, "held": agent.pending_requests, "attempts": agent.attempts,
             "connections": sum(listener.connections for listener in self._listeners.values()),
             "servers": len(agent.balancer.servers), "ready_servers": len(agent.balancer.ready),
         }  # fmt: skip
@@ -502,28 +509,28 @@
                 figures["fleet"]["requests"] = self._admission_figures()
             if self._partner_sites is not None:
                 figures["site"] = self._partner_sites.figures()
-            point = self._fleet_member.seat()
+            point = self._fleet_member.new_slice_start()
             if point is not None:
-                agent.place(point, places.POINTS)
+                agent.set_subset(point, places.RING_POINTS)
         self.send_to_supervisor({"op": "beat", "figures": figures})
         asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
-    def _update_replication(self, member: Fellow) -> None:
-        if member.copier is None:
+    def _update_replication(self, member: FleetMembership) -> None:
+        if member.replicator is None:
             return
         age_us = (
             self._registry_source.clock.age_us(registry.now_us())
             if self._registry_source is not None
             else None
         )
-        if age_us is not None and age_us <= SILENCE_US:
-            member.copier.current()
-        member.copier.beat()
+        if age_us is not None and age_us <= READ_TIMEOUT_US:
+            member.replicator.on_list_unchanged()
+        member.replicator.maintain()
 
     def _admission_figures(self) -> dict[str, int]:
         from sorrelfront.daemon.gate import GatedAgent
 
-        return asdict(self._agent.gate) if isinstance(self._agent, GatedAgent) else {}
+        return asdict(self._agent.admission_counts) if isinstance(self._agent, GatedAgent) else {}
 
     async def close(self) -> None:
         """Complete the requests in flight, or fail them at once after an abort."""
@@ -538,7 +545,7 @@
         if not self.abort_requested:
             ends = [item.close(self.others_accept) for item in self._listeners.values()]
             if self._partner_sites is not None:
-                ends.append(self._partner_sites.close())
+                ends.append(self._partner_sites.drain())
             closing = {*map(asyncio.create_task, ends), *self._closing_listeners}
             while closing and not self.abort_requested:
                 _, closing = await asyncio.wait(closing, timeout=0.05)
@@ -548,7 +555,7 @@
             agent.fail_all()
             await asyncio.sleep(FLUSH_DELAY_S)
         if self._partner_sites is not None:
-            await self._partner_sites.end()
+            await self._partner_sites.stop()
         agent.close()
 
     def close_adoption_socket(self) -> None:
@@ -566,7 +573,7 @@
         await instance.close()
     finally:
         instance.close_adoption_socket()
-    ignore_from_here(signal.SIGTERM)
+    ignore_until_exit(signal.SIGTERM)
 
 
 def main() -> int:
--- a/sorrelfront/daemon/journal.py
+++ b/sorrelfront/daemon/journal.py
@@ -18,12 +18,12 @@
 import msgspec
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.configuration import INSTANCES_MOST
+from sorrelfront.daemon.configuration import MAX_INSTANCES
 from sorrelfront.errors import SorrelfrontError
 
 log = logging.getLogger("sorrelfront.daemon")
 
-MAX_ENTRIES = 4 * INSTANCES_MOST  # a fleet, its replacement, and the draining instances of both
+MAX_ENTRIES = 4 * MAX_INSTANCES  # a fleet, its replacement, and the draining instances of both
 JOURNAL = "journal"
 LOCK = "lock"
 
@@ -46,7 +46,7 @@
     entries: list[Entry]
 
 
-class NoFolder(SorrelfrontError):
+class RunFolderError(SorrelfrontError):
     """The run folder cannot be used; the text is one line."""
 
     remedy = "Give the folder beside the control socket to the daemon's user alone, with mode 0700."
@@ -54,7 +54,7 @@
 
 def encode(journal: Journal) -> bytes:
     """Encode a journal as a record."""
-    return records.seal(records.Kind.JOURNAL, msgspec.msgpack.encode(journal))
+    return records.encode_record(records.RecordKind.JOURNAL, msgspec.msgpack.encode(journal))
 
 
 def decode(payload: bytes) -> Journal:
@@ -62,9 +62,9 @@
     try:
         journal = msgspec.msgpack.decode(payload, type=Journal)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise records.Spoilt(str(fault)) from None
+        raise records.InvalidRecord(str(fault)) from None
     if len(journal.entries) > MAX_ENTRIES or not 0 <= journal.generation < 2**53:
-        raise records.Spoilt("its figures are out of bounds")
+        raise records.InvalidRecord("its figures are out of bounds")
     return journal
 
 
@@ -79,10 +79,10 @@
             path.mkdir(mode=0o700, exist_ok=True)
             status = path.lstat()
         except OSError as fault:
-            raise NoFolder(f"{path}: {fault.strerror}") from None
+            raise RunFolderError(f"{path}: {fault.strerror}") from None
         if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & 0o077:
             # Otherwise another user could place a socket there that answers instead of an instance.
-            raise NoFolder(
+            raise RunFolderError(
                 f"{path}: must be a folder of this user's that nobody else may enter (mode 0700)"
             )
 
@@ -97,7 +97,7 @@
             flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
             descriptor = os.open(self.path / LOCK, flags, 0o600)
         except OSError as fault:
-            raise NoFolder(f"{self.path / LOCK}: {fault.strerror}") from None
+            raise RunFolderError(f"{self.path / LOCK}: {fault.strerror}") from None
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -119,12 +119,12 @@
 
     def read(self) -> Journal | None:
         """Read the journal; None if there is no valid one. An unreadable file is renamed. Raises nothing."""
-        payload = records.trusted(self.journal, records.Kind.JOURNAL)
+        payload = records.read_or_set_aside(self.journal, records.RecordKind.JOURNAL)
         if payload is None:
             return None
         try:
             return decode(payload)
-        except records.Spoilt as why:
+        except records.InvalidRecord as why:
             log.warning("%s is not used: %s", self.journal, why)
             return None
 
@@ -172,8 +172,8 @@
                 if not 0 < length <= self.SLOT_BYTES - self.SLOT_HEADER.size or (best and best[0] >= count):
                     continue
                 data = os.pread(self.descriptor, length, at + self.SLOT_HEADER.size)
-                best = (count, decode(records.decode_record(records.Kind.JOURNAL, data)))
-            except (OSError, struct.error, records.Spoilt):
+                best = (count, decode(records.decode_record(records.RecordKind.JOURNAL, data)))
+            except (OSError, struct.error, records.InvalidRecord):
                 continue
         if best is None:
             return None
--- a/sorrelfront/daemon/ledger.py
+++ b/sorrelfront/daemon/ledger.py
@@ -35,7 +35,7 @@
     return hashlib.blake2b(payload, digest_size=8, person=b"sorrelfront").digest()
 
 
-class Ledger:
+class ReplicaLog:
     """A replica log, used by one thread at a time.
 
     Call `load` first; each `write` is durable once it returns.
@@ -54,7 +54,7 @@
 
     def load(self) -> list[bytes]:
         """Return the payloads written, in order, as far as their checksums are right. Raises nothing."""
-        payload = records.trusted(self.path, records.Kind.COPIES)
+        payload = records.read_or_set_aside(self.path, records.RecordKind.COPIES)
         found: list[bytes] = []
         if payload is not None:
             try:
@@ -85,7 +85,7 @@
         return found
 
     @property
-    def wants_snapshot(self) -> bool:
+    def needs_snapshot(self) -> bool:
         """Whether the tail has outgrown the snapshot, or there is no tail to write to."""
         return self._descriptor is None or self._tail_bytes > max(MIN_COMPACTION_BYTES, self._snapshot_bytes)
 
@@ -95,7 +95,9 @@
         Raises OSError, and ValueError if the snapshot is too long; the log is then as it was before.
         """
         generation = self._generation + 1
-        data = records.seal(records.Kind.COPIES, msgspec.msgpack.encode((generation, payloads)))
+        data = records.encode_record(
+            records.RecordKind.COPIES, msgspec.msgpack.encode((generation, payloads))
+        )
         path = self._tail_path(generation)
         records.disk.remove(path)
         descriptor = records.disk.create(path)
--- a/sorrelfront/daemon/notify.py
+++ b/sorrelfront/daemon/notify.py
@@ -18,8 +18,8 @@
 FIRST_DESCRIPTOR = 3  # SD_LISTEN_FDS_START
 MAX_DESCRIPTORS = 64  # further ones are ignored
 # One name for all listeners, which are told apart by address: a stored name cannot hold a colon.
-SOCKETS_NAME = "sorrelfront-listener"
-STATE_NAME = "sorrelfront-state"
+SOCKETS_FDNAME = "sorrelfront-listener"
+STATE_FDNAME = "sorrelfront-state"
 
 
 def notify(environ: MutableMapping[str, str], *states: str) -> bool:
@@ -37,7 +37,7 @@
     return False
 
 
-def keep(environ: MutableMapping[str, str], name: str, descriptors: Sequence[int]) -> bool:
+def store_descriptors(environ: MutableMapping[str, str], name: str, descriptors: Sequence[int]) -> bool:
     """Replace the descriptors that the service manager's store holds under this name.
 
     No descriptors remove the name from the store. Returns whether there is a service manager and it was told.
@@ -57,17 +57,17 @@
 
 
 @dataclass(slots=True)
-class Passed:
+class PassedDescriptors:
     """What the service manager passed: listening sockets with their names, and the state's memory file.
 
     `state` is the descriptor of that file, -1 if there is none.
     """
 
     sockets: list[tuple[str, socket.socket]] = field(default_factory=list)
-    state: int = -1
+    state_descriptor: int = -1
 
 
-def passed(environ: MutableMapping[str, str]) -> Passed:
+def take_passed_descriptors(environ: MutableMapping[str, str]) -> PassedDescriptors:
     """Return the descriptors that the service manager passed to this process.
 
     The environment variables are removed, so that no child process takes them for its own. A descriptor that
@@ -76,13 +76,13 @@
     pid, count = environ.pop("LISTEN_PID", ""), environ.pop("LISTEN_FDS", "")
     names = environ.pop("LISTEN_FDNAMES", "").split(":")
     if pid != str(os.getpid()) or not count.isdigit():
-        return Passed()
-    result = Passed()
+        return PassedDescriptors()
+    result = PassedDescriptors()
     for index in range(min(int(count), MAX_DESCRIPTORS)):
         name = names[index] if index < len(names) else ""
-        if name == STATE_NAME and result.state < 0 and _is_memory(FIRST_DESCRIPTOR + index):
-            result.state = FIRST_DESCRIPTOR + index
-            os.set_inheritable(result.state, False)
+        if name == STATE_FDNAME and result.state_descriptor < 0 and _is_memory(FIRST_DESCRIPTOR + index):
+            result.state_descriptor = FIRST_DESCRIPTOR + index
+            os.set_inheritable(result.state_descriptor, False)
             continue
         try:
             sock = socket.socket(fileno=FIRST_DESCRIPTOR + index)
--- a/sorrelfront/daemon/policies.py
+++ b/sorrelfront/daemon/policies.py
@@ -25,15 +25,15 @@
     Fault,
     Limits,
     Rules,
-    cross_classes,
-    how_to_decide,
+    check_class_tables,
+    decision_settings,
 )
-from sorrelfront.decisions.fleet.policy import Shown, Value, digest_of
-from sorrelfront.decisions.fleet.said import POLICY_MOST
+from sorrelfront.decisions.fleet.policy import Value, VoterState, digest_of
+from sorrelfront.decisions.fleet.said import MAX_POLICY_BYTES
 from sorrelfront.platform.config import BadConfig, parse
 
 if TYPE_CHECKING:
-    from sorrelfront.fleet.council import Council
+    from sorrelfront.fleet.council import PolicyMember
 
 log = logging.getLogger("sorrelfront.daemon")
 
@@ -101,21 +101,21 @@
         raise BadDocument(path, [Fault("", "", "is not a table")])
     for key in top:
         if key not in TOP_LEVEL_KEYS:
-            checker.unknown("", key, TOP_LEVEL_KEYS)
+            checker.add_unknown_key("", key, TOP_LEVEL_KEYS)
     try:
         out = msgspec.convert({"servers": top.get("out", [])}, type=Out).servers
     except msgspec.ValidationError as fault:
-        checker.fault("", "out", f"is not a list of servers' ids: {fault}")
+        checker.add_fault("", "out", f"is not a list of servers' ids: {fault}")
         out = []
     made = Policy(
-        classes=checker.named(top.get("classes"), "classes", Class),
-        limits=checker.table(top.get("limits", {}), "limits", Limits),
-        rules=checker.table(top.get("rules", {}), "rules", Rules),
+        classes=checker.check_named_tables(top.get("classes"), "classes", Class),
+        limits=checker.check_table(top.get("limits", {}), "limits", Limits),
+        rules=checker.check_table(top.get("rules", {}), "rules", Rules),
         out=tuple(sorted(set(out))),
     )
-    cross_classes(made.classes, checker)
-    if not checker.faults and len(made.encoded()) > POLICY_MOST - 1_024:
-        checker.fault("", "", f"is longer than {POLICY_MOST - 1_024} bytes")
+    check_class_tables(made.classes, checker)
+    if not checker.faults and len(made.encoded()) > MAX_POLICY_BYTES - 1_024:
+        checker.add_fault("", "", f"is longer than {MAX_POLICY_BYTES - 1_024} bytes")
     if checker.faults:
         raise BadDocument(path, checker.faults)
     return made
@@ -125,7 +125,7 @@
     """Read and validate a policy's file. Raises BadDocument."""
     try:
         with path.open("rb") as file:
-            data = file.read(4 * POLICY_MOST + 1)
+            data = file.read(4 * MAX_POLICY_BYTES + 1)
         top = tomllib.loads(data.decode())
     except OSError as fault:
         raise BadDocument(path, [Fault("", "", fault.strerror or str(fault))]) from None
@@ -134,7 +134,7 @@
     return check(top, path)
 
 
-def seal(policy: Policy, who: str, at: float, file: str) -> bytes:
+def encode_envelope(policy: Policy, who: str, at: float, file: str) -> bytes:
     """Encode the document that is voted on."""
     return msgspec.json.encode(Envelope(policy.table(), who[:MAX_WHO_LENGTH], at, file[:256]), order="sorted")
 
@@ -145,7 +145,7 @@
     Raises BadDocument if it is damaged, or has a key that this version of the program does not know.
     """
     place = Path("the policy")
-    if len(document) > POLICY_MOST:
+    if len(document) > MAX_POLICY_BYTES:
         raise BadDocument(place, [Fault("", "", "is too long")])
     try:
         envelope = msgspec.json.decode(document, type=Envelope)
@@ -156,7 +156,7 @@
 
 def overlay(table: dict[str, Any], policy: Policy) -> dict[str, Any]:
     """Return an instance's terms with this policy in place of its host's file."""
-    settings = how_to_decide(policy.classes, policy.limits, policy.rules)
+    settings = decision_settings(policy.classes, policy.limits, policy.rules)
     return {**table, "settings": {**table["settings"], **settings}}
 
 
@@ -172,7 +172,7 @@
     return ""
 
 
-class Governed:
+class PolicyOverlay:
     """One instance's terms: those of its host's file, overlaid with the fleet's policy in force."""
 
     def __init__(self, table: dict[str, Any], apply: Callable[[dict[str, Any], Policy | None], None]) -> None:
@@ -188,11 +188,11 @@
         """These terms of a host's file, overlaid with the policy in force."""
         return table if self.policy is None else overlay(table, self.policy)
 
-    def refusal(self, document: bytes) -> str:
+    def rejection_reason(self, document: bytes) -> str:
         """Return why this instance cannot apply a policy; empty if it can."""
         return rejection_reason(document, self.table)
 
-    def take(self, version: int, document: bytes) -> str:
+    def apply_version(self, version: int, document: bytes) -> str:
         """Apply this version. Returns a fault if that is not possible, else an empty text."""
         try:
             policy = decode_envelope(document)[0] if document else None
@@ -223,7 +223,7 @@
             log.info("version %d is not what the file here says: %s%s", version, shown, more)
 
 
-async def answer(council: Council, message: dict[str, Any]) -> dict[str, Any]:
+async def handle_command(council: PolicyMember, message: dict[str, Any]) -> dict[str, Any]:
     """Handle a command of `sorrelfront policy` at an instance, and return its answer.
 
     Raises KeyError, TypeError or ValueError for a malformed or unknown command.
@@ -237,7 +237,7 @@
             return reply | {"shown": [_state_table(item) for item in states.values()], "history": rows}
         case "propose":
             value = Value(str(message["change"]), str(message["document"]).encode(), bool(message["void"]))
-            if not 0 < len(value.change) <= MAX_CHANGE_ID_LENGTH or len(value.document) > POLICY_MOST:
+            if not 0 < len(value.change) <= MAX_CHANGE_ID_LENGTH or len(value.document) > MAX_POLICY_BYTES:
                 raise ValueError("a change that is too long")
             begun = council.propose(value, None if message["onto"] is None else int(message["onto"]))
             return reply | {"begun": begun, **_outcome_table(council)}
@@ -251,12 +251,12 @@
     raise ValueError("a word that is not known here")
 
 
-def _state_table(item: Shown) -> dict[str, Any]:
+def _state_table(item: VoterState) -> dict[str, Any]:
     """A voter's state without its history, under the fields' own names."""
     return {key: value for key, value in item._asdict().items() if key != "history"}
 
 
-def _history_rows(item: Shown) -> list[dict[str, Any]]:
+def _history_rows(item: VoterState) -> list[dict[str, Any]]:
     """The chosen values in a voter's history, the oldest first."""
     first = item.slot - len(item.history) + 1
     return [
@@ -270,7 +270,7 @@
     ]
 
 
-def _outcome_table(council: Council) -> dict[str, Any]:
+def _outcome_table(council: PolicyMember) -> dict[str, Any]:
     proposal = council.latest_proposal()
     if proposal is None:
         return {"outcome": None}
