--- a/sorrelfront/daemon/records.py
+++ b/sorrelfront/daemon/records.py
@@ -30,7 +30,7 @@
 MAX_PENDING_FILES = 8  # files with pending writes per writer
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """Type of a record; the numbers are stored."""
 
     JOURNAL = 1
@@ -43,12 +43,11 @@
     SITE = 8
 
 
-class Spoilt(SorrelfrontError):
+class InvalidRecord(SorrelfrontError):
     """A record is invalid; the text says why."""
 
     remedy = (
-        "Nothing has to be done: the file is set aside, and written anew; if it comes "
-        "back, look at the disk."
+        "Nothing has to be done: the file is set aside, and written anew; if it comes back, look at the disk."
     )
 
 
@@ -101,33 +100,33 @@
     return hashlib.blake2b(head + payload, digest_size=16, person=b"sorrelfront").digest()
 
 
-def seal(kind: Kind, payload: bytes) -> bytes:
+def encode_record(kind: RecordKind, payload: bytes) -> bytes:
     """Encode a record. Raises ValueError if the payload is too long."""
     if len(payload) > MAX_PAYLOAD_BYTES:
         raise ValueError(f"the payload of a record is too long: {len(payload)} bytes")
     return HEADER.pack(MAGIC, VERSION, kind, len(payload), _digest(VERSION, kind, payload)) + payload
 
 
-def decode_record(kind: Kind, data: bytes) -> bytes:
+def decode_record(kind: RecordKind, data: bytes) -> bytes:
     """Decode a record and return its payload. Raises Spoilt, and nothing else for any input."""
     if len(data) < HEADER.size:
-        raise Spoilt("it is shorter than a head")
+        raise InvalidRecord("it is shorter than a head")
     magic, version, found, length, digest = HEADER.unpack_from(data)
     payload = data[HEADER.size :]
     if magic != MAGIC:
-        raise Spoilt("it is no record of this program")
+        raise InvalidRecord("it is no record of this program")
     if version != VERSION:
-        raise Spoilt(f"it is of version {version}, not {VERSION}")
+        raise InvalidRecord(f"it is of version {version}, not {VERSION}")
     if found != kind:
-        raise Spoilt(f"it is a record of kind {found}, not {int(kind)}")
+        raise InvalidRecord(f"it is a record of kind {found}, not {int(kind)}")
     if length > MAX_PAYLOAD_BYTES or length != len(payload):
-        raise Spoilt(f"it holds {len(payload)} bytes and says {length}")
+        raise InvalidRecord(f"it holds {len(payload)} bytes and says {length}")
     if digest != _digest(version, kind, payload):
-        raise Spoilt("its checksum is wrong")
+        raise InvalidRecord("its checksum is wrong")
     return payload
 
 
-def read(path: Path, kind: Kind) -> bytes | None:
+def read(path: Path, kind: RecordKind) -> bytes | None:
     """Return the payload of the record in this file, or None if there is no file.
 
     Raises Spoilt, also unless it is a regular file of this user or root that others cannot write (so
@@ -139,23 +138,23 @@
     except FileNotFoundError:
         return None
     except OSError as fault:
-        raise Spoilt(f"it cannot be opened: {fault.strerror}") from None
+        raise InvalidRecord(f"it cannot be opened: {fault.strerror}") from None
     with open(descriptor, "rb") as file:
         status = os.fstat(descriptor)
         if not stat.S_ISREG(status.st_mode):
-            raise Spoilt("it is not a plain file")
+            raise InvalidRecord("it is not a plain file")
         if status.st_uid not in (0, os.geteuid()) or status.st_mode & 0o022:
-            raise Spoilt("it is another user's, or others may write it")
+            raise InvalidRecord("it is another user's, or others may write it")
         if status.st_size > HEADER.size + MAX_PAYLOAD_BYTES:
-            raise Spoilt(f"it is {status.st_size} bytes long")
+            raise InvalidRecord(f"it is {status.st_size} bytes long")
         return decode_record(kind, file.read(HEADER.size + MAX_PAYLOAD_BYTES + 1))
 
 
-def trusted(path: Path, kind: Kind) -> bytes | None:
+def read_or_set_aside(path: Path, kind: RecordKind) -> bytes | None:
     """Return the payload, or None. An invalid file is logged and renamed to `.bad`. Raises nothing."""
     try:
         return read(path, kind)
-    except (Spoilt, OSError) as why:
+    except (InvalidRecord, OSError) as why:
         aside = path.with_name(path.name + ".bad")  # only the latest is kept
         try:
             disk.replace(path, aside)
--- a/sorrelfront/daemon/reload.py
+++ b/sorrelfront/daemon/reload.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from sorrelfront.daemon.channel import MESSAGE_MOST, Message, send
+from sorrelfront.daemon.channel import MAX_MESSAGE_BYTES, Message, send
 from sorrelfront.daemon.configuration import BadDocument, Document, read
 from sorrelfront.daemon.fleet import (
     CannotStart,
     Fleet,
-    Terms,
+    InstanceConfig,
     bind_listener,
     now_us,
     supervision_policy,
@@ -29,7 +29,7 @@
 RESTART_KEYS = (("daemon", "control"), ("daemon", "state_dir"), ("membership", "source"))
 
 
-class Reloading:
+class Reloader:
     """Runs one reload at a time; one more may wait.
 
     `refusal_reason` returns why no reload is possible now, or None. `committed` is called once
@@ -62,7 +62,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def by_signal(self) -> None:
+    def reload_on_signal(self) -> None:
         """Start a reload in the background, unless one waits already."""
         if self._queued:
             return
@@ -89,11 +89,11 @@
             try:
                 answer = await self._task
             except asyncio.CancelledError:
-                if not self._fleet.decide.stopping:
+                if not self._fleet.supervisor.stopping:
                     raise
                 answer = {"ok": False, "faults": ["the daemon is stopping"]}
             self._task = None
-            if not self._fleet.decide.stopping:
+            if not self._fleet.supervisor.stopping:
                 notify(os.environ, "READY=1")
             for fault in answer.get("faults", []):
                 log.warning("the new file is not used: %s", fault)
@@ -129,19 +129,19 @@
         refused = self._restart_reason(document)
         if refused is not None:
             return {"ok": False, "faults": [f"{self._path}: {refused}"]}
-        config = await asyncio.to_thread(Terms, document)
-        if config.size > MESSAGE_MOST:
+        config = await asyncio.to_thread(InstanceConfig, document)
+        if config.size > MAX_MESSAGE_BYTES:
             return {"ok": False, "faults": [f"{self._path}: is too long for an instance to take"]}
         generation = fleet.generation + 1
         opened: dict[Address, socket.socket] = {}
         done: list[str] = []
         committed = False
         try:
-            for name, address in document.addresses.items():
+            for name, address in document.listener_addresses.items():
                 if address not in fleet.sockets:
                     opened[address] = bind_listener(address, name)
             sockets = {**fleet.sockets, **opened}
-            for name in [name for name in fleet.decide.ready if name in document.names]:
+            for name in [name for name in fleet.supervisor.ready if name in document.instance_names]:
                 run = fleet.runs.get(name)
                 if run is None:
                     continue
@@ -162,26 +162,28 @@
 
     def _roll_back(self, names: list[str]) -> None:
         fleet = self._fleet
-        if fleet.decide.stopping:
+        if fleet.supervisor.stopping:
             return  # the sockets are closed already, and the instances drain with either file
         for name in names:
             run = fleet.runs.get(name)
             if run is not None:
-                fleet.retake(name, run)
+                fleet.resend_config(name, run)
 
     def _commit(
-        self, config: Terms, generation: int, sockets: dict[Address, socket.socket], done: list[str]
+        self, config: InstanceConfig, generation: int, sockets: dict[Address, socket.socket], done: list[str]
     ) -> None:
         fleet = self._fleet
-        fleet.terms = config
+        fleet.config = config
         fleet.generation = generation
         fleet.sockets = sockets
         for name in done:
             if name in fleet.runs:
                 fleet.runs[name].generation = generation
                 send(fleet.runs[name].channel, {"op": "commit"})
-        wanted = set(config.document.addresses.values())
+        wanted = set(config.document.listener_addresses.values())
         fleet.close_sockets([address for address in fleet.sockets if address not in wanted])
-        fleet.decide.on_policy(supervision_policy(config.document), now_us())
+        fleet.supervisor.on_policy(supervision_policy(config.document), now_us())
         self._committed()
-        fleet.do(fleet.decide.on_names(config.document.names, now_us(), fleet.stop_within_us))
+        fleet.execute(
+            fleet.supervisor.on_names(config.document.instance_names, now_us(), fleet.stop_timeout_us)
+        )
--- a/sorrelfront/daemon/replacement.py
+++ b/sorrelfront/daemon/replacement.py
@@ -7,8 +7,8 @@
 from collections.abc import Awaitable, Callable
 
 from sorrelfront.daemon.channel import Message, send
-from sorrelfront.daemon.fleet import Fleet, Run, Unanswered
-from sorrelfront.daemon.takeover import Bequest
+from sorrelfront.daemon.fleet import Fleet, InstanceUnavailable, Run
+from sorrelfront.daemon.takeover import HandoverSender
 
 log = logging.getLogger("sorrelfront.daemon")
 
@@ -16,15 +16,15 @@
 ESTIMATES_TIMEOUT_S = 1.0  # for an instance to send its estimates
 
 
-async def learnt_of(fleet: Fleet, run: Run) -> str:
+async def request_estimates(fleet: Fleet, run: Run) -> str:
     """Return a snapshot of the instance's estimates, empty if it does not answer in time."""
     try:
         return str((await fleet.ask(run, {"op": "learnt"}, ESTIMATES_TIMEOUT_S)).get("text", ""))
-    except Unanswered:
+    except InstanceUnavailable:
         return ""
 
 
-class Replacing:
+class Replacement:
     """Runs at most one replacement at a time.
 
     `refusal_reason` returns why no replacement is possible now, or None. `release` releases what the new
@@ -42,7 +42,7 @@
         self._refusal_reason = refusal_reason
         self._release = release
         self._drain = drain
-        self._handover: Bequest | None = None
+        self._handover: HandoverSender | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -62,13 +62,13 @@
         if why is not None:
             return {"ok": False, "faults": [why]}
         try:
-            handover = self._handover = Bequest(to)
+            handover = self._handover = HandoverSender(to)
         except OSError as fault:
             return {"ok": False, "faults": [f"the new program's socket: {fault.strerror}"]}
         self._spawn(self._send_state(handover))
         return {"ok": True}
 
-    def call_off(self, why: str) -> None:
+    def cancel(self, why: str) -> None:
         """Cancel the replacement and tell the new program.
 
         Without this, when the running program is told to stop during a replacement, the new one would go on
@@ -99,13 +99,17 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _send_state(self, handover: Bequest) -> None:
-        runs = {name: run for name, run in self._fleet.runs.items() if name in self._fleet.document.names}
-        texts = await asyncio.gather(*(learnt_of(self._fleet, run) for run in runs.values()))
+    async def _send_state(self, handover: HandoverSender) -> None:
+        runs = {
+            name: run for name, run in self._fleet.runs.items() if name in self._fleet.document.instance_names
+        }
+        texts = await asyncio.gather(*(request_estimates(self._fleet, run) for run in runs.values()))
         learnt = dict(zip(runs, texts, strict=True))
         if self._handover is not handover:
             return
-        if not handover.give(self._fleet.sockets, {name: text for name, text in learnt.items() if text}):
+        if not handover.send_handover(
+            self._fleet.sockets, {name: text for name, text in learnt.items() if text}
+        ):
             self.disconnect()
             return
         loop = asyncio.get_running_loop()
@@ -117,16 +121,16 @@
         if handover is None:
             return
         try:
-            message = handover.heard()
+            message = handover.read_message()
         except BlockingIOError:
             return
         if message is None:
             log.warning("the replacement ended before it was ready; nothing has changed")
             self.disconnect()
-        elif message.get("op") == "ready" and not self._fleet.decide.stopping:
+        elif message.get("op") == "ready" and not self._fleet.supervisor.stopping:
             self._spawn(self._hand_over(handover))
 
-    async def _hand_over(self, handover: Bequest) -> None:
+    async def _hand_over(self, handover: HandoverSender) -> None:
         """Release what the new program needs, now that it accepts connections, and drain."""
         self._fleet.handed_over = True
         await self._release()
--- a/sorrelfront/daemon/state.py
+++ b/sorrelfront/daemon/state.py
@@ -16,11 +16,11 @@
 import msgspec
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.configuration import FILE_MOST, INSTANCES_MOST
+from sorrelfront.daemon.configuration import MAX_FILE_BYTES, MAX_INSTANCES
 from sorrelfront.daemon.fleet import Fleet, now_us
-from sorrelfront.daemon.records import Kind, Spoilt, Writer, seal
-from sorrelfront.daemon.replacement import learnt_of
-from sorrelfront.decisions.learnt import KEPT_MOST_US, merged
+from sorrelfront.daemon.records import InvalidRecord, RecordKind, Writer, encode_record
+from sorrelfront.daemon.replacement import request_estimates
+from sorrelfront.decisions.learnt import MAX_STORED_AGE_US, merge_snapshots
 
 log = logging.getLogger("sorrelfront.daemon")
 
@@ -53,22 +53,22 @@
     try:
         found = msgspec.msgpack.decode(payload, type=Remembered)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise Spoilt(str(fault)) from None
-    if not 0 <= found.generation < 2**53 or len(found.failures) > INSTANCES_MOST:
-        raise Spoilt("its figures are out of bounds")
-    if len(found.document) > FILE_MOST:
-        raise Spoilt("its document is too long")
+        raise InvalidRecord(str(fault)) from None
+    if not 0 <= found.generation < 2**53 or len(found.failures) > MAX_INSTANCES:
+        raise InvalidRecord("its figures are out of bounds")
+    if len(found.document) > MAX_FILE_BYTES:
+        raise InvalidRecord("its document is too long")
     return found
 
 
 def read_fleet_record(folder: Path) -> Remembered | None:
     """Return the `fleet` record of this folder, or None if there is no valid one. Raises nothing."""
-    payload = records.trusted(folder / "fleet", Kind.FLEET)
+    payload = records.read_or_set_aside(folder / "fleet", RecordKind.FLEET)
     if payload is None:
         return None
     try:
         return decode(payload)
-    except Spoilt as why:
+    except InvalidRecord as why:
         log.warning("%s is not used: %s", folder / "fleet", why)
         return None
 
@@ -98,15 +98,15 @@
             self._fleet.generation = max(self._fleet.generation, found.generation)
             for name, failures in found.failures.items():
                 age = unix_us() - failures.at_us
-                self._fleet.decide.restore_failures(name, failures.count, age, now_us())
+                self._fleet.supervisor.restore_failures(name, failures.count, age, now_us())
                 self._failures[name] = failures
-        payload = records.trusted(self._folder / "learnt", Kind.LEARNT)
+        payload = records.read_or_set_aside(self._folder / "learnt", RecordKind.LEARNT)
         if payload is not None:
             with contextlib.suppress(UnicodeDecodeError):
-                text = merged([payload.decode()], unix_us())
+                text = merge_snapshots([payload.decode()], unix_us())
                 if text:
                     self._snapshots[""] = text
-                    self._fleet.learnt[""] = text
+                    self._fleet.estimates[""] = text
                     self.restored = True
                 else:
                     log.warning("%s is not used: it is too old, or empty", self._folder / "learnt")
@@ -119,33 +119,35 @@
 
     async def write(self) -> None:
         """Fetch the snapshot of the next instance in turn, and write the records that have changed."""
-        ready = [name for name in self._fleet.decide.ready if name in self._fleet.runs]
+        ready = [name for name in self._fleet.supervisor.ready if name in self._fleet.runs]
         self._snapshots = {name: text for name, text in self._snapshots.items() if name in ("", *ready)}
         if ready:
             self._next_index = (self._next_index + 1) % len(ready)
             name = ready[self._next_index]
-            text = await learnt_of(self._fleet, self._fleet.runs[name])
+            text = await request_estimates(self._fleet, self._fleet.runs[name])
             if text:
                 self._snapshots[name] = text
-                combined = await asyncio.to_thread(merged, [*self._snapshots.values()], unix_us())
+                combined = await asyncio.to_thread(merge_snapshots, [*self._snapshots.values()], unix_us())
                 if combined:
                     # What one instance knew and none updates any more stays in this merged snapshot for an
                     # hour.
                     self._snapshots = {"": combined, name: text}
-                    self._fleet.learnt[""] = combined  # also for instances that are restarted
-                    self._writer.put(self._folder / "learnt", seal(Kind.LEARNT, combined.encode()))
+                    self._fleet.estimates[""] = combined  # also for instances that are restarted
+                    self._writer.put(
+                        self._folder / "learnt", encode_record(RecordKind.LEARNT, combined.encode())
+                    )
         self.write_fleet()
 
     def write_fleet(self) -> None:
         """Write the `fleet` record if it has changed."""
         now = unix_us()
-        for item in self._fleet.decide.standings():
+        for item in self._fleet.supervisor.instance_statuses():
             known = self._failures.get(item.name)
             if not item.failures:
                 self._failures.pop(item.name, None)
             elif known is None or known.count != item.failures:
                 self._failures[item.name] = Failures(item.failures, now)
-        names = set(self._fleet.document.names)
+        names = set(self._fleet.document.instance_names)
         self._failures = {name: seen for name, seen in self._failures.items() if name in names}
         record = Remembered(0, self._fleet.generation, self._fleet.document.text, dict(self._failures))
         compared = msgspec.msgpack.encode(record)
@@ -153,12 +155,14 @@
             return
         self._last_written = compared
         stamped = msgspec.structs.replace(record, at_us=now)
-        self._writer.put(self._folder / "fleet", seal(Kind.FLEET, msgspec.msgpack.encode(stamped)))
+        self._writer.put(
+            self._folder / "fleet", encode_record(RecordKind.FLEET, msgspec.msgpack.encode(stamped))
+        )
 
     def status(self) -> dict[str, object]:
         """Return the state of the store for `ctl status`."""
         return {
             "folder": str(self._folder), "restored": self.restored, "written": self._writer.written,
             "failures": self._writer.failures, "fault": self._writer.fault,
-            "kept_most_s": KEPT_MOST_US // 1_000_000,
+            "kept_most_s": MAX_STORED_AGE_US // 1_000_000,
         }  # fmt: skip
--- a/sorrelfront/daemon/supervisor.py
+++ b/sorrelfront/daemon/supervisor.py
@@ -21,16 +21,23 @@
 from sorrelfront.daemon.channel import Message
 from sorrelfront.daemon.configuration import BadDocument, Document, parse, read
 from sorrelfront.daemon.control import Control
-from sorrelfront.daemon.fleet import CannotStart, Fleet, Unanswered, now_us
-from sorrelfront.daemon.journal import Entry, Journal, NoFolder, RunFolder, StateMemory, encode
-from sorrelfront.daemon.notify import SOCKETS_NAME, STATE_NAME, Passed, keep, notify, passed
+from sorrelfront.daemon.fleet import CannotStart, Fleet, InstanceUnavailable, now_us
+from sorrelfront.daemon.journal import Entry, Journal, RunFolder, RunFolderError, StateMemory, encode
+from sorrelfront.daemon.notify import (
+    SOCKETS_FDNAME,
+    STATE_FDNAME,
+    PassedDescriptors,
+    notify,
+    store_descriptors,
+    take_passed_descriptors,
+)
 from sorrelfront.daemon.processes import boot_id
 from sorrelfront.daemon.records import Writer
-from sorrelfront.daemon.reload import Reloading
-from sorrelfront.daemon.replacement import Replacing
+from sorrelfront.daemon.reload import Reloader
+from sorrelfront.daemon.replacement import Replacement
 from sorrelfront.daemon.state import WRITE_TIMEOUT_S, State, read_fleet_record
-from sorrelfront.daemon.takeover import Bereft, NoTakeover, Successor
-from sorrelfront.signals import ignore_from_here, on_signal
+from sorrelfront.daemon.takeover import PredecessorEnded, Successor, TakeoverError
+from sorrelfront.signals import ignore_until_exit, on_signal
 
 log = logging.getLogger("sorrelfront.daemon")
 
@@ -51,20 +58,20 @@
         self._successor = Successor(document.control) if replace else None
         try:
             self._folder = RunFolder(document.run_folder)
-        except NoFolder as fault:
+        except RunFolderError as fault:
             raise CannotStart(f"[daemon] control: {fault}") from None
         self.fleet = Fleet(document, self._folder.path)
         self.fleet.provisional = replace
-        self.fleet.changed = self._on_fleet_changed
-        self.fleet.spawned = self._write_journal
+        self.fleet.on_change = self._on_fleet_changed
+        self.fleet.on_processes_changed = self._write_journal
         self._writer = Writer()
         self._state = None
         if document.state_folder is not None:
             self._state = State(document.state_folder, self.fleet, self._writer)
         self._memory: StateMemory | None = None
         self._control: Control | None = None
-        self.reloading = Reloading(path, self.fleet, self._may_change, self._on_reloaded)
-        self.replacing = Replacing(self.fleet, self._may_hand_over, self._release_control, self.stop)
+        self.reloading = Reloader(path, self.fleet, self._may_change, self._on_reloaded)
+        self.replacing = Replacement(self.fleet, self._may_hand_over, self._release_control, self.stop)
         self._adoption: AdoptionCounts | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self.failure: str | None = None
@@ -83,19 +90,19 @@
         on_signal(signal.SIGINT, self._on_interrupt)
         on_signal(signal.SIGHUP, self._reload_by_signal)
         try:
-            inherited = passed(os.environ)
+            inherited = take_passed_descriptors(os.environ)
             if self._successor is not None:
                 await self._receive_handover(self._successor)
             if self._successor is None:
                 await self._become_supervisor(inherited)
-            self.fleet.open(inherited.sockets)
+            self.fleet.open_sockets(inherited.sockets)
             if self._successor is None:
                 await self._start_control()
                 self._store_with_manager()
             self._started = True
             if self._stop_asked:
                 self.stop()
-            self.fleet.do(self.fleet.decide.start(now_us()))
+            self.fleet.execute(self.fleet.supervisor.start(now_us()))
             if self._successor is not None:
                 self._spawn(self._complete_takeover(self._successor))
             elif self._state is not None:
@@ -106,7 +113,7 @@
             await self._writer.wait_written(WRITE_TIMEOUT_S)
         finally:
             await self._close()
-            ignore_from_here(signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
+            ignore_until_exit(signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
 
     async def _close(self) -> None:
         self.fleet.kill_all()
@@ -137,17 +144,17 @@
             raise CannotStart(f"[daemon] control: {path}: {fault.strerror}") from None
         await self._control.start()
 
-    async def _become_supervisor(self, inherited: Passed) -> None:
+    async def _become_supervisor(self, inherited: PassedDescriptors) -> None:
         """Take the lock, restore state and adopt running instances. Raises CannotStart."""
         try:
             if not await self._lock(LOCK_TIMEOUT_S if self._replacing_running else 0.0):
                 raise CannotStart(f"[daemon] control: another daemon runs by this file ({self._folder.path})")
-        except NoFolder as fault:
+        except RunFolderError as fault:
             raise CannotStart(f"[daemon] control: {fault}") from None
         if self._state is not None:
             self._state.restore()
         journal = self._folder.read()
-        kept = StateMemory(inherited.state) if inherited.state >= 0 else None
+        kept = StateMemory(inherited.state_descriptor) if inherited.state_descriptor >= 0 else None
         if kept is not None:
             journal = journal or kept.read()
         self._memory = kept
@@ -175,7 +182,7 @@
         if journal is not None:
             self.fleet.generation = max(self.fleet.generation, journal.generation)
         if not self._started:
-            self.fleet.decide.hold()
+            self.fleet.supervisor.hold()
         within_s = min(MAX_FIND_TIMEOUT_S, self.fleet.document.daemon["hang_after_ms"] / 1e3)
         found = await find_processes(self._folder, journal, within_s)
         if not found:
@@ -205,7 +212,7 @@
             for name, run in fleet.runs.items()
             if run.ticks is not None
         ]
-        data = encode(Journal(boot_id(), fleet.generation, fleet.terms.digest, entries))
+        data = encode(Journal(boot_id(), fleet.generation, fleet.config.digest, entries))
         self._writer.put(self._folder.journal, data)
         if self._memory is not None:
             self._memory.write(data)
@@ -223,13 +230,13 @@
         """Store the listening sockets and the journal with the service manager, if there is one."""
         if "NOTIFY_SOCKET" not in os.environ:
             return
-        keep(os.environ, SOCKETS_NAME, [sock.fileno() for sock in self.fleet.sockets.values()])
+        store_descriptors(os.environ, SOCKETS_FDNAME, [sock.fileno() for sock in self.fleet.sockets.values()])
         if self._memory is None:
             with contextlib.suppress(OSError):
                 self._memory = StateMemory()
         if self._memory is not None:
             self._write_journal()
-            keep(os.environ, STATE_NAME, [self._memory.descriptor])
+            store_descriptors(os.environ, STATE_FDNAME, [self._memory.descriptor])
 
     # Replacing another program
 
@@ -241,16 +248,16 @@
         """
         try:
             handover = await successor.ask()
-        except Bereft as fault:
+        except PredecessorEnded as fault:
             log.warning("%s; starting in its place", fault)
             self._successor = None
             self.fleet.provisional = False
             return
-        except NoTakeover as fault:
+        except TakeoverError as fault:
             raise CannotStart(f"[daemon] control: {self.fleet.document.control}: {fault}") from None
-        self.fleet.learnt = handover.snapshots
+        self.fleet.estimates = handover.snapshots
         for sock in handover.sockets.values():
-            self.fleet.take_socket(sock)
+            self.fleet.add_socket(sock)
 
     async def _complete_takeover(self, successor: Successor) -> None:
         """Wait until all instances are ready, then have the old program drain.
@@ -277,12 +284,12 @@
         # Activate the instances first: if this program were killed after the old one has begun to drain and
         # before its own instances were activated, nothing would serve.
         self.fleet.provisional = False
-        self.fleet.tell_all({"op": "charge"})
+        self.fleet.send_to_all({"op": "charge"})
         if not successor.predecessor_ended and not await successor.ready():
             log.warning("the previous program did not confirm that it drains")
         successor.close()
         self._successor = None
-        self.fleet.learnt = {}
+        self.fleet.estimates = {}
         await self._start_after_takeover()
 
     async def _start_after_takeover(self) -> None:
@@ -303,7 +310,7 @@
     # Being replaced
 
     def _may_hand_over(self) -> str | None:
-        if self.fleet.decide.stopping or self.reloading.busy:
+        if self.fleet.supervisor.stopping or self.reloading.busy:
             return "the daemon is stopping or reloading"
         return None
 
@@ -322,16 +329,16 @@
             self._stop_asked = True
             return
         fleet = self.fleet
-        if fleet.decide.stopping:
+        if fleet.supervisor.stopping:
             return
         if not fleet.handed_over:
             notify(os.environ, "STOPPING=1")
-            keep(os.environ, SOCKETS_NAME, [])
-            keep(os.environ, STATE_NAME, [])
-        self.replacing.call_off("the running program was told to stop")
+            store_descriptors(os.environ, SOCKETS_FDNAME, [])
+            store_descriptors(os.environ, STATE_FDNAME, [])
+        self.replacing.cancel("the running program was told to stop")
         log.info("stopping")
         self.reloading.cancel()
-        fleet.do(fleet.decide.on_stop(now_us(), fleet.stop_within_us))
+        fleet.execute(fleet.supervisor.on_stop(now_us(), fleet.stop_timeout_us))
         # The instances hold the sockets too: new connections are refused once the last one has closed them.
         fleet.close_sockets(list(fleet.sockets))
 
@@ -341,20 +348,20 @@
             self._interrupted = True
             self.stop()
             return
-        self.fleet.tell_all({"op": "abort"})
+        self.fleet.send_to_all({"op": "abort"})
         asyncio.get_running_loop().call_later(ABORT_TIMEOUT_S, self.fleet.kill_all)
 
     # Fleet events
 
     def _on_fleet_changed(self) -> None:
-        if self.fleet.decide.ended:
+        if self.fleet.supervisor.ended:
             self._ended.set()
         elif not self._was_ready and self.fleet.all_ready and self._successor is None and self._started:
             self._notify_ready()
 
     def _notify_ready(self) -> None:
         self._was_ready = True
-        count = len(self.fleet.decide.ready)
+        count = len(self.fleet.supervisor.ready)
         states = ["READY=1", f"STATUS={count} instances are ready"]
         if self._replacing_running:
             states.append(f"MAINPID={os.getpid()}")
@@ -365,7 +372,7 @@
 
     def _may_change(self) -> str | None:
         if (
-            not self._started or self.fleet.decide.stopping or self.replacing.busy
+            not self._started or self.fleet.supervisor.stopping or self.replacing.busy
             or self._successor is not None
         ):  # fmt: skip
             return "the daemon is stopping, or being replaced"
@@ -373,7 +380,7 @@
 
     def _reload_by_signal(self) -> None:
         if self._started:
-            self.reloading.by_signal()
+            self.reloading.reload_on_signal()
 
     async def _handle(self, message: Message) -> Message:
         match message.get("op"):
@@ -383,10 +390,12 @@
                 return await self.reloading.reload()
             case "drain":
                 name = message.get("instance")
-                decide = self.fleet.decide
-                if not isinstance(name, str) or name not in [item.name for item in decide.standings()]:
+                decide = self.fleet.supervisor
+                if not isinstance(name, str) or name not in [
+                    item.name for item in decide.instance_statuses()
+                ]:
                     return {"ok": False, "faults": [f"there is no instance {str(name)[:64]!r}"]}
-                self.fleet.do(decide.on_drain(name, now_us(), self.fleet.stop_within_us))
+                self.fleet.execute(decide.on_drain(name, now_us(), self.fleet.stop_timeout_us))
                 return {"ok": True}
             case "members":
                 return await self._members(message.get("after", 0), message.get("instance"))
@@ -403,11 +412,11 @@
         """Return the view of the fleet of one instance: the requested one, or any."""
         if self.fleet.document.fleet is None:
             return {"ok": False, "faults": ["this file has no [fleet]: its instances know of nobody"]}
-        for name in self.fleet.decide.ready:
+        for name in self.fleet.supervisor.ready:
             run = self.fleet.runs.get(name)
             if run is None or wanted not in (None, name):
                 continue
-            with contextlib.suppress(Unanswered):
+            with contextlib.suppress(InstanceUnavailable):
                 reply = await self.fleet.ask(run, {"op": "members", "after": after}, MEMBERS_TIMEOUT_S)
                 if reply.get("members"):
                     return {"ok": True, **{key: reply[key] for key in MEMBERS_KEYS}}
@@ -420,11 +429,11 @@
             return {"ok": False, "faults": ["this file has no [fleet] voters: each host goes by its file"]}
         wanted = message.get("instance")
         request = {key: item for key, item in message.items() if key not in ("op", "id", "instance")}
-        for name in self.fleet.decide.ready:
+        for name in self.fleet.supervisor.ready:
             run = self.fleet.runs.get(name)
             if run is None or wanted not in (None, name):
                 continue
-            with contextlib.suppress(Unanswered):
+            with contextlib.suppress(InstanceUnavailable):
                 reply = await self.fleet.ask(run, {**request, "op": "policy"}, POLICY_TIMEOUT_S)
                 fault = reply.get("fault")
                 return {**reply, "ok": bool(reply.get("policy_ok")), "instance": name,
@@ -441,15 +450,15 @@
             "pid": os.getpid(),
             "up_s": round(time.monotonic() - self._started_at, 3),
             "generation": fleet.generation,
-            "stopping": fleet.decide.stopping,
+            "stopping": fleet.supervisor.stopping,
             "reloading": self.reloading.busy,
             "replacing": self.replacing.busy,
             "adopted": 0 if adopted is None else adopted.adopted,
             "state": None if self._state is None else self._state.status(),
             "listeners": {
-                name: "{}:{}".format(*address) for name, address in fleet.document.addresses.items()
+                name: "{}:{}".format(*address) for name, address in fleet.document.listener_addresses.items()
             },
-            "instances": fleet.instances(),
+            "instances": fleet.instance_statuses(),
         }
 
 
@@ -496,5 +505,5 @@
     except KeyboardInterrupt:  # before there was anything to stop
         return 130
     except CannotStart as fault:
-        tell(f"{path}: {fault.told()}")
+        tell(f"{path}: {fault.message_with_remedy()}")
         return 2
--- a/sorrelfront/daemon/takeover.py
+++ b/sorrelfront/daemon/takeover.py
@@ -27,16 +27,13 @@
 MAX_PACKETS = 512  # one per instance, and one with the sockets
 
 
-class NoTakeover(SorrelfrontError):
+class TakeoverError(SorrelfrontError):
     """The running program cannot be replaced now; the text is one line."""
 
-    remedy = (
-        "Look at `sorrelfront ctl FILE status` of the running program, and replace it "
-        "once it is ready."
-    )
+    remedy = "Look at `sorrelfront ctl FILE status` of the running program, and replace it once it is ready."
 
 
-class Bereft(NoTakeover):
+class PredecessorEnded(TakeoverError):
     """The running program ended during the handover."""
 
 
@@ -69,7 +66,7 @@
         try:
             inbox = bind_private(socket.SOCK_SEQPACKET, path)
         except OSError as fault:
-            raise NoTakeover(f"{path}: {fault.strerror}") from None
+            raise TakeoverError(f"{path}: {fault.strerror}") from None
         with inbox, contextlib.ExitStack() as clean:
             clean.callback(path.unlink, missing_ok=True)
             inbox.listen(1)
@@ -78,19 +75,19 @@
                 asked = {"op": "takeover", "to": str(path)}
                 answer = await control.ask(self._control, asked, ANSWER_TIMEOUT_S)
                 if not answer.get("ok"):
-                    raise NoTakeover("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
+                    raise TakeoverError("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     self._sock, _ = await asyncio.get_running_loop().sock_accept(inbox)
                 configure_socket(self._sock)
                 await self._read(handover)
-            except NoTakeover:
+            except TakeoverError:
                 handover.close()
                 self.close()
                 raise
-            except (control.Unavailable, BadMessage, TimeoutError, OSError) as fault:
+            except (control.DaemonUnavailable, BadMessage, TimeoutError, OSError) as fault:
                 handover.close()
                 self.close()
-                raise NoTakeover(str(fault) or type(fault).__name__) from None
+                raise TakeoverError(str(fault) or type(fault).__name__) from None
         return handover
 
     async def _read(self, handover: Handover) -> None:
@@ -98,7 +95,7 @@
         for _ in range(MAX_PACKETS):
             got = await receive_within(self._sock, ANSWER_TIMEOUT_S)
             if got is None:
-                raise Bereft("the running program ended during the take-over")
+                raise PredecessorEnded("the running program ended during the take-over")
             message, descriptors = got
             for descriptor in descriptors:
                 sock = socket.socket(fileno=descriptor)
@@ -112,7 +109,7 @@
                 case {"op": "off", "why": str(why)}:
                     # The old program was told to stop during the handover. If that were taken for a crash,
                     # this program would start in place of one that an operator has stopped.
-                    raise NoTakeover(why)
+                    raise TakeoverError(why)
         raise BadMessage("the running program sends too many packets")
 
     async def ready(self) -> bool:
@@ -148,7 +145,7 @@
             self._sock = None
 
 
-class Bequest:
+class HandoverSender:
     """The old program's side of a take-over: a connection to the new one.
 
     It lasts until the new program is ready, ends or exceeds its timeout.
@@ -164,7 +161,7 @@
             self.sock.close()
             raise
 
-    def give(self, sockets: dict[Address, socket.socket], snapshots: dict[str, str]) -> bool:
+    def send_handover(self, sockets: dict[Address, socket.socket], snapshots: dict[str, str]) -> bool:
         """Send the sockets and snapshots; return whether the sockets and the end mark were sent."""
         sent = send(self.sock, {"op": "listeners"}, [sock.fileno() for sock in sockets.values()])
         for name, text in snapshots.items():
@@ -172,7 +169,7 @@
             send(self.sock, {"op": "learnt", "instance": name, "text": text})
         return sent and send(self.sock, {"op": "end"})
 
-    def heard(self) -> dict[str, Any] | None:
+    def read_message(self) -> dict[str, Any] | None:
         """Return the new program's message, None at end of file. Raises BlockingIOError if there is none."""
         try:
             got = receive(self.sock)
--- a/sorrelfront/decisions/adoption.py
+++ b/sorrelfront/decisions/adoption.py
@@ -13,10 +13,12 @@
 from enum import Enum
 from typing import NamedTuple
 
-PROTOCOL = 1  # version of the messages with an instance; one with another version is drained, not adopted
+PROTOCOL_VERSION = (
+    1  # version of the messages with an instance; one with another version is drained, not adopted
+)
 
 
-class Life(Enum):
+class LifecycleState(Enum):
     """Lifecycle state that an instance reports."""
 
     STARTING = "starting"
@@ -33,9 +35,9 @@
     run: int = 0
     verified: bool = True  # the kernel confirms that it is the expected process
     reachable: bool = True  # its own socket exists
-    life: Life | None = None
+    life: LifecycleState | None = None
     orphan: bool = True  # no running supervisor manages it
-    protocol: int = PROTOCOL
+    protocol: int = PROTOCOL_VERSION
     generation: int = 0
     digest: str = ""
 
@@ -95,7 +97,12 @@
             decisions.append(decision)
     for items in claims.values():
         items.sort(
-            key=lambda item: (item.digest == digest, item.life is Life.READY, item.generation, item.run),
+            key=lambda item: (
+                item.digest == digest,
+                item.life is LifecycleState.READY,
+                item.generation,
+                item.run,
+            ),
             reverse=True,
         )
         best, *others = items
@@ -115,9 +122,9 @@
         return Kill(item, "it did not answer in time")
     if not item.orphan:
         return Leave(item, "it has a supervisor")
-    if item.life is Life.LEAVING:
+    if item.life is LifecycleState.LEAVING:
         return Leave(item, "it is leaving already")
-    if item.protocol != PROTOCOL:
+    if item.protocol != PROTOCOL_VERSION:
         return Drain(item, "it is of another version")
     if item.name not in wanted:
         return Drain(item, "the file does not name it")
--- a/sorrelfront/decisions/balancer.py
+++ b/sorrelfront/decisions/balancer.py
@@ -27,7 +27,9 @@
 MAX_COUNT = 64  # samples that a baseline averages over, at most
 RECENT_SAMPLE_WEIGHT = 0.1  # weight of a new sample in a recent mean
 SERVER_SAMPLE_WEIGHT = 0.3  # the same for one server, which gives fewer samples
-SLACK = 0.9  # share of the wait budget, between usual latency and aim, that a request may be expected to wait
+WAIT_BUDGET_SHARE = (
+    0.9  # share of the wait budget, between usual latency and aim, that a request may be expected to wait
+)
 LATE_TOLERANCE = 0.05  # share of late answers tolerated before refusing; `late_worth` is added to it
 PROBE_PROBABILITY = 0.01  # share of infeasible requests sent all the same, to see when a fault ends
 # One is also sent if nothing was sent for a mean aim, at most this long: an agent with little traffic does
@@ -143,8 +145,21 @@
 class Server:
     """State of one backend: a peak estimate for picking and a mean for forecasting."""
 
-    __slots__ = ("ahead", "breaker", "cap", "cap_until", "decay_us", "estimate", "heard_at", "info", "kind",
-                 "mean", "pending", "updated_at", "warm_at")  # fmt: skip
+    __slots__ = (
+        "ahead",
+        "breaker",
+        "cap",
+        "cap_until",
+        "decay_us",
+        "estimate",
+        "info",
+        "kind",
+        "last_answer_at",
+        "mean",
+        "pending",
+        "updated_at",
+        "warm_at",
+    )  # fmt: skip
 
     def __init__(self, info: api.Backend, kind: KindStats, warm_at: int, decay_us: float) -> None:
         self.decay_us = decay_us
@@ -158,7 +173,7 @@
         self.estimate = self.mean = 0.0
         self.ahead = 0.0  # our own pending attempts when the samples of `mean` were sent
         self.updated_at = -1  # -1: no sample yet
-        self.heard_at = -1  # time of its last good answer, or -1
+        self.last_answer_at = -1  # time of its last good answer, or -1
         self.cap = self.cap_until = 0  # bound on our pending attempts, and how long it holds
         self.breaker = CircuitBreaker()
         self.warm_at = warm_at
@@ -171,7 +186,7 @@
             and (self.cap_until <= now or len(self.pending) < self.cap)
         )
 
-    def open(self, now: int) -> bool:
+    def accepts_attempts(self, now: int) -> bool:
         """Whether attempts may be sent to it, even while it is cold."""
         return self.breaker.open_until <= now and (self.cap_until <= now or len(self.pending) < self.cap)
 
@@ -212,7 +227,7 @@
         if not pending:
             return value
         sent_at, expected_us = next(iter(pending.values()))
-        ok_at = self.heard_at
+        ok_at = self.last_answer_at
         age = (now - (ok_at if ok_at > sent_at else sent_at)) / expected_us
         due_at = sent_at + expected_us
         silent = (now - (ok_at if ok_at > due_at else due_at)) / expected_us * len(pending) / SILENCE_RATIO
@@ -278,16 +293,26 @@
 class HeldRequest:
     """A request without its final answer yet."""
 
-    __slots__ = ("arrived", "arriving", "attempts", "cls", "cost", "may_have_run", "open", "request", "tried")
+    __slots__ = (
+        "arrived_at",
+        "arriving",
+        "attempts",
+        "cls",
+        "cost",
+        "in_flight",
+        "may_have_run",
+        "request",
+        "tried",
+    )
 
     def __init__(self, request: api.Request, cls: api.RequestClass, cost: float, now: int) -> None:
         self.request = request
         self.cls = cls
         self.cost = cost  # expected latency as a multiple of its class's usual one
-        self.arrived = now
+        self.arrived_at = now
         self.arriving = request.arriving
         self.attempts = 0
-        self.open: set[int] = set()  # attempts in flight
+        self.in_flight: set[int] = set()  # attempts in flight
         self.tried: list[Server] = []  # one for each attempt
         self.may_have_run: dict[int, tuple[int, api.Backend]] = {}  # time sent and backend of such attempts
 
@@ -434,17 +459,17 @@
             self.subscribe_scheduled = False
             return [api.Subscribe()]
         held = self.held.get(int(event.tag)) if event.tag.isdigit() else None
-        return [] if held is None or held.open else self._try_send(held, now)
+        return [] if held is None or held.in_flight else self._try_send(held, now)
 
-    def on_whole(self, event: api.Whole, now: int) -> list[api.Action]:
+    def on_body_received(self, event: api.BodyReceived, now: int) -> list[api.Action]:
         """Handle the last byte of an arriving request: its attempts are pending from now on."""
         held = self.held.get(event.request_id)
         if held is None or not held.arriving:
             return []
         held.arriving = False
-        held.arrived = now
+        held.arrived_at = now
         held.request = held.request._replace(deadline_us=event.deadline_us, arriving=False)
-        for attempt in sorted(held.open):
+        for attempt in sorted(held.in_flight):
             key = (event.request_id, attempt)
             server, cost, cls, _ = self.attempts[key]
             self.attempts[key] = (server, cost, cls, len(server.pending))
@@ -473,13 +498,13 @@
         held = self.held.get(event.request_id)
         if held is None:
             return []
-        held.open.discard(event.attempt)
+        held.in_flight.discard(event.attempt)
         if event.finished:
             del self.held[event.request_id]
             return self._cancel_attempts(held)
         if event.outcome in api.NEVER_RAN:
             held.may_have_run.pop(event.attempt, None)
-        if held.open:
+        if held.in_flight:
             return []
         # Without the retry budget, failures would cause a retry storm.
         if event.outcome is api.Outcome.UNSENT:
@@ -517,12 +542,12 @@
             server.kind.add_answer(sample, ahead, now)
         unit_us = self.settings.connect_timeout_us
         if outcome is api.Outcome.UNREACHABLE or outcome is api.Outcome.RESET:
-            if server.heard_at < 0 or now - server.heard_at > unit_us or server.breaker.failures:
+            if server.last_answer_at < 0 or now - server.last_answer_at > unit_us or server.breaker.failures:
                 server.breaker.record_failure(now, unit_us)
             elif outcome is api.Outcome.UNREACHABLE:
                 server.limit_pending(now, CAP_TIMEOUTS * unit_us)
         elif outcome is api.Outcome.OK:
-            server.heard_at = now
+            server.last_answer_at = now
             server.breaker.reset()
         # Only answers and time-outs show whether the fleet is late. If errors counted as overload, those of
         # some servers or of one class would have requests to the whole fleet refused.
@@ -541,7 +566,7 @@
         if not self.ready and not held.attempts:
             # No server is known: hold it while an answer within its aim is possible. No outcome will resume
             # it, so it would be lost without a timer.
-            hold_us = min(left_us, held.arrived + held.cls.aim_us - now)
+            hold_us = min(left_us, held.arrived_at + held.cls.aim_us - now)
             if hold_us <= 0:
                 return self._final_answer(held, api.EndReason.NO_BACKEND)
             return [api.SetTimer(min(hold_us, max(1, held.cls.aim_us // 8)), str(held.request.id))]
@@ -570,7 +595,7 @@
         # An attempt decided within the window must not begin after it, if connecting takes long.
         begin_before_us = min(held.request.deadline_us, self._window_end(held))
         held.may_have_run[held.attempts] = (now, server.info)
-        held.open.add(held.attempts)
+        held.in_flight.add(held.attempts)
         held.tried.append(server)
         held.attempts += 1
         server.breaker.start_trial(now, self.settings.connect_timeout_us)
@@ -617,7 +642,12 @@
             warmth = 1.0 - (1.0 - self.settings.cold_from) * remaining
             # All agents send it their load x this probability; it can take the multiple x its warmth.
             warmth *= min(1.0, self.settings.cold_multiple / MAX_LOAD_FACTOR)
-            if not first.open(now) or first.is_unresponsive(now) or held.attempts or self.random() >= warmth:
+            if (
+                not first.accepts_attempts(now)
+                or first.is_unresponsive(now)
+                or held.attempts
+                or self.random() >= warmth
+            ):
                 first = self._draw(pool, None, now)
         elif first is not None and first.is_unresponsive(now):
             first = self._draw(pool, None, now)
@@ -657,9 +687,12 @@
         budget_us = min(self._wait_budget_us(cls), self._wait_budget_us(most_valuable) * relative_worth)
         tolerance = max(1.0, (LATE_TOLERANCE + cls.late_worth) / (self.late_share.read(now) + 1e-9))
         # A client retry has spent at least the wait that it was told.
-        spent_us = now - held.arrived + (cls.aim_us * RETRY_AFTER_SHARE if held.request.is_retry else 0.0)
+        spent_us = now - held.arrived_at + (cls.aim_us * RETRY_AFTER_SHARE if held.request.is_retry else 0.0)
         wait_us = (server.forecast(now) - 1.0) * self.usual_us
-        return wait_us > SLACK * budget_us * tolerance - spent_us and self.random() >= PROBE_PROBABILITY
+        return (
+            wait_us > WAIT_BUDGET_SHARE * budget_us * tolerance - spent_us
+            and self.random() >= PROBE_PROBABILITY
+        )
 
     def _wait_budget_us(self, cls: api.RequestClass) -> float:
         """Return how long a request of this class may wait beyond its usual latency.
@@ -682,6 +715,6 @@
 
     def _cancel_attempts(self, held: HeldRequest) -> list[api.Action]:
         """Cancel the attempts in flight for a finished request."""
-        if not held.open or not self.settings.may_cancel:
+        if not held.in_flight or not self.settings.may_cancel:
             return []
-        return [api.CancelAttempt(held.request.id, attempt) for attempt in sorted(held.open)]
+        return [api.CancelAttempt(held.request.id, attempt) for attempt in sorted(held.in_flight)]
--- a/sorrelfront/decisions/fleet/change.py
+++ b/sorrelfront/decisions/fleet/change.py
@@ -18,18 +18,18 @@
 from typing import NamedTuple
 
 from sorrelfront.decisions.fleet.policy import (
-    Check,
-    Checked,
     Chosen,
     Current,
-    Look,
-    Need,
+    LearnRequest,
+    PolicyMessage,
     Proposer,
     Reject,
     Send,
-    Shown,
+    StateQuery,
+    ValidationReply,
+    ValidationRequest,
     Value,
-    Word,
+    VoterState,
 )
 
 RESEND_US = 300_000  # before an unanswered message is sent again: several round trips on a busy host
@@ -97,7 +97,7 @@
         self._stage = Stage.LOOK
         self._stage_start_us = now
         self._next_send_us = now
-        self._states: dict[str, Shown] = {}
+        self._states: dict[str, VoterState] = {}
         self._answers: dict[str, str] = {}
         self._asked: set[str] = set()  # members, in this round
         self._proposer: Proposer | None = None
@@ -123,13 +123,13 @@
             state, self._stage, self._version, self._reason, self._waiting_for, dict(self._answers)
         )
 
-    def next_us(self) -> int:
+    def next_due_us(self) -> int:
         """When `on_timer` is due next."""
         return self._next_send_us
 
     # Events
 
-    def on_time(self, now: int) -> list[Send]:
+    def on_timer(self, now: int) -> list[Send]:
         """Check the timeouts and resend what was not answered. Call at `next_due_us`, and at the start."""
         if self.done or now < self._next_send_us:
             return []
@@ -165,14 +165,18 @@
                 return self._query_voters() + self._resend_decision()
         return []
 
-    def on_word(self, message: Word, now: int) -> list[Send]:
+    def on_message(self, message: PolicyMessage, now: int) -> list[Send]:
         """Handle an answer of a voter or a member."""
         if self.done:
             return []
-        if isinstance(message, Shown) and message.number == self._request_id:
+        if isinstance(message, VoterState) and message.number == self._request_id:
             self._states[message.voter] = message
             return self._on_state(now)
-        if isinstance(message, Checked) and message.number == self._request_id and self._stage is Stage.CHECK:
+        if (
+            isinstance(message, ValidationReply)
+            and message.number == self._request_id
+            and self._stage is Stage.CHECK
+        ):
             self._answers[message.member] = message.fault
             if message.fault:
                 reason = f"{message.member} refuses it: {message.fault}"
@@ -181,7 +185,7 @@
         if self._proposer is not None and self._stage is Stage.DECIDE:
             if isinstance(message, Reject) and message.slot == self._slot:
                 self._highest_ballot = max(self._highest_ballot, message.ballot)
-            elif not isinstance(message, Need):
+            elif not isinstance(message, LearnRequest):
                 self._proposer, sends = self._proposer.step(message)
                 return [*sends, *self._after_decision(now)]
         return []
@@ -196,7 +200,7 @@
         return tuple(name for name in self._voters if name not in self._states)
 
     def _query_voters(self) -> list[Send]:
-        return [Send(voter, Look(self._request_id, self._name, False)) for voter in self._voters]
+        return [Send(voter, StateQuery(self._request_id, self._name, False)) for voter in self._voters]
 
     def _on_state(self, now: int) -> list[Send]:
         known = [item for item in self._states.values() if item.slot >= 0]
@@ -213,7 +217,7 @@
             return self._after_wait(known)
         return []
 
-    def _after_query(self, latest: Shown, now: int) -> list[Send]:
+    def _after_query(self, latest: VoterState, now: int) -> list[Send]:
         if latest.change == self.value.change:
             self._slot = latest.slot
             return self._enter_stage(Stage.WAIT, now) + self._query_voters()
@@ -248,7 +252,10 @@
         """
         unasked = sorted((self._members | self._holders()) - set(self._answers) - self._asked)
         self._asked.update(unasked)
-        return [Send(name, Check(self._request_id, self._name, self.value.document)) for name in unasked]
+        return [
+            Send(name, ValidationRequest(self._request_id, self._name, self.value.document))
+            for name in unasked
+        ]
 
     def _after_check(self, now: int) -> list[Send]:
         # A voter that has just restarted does not count: it does not know the leases that it granted before.
@@ -281,7 +288,7 @@
             return self._proposer.begin()
         if self._highest_ballot <= self._proposer.ballot:
             return self._proposer.resend()  # a higher round would only invalidate what is in flight
-        self._proposer, sends = self._proposer.again(self._highest_ballot)
+        self._proposer, sends = self._proposer.next_round(self._highest_ballot)
         return sends
 
     def _after_decision(self, now: int) -> list[Send]:
@@ -301,7 +308,7 @@
 
     # Wait
 
-    def _after_wait(self, known: list[Shown]) -> list[Send]:
+    def _after_wait(self, known: list[VoterState]) -> list[Send]:
         current = [item for item in known if item.slot >= self._slot and not item.blind_us]
         old = {name for item in current for name, version, _ in item.leases if version < self._slot}
         free = [item for item in current if not any(version < self._slot for _, version, _ in item.leases)]
--- a/sorrelfront/decisions/fleet/copies.py
+++ b/sorrelfront/decisions/fleet/copies.py
@@ -26,7 +26,7 @@
 from msgspec import Meta
 from sortedcontainers import SortedList
 
-from sorrelfront.decisions.fleet.words import Count, Name, Unreadable
+from sorrelfront.decisions.fleet.words import Count, MalformedMessage, Name
 
 BUCKETS = 32  # digests in a message; only the maps of buckets that differ are compared
 MAX_KEY_CHARS, MAX_VALUE_BYTES, MAX_HINT_BYTES = 256, 2_048, 64  # characters; bytes
@@ -40,18 +40,20 @@
 MAX_FETCHES = 4  # concurrent
 MAX_QUEUED_PULLS = 64  # of peers, waiting for the send budget
 MAX_PENDING_ACKS = 1_024  # acknowledgements to peers that wait for the disk
-FETCH_TRIES = 6  # of one chunk, each from another peer
+MAX_FETCH_TRIES = 6  # of one chunk, each from another peer
 MAX_REPLICA_BYTES = 64 * 1024 * 1024
 LAST_KEY = "\U0010ffff"  # sorts after every key
 ENDED_SEQ = 2**52  # the sequence that marks a map as ended
 CAUGHT_UP_PEERS = 3  # peers to be in sync with before a member acts by its replicas
 ENTRY_OVERHEAD = 24  # bytes of an entry in addition to its texts
 MAX_INCARNATIONS = 1_024  # superseded ones that a member's map records
-LIST = "list:"  # prefix of owners that are list services: any member that uses one writes its map
-COVERS = "\x00covers:"  # prefix of keys that record which versions of earlier incarnations are taken over
+LIST_PREFIX = "list:"  # prefix of owners that are list services: any member that uses one writes its map
+SUPERSEDED_PREFIX = (
+    "\x00covers:"  # prefix of keys that record which versions of earlier incarnations are taken over
+)
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class Version(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """Identifies the version of a map that a member has."""
 
     owner: Name
@@ -90,7 +92,7 @@
 
 
 Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_MESSAGE_ENTRIES)]
-VersionList = Annotated[tuple[Row, ...], Meta(max_length=MAX_VERSIONS)]
+VersionList = Annotated[tuple[Version, ...], Meta(max_length=MAX_VERSIONS)]
 
 
 class Digests(msgspec.Struct, frozen=True, array_like=True, tag="b", gc=False):
@@ -151,7 +153,7 @@
     sender's own version of the map. `hops` is how often it was forwarded.
     """
 
-    version: Row
+    version: Version
     after: Count
     after_key: Annotated[str, Meta(max_length=MAX_KEY_CHARS)]
     up_to: Count
@@ -166,26 +168,26 @@
 class PersistRequest(msgspec.Struct, frozen=True, array_like=True, tag="h", gc=False):
     """Asks for an acknowledgement once this version is durable at the receiver."""
 
-    version: Row
+    version: Version
 
 
 class PersistAck(msgspec.Struct, frozen=True, array_like=True, tag="d", gc=False):
     """Acknowledges that this version is durable at the sender."""
 
-    version: Row
+    version: Version
 
 
-Word = Digests | InSync | Versions | Pull | Delta | PersistRequest | PersistAck
-_decoder = msgspec.msgpack.Decoder(Word)
+Message = Digests | InSync | Versions | Pull | Delta | PersistRequest | PersistAck
+_decoder = msgspec.msgpack.Decoder(Message)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def pack(message: Word) -> bytes:
+def encode(message: Message) -> bytes:
     """Encode a message."""
     return _encode(message)
 
 
-def unpack(data: bytes) -> Word:
+def decode(data: bytes) -> Message:
     """Decode a message.
 
     Raises Unreadable, and nothing else whatever the bytes are.
@@ -193,17 +195,17 @@
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise Unreadable(str(fault)) from None
+        raise MalformedMessage(str(fault)) from None
 
 
 # Actions
 
 
-class Say(NamedTuple):
+class Send(NamedTuple):
     """Send this message to a member."""
 
     to: str
-    word: Word
+    message: Message
 
 
 class Write(NamedTuple):
@@ -220,7 +222,7 @@
     keys: tuple[str, ...]
 
 
-class Kept(NamedTuple):
+class Durable(NamedTuple):
     """The own map is durable up to this sequence on so many hosts, this one included."""
 
     seq: int
@@ -235,11 +237,11 @@
     seq: int
 
 
-class Levelled(NamedTuple):
+class CaughtUp(NamedTuple):
     """This member has caught up with its peers."""
 
 
-Action = Say | Write | Changed | Kept | Forked | Levelled
+Action = Send | Write | Changed | Durable | Forked | CaughtUp
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -248,7 +250,7 @@
     `full`: it replaces what was stored before.
     """
 
-    version: Row | None  # None: only the GC epoch is stored
+    version: Version | None  # None: only the GC epoch is stored
     entries: tuple[Entry, ...] = ()
     full: bool = False
     tombstone_floor: int = 0
@@ -265,7 +267,7 @@
     return int.from_bytes(digest.digest(), "big") >> 1
 
 
-def _version_checksum(version: Row) -> int:
+def _version_checksum(version: Version) -> int:
     text = f"{version.owner}/{version.epoch}/{version.incarnation}/{version.seq}/{version.checksum}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "big")
 
@@ -275,19 +277,19 @@
     return hashlib.blake2b(owner.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
-class Book:
+class Replica:
     """A replica of one writer's versioned map, in one version."""
 
     __slots__ = (
         "_by_seq",
         "changed_us",
         "checksum",
-        "deleted",
         "entries",
         "id",
         "seq",
         "superseded",
         "tombstone_floor",
+        "tombstones",
     )
 
     def __init__(self, id: ReplicaId, changed_us: int) -> None:
@@ -296,15 +298,15 @@
         self.checksum = 0
         self.changed_us = changed_us  # time of the last change at this member
         self.entries: dict[str, Entry] = {}
-        self.deleted: OrderedDict[str, Entry] = OrderedDict()  # oldest first
+        self.tombstones: OrderedDict[str, Entry] = OrderedDict()  # oldest first
         self.tombstone_floor = 0  # tombstones up to this sequence may have expired
         self.superseded: dict[tuple[int, int], int] = {}  # versions of earlier incarnations taken over
         self._by_seq: SortedList[tuple[int, str]] = SortedList()
 
     @property
-    def version(self) -> Row:
+    def version(self) -> Version:
         """The version that this replica has."""
-        return Row(*self.id, self.seq, self.checksum)
+        return Version(*self.id, self.seq, self.checksum)
 
     def apply(self, entry: Entry) -> bool:
         """Apply a newer state of an entry; return False if this or a newer one is already here."""
@@ -312,37 +314,37 @@
         known = self.entries.get(key)
         if known is not None and known.seq >= entry.seq:
             return False
-        tombstone = self.deleted.get(key)
+        tombstone = self.tombstones.get(key)
         if tombstone is not None and tombstone.seq >= entry.seq:
             return False
         if known is not None:
             self._by_seq.remove((known.seq, key))
             self.checksum ^= entry_checksum(key, known.value or b"")
             del self.entries[key]
-        self.deleted.pop(key, None)
+        self.tombstones.pop(key, None)
         if entry.value is None:
-            self.deleted[key] = entry
-            while len(self.deleted) > MAX_TOMBSTONES:
-                _, first = self.deleted.popitem(last=False)
+            self.tombstones[key] = entry
+            while len(self.tombstones) > MAX_TOMBSTONES:
+                _, first = self.tombstones.popitem(last=False)
                 self.tombstone_floor = max(self.tombstone_floor, first.seq)
         else:
             self.entries[key] = entry
             self._by_seq.add((entry.seq, key))
             self.checksum ^= entry_checksum(key, entry.value)
-            if key.startswith(COVERS):
+            if key.startswith(SUPERSEDED_PREFIX):
                 self._record_superseded(key, entry.value)
         return True
 
     def _record_superseded(self, key: str, value: bytes) -> None:
         try:
-            epoch, incarnation = key[len(COVERS) :].split("/")
+            epoch, incarnation = key[len(SUPERSEDED_PREFIX) :].split("/")
             self.superseded[int(epoch), int(incarnation)] = int(value)
         except ValueError:
             return
 
     def after(self, seq: int, key: str) -> Iterator[Entry]:
         """Yield the entries and tombstones after this position, in order."""
-        tombstones = [entry for entry in self.deleted.values() if (entry.seq, entry.key) > (seq, key)]
+        tombstones = [entry for entry in self.tombstones.values() if (entry.seq, entry.key) > (seq, key)]
         tombstones.sort(key=lambda entry: (entry.seq, entry.key))
         position = 0
         for at, name in self._by_seq.irange((seq, key), inclusive=(False, True)):
@@ -366,7 +368,7 @@
     return member.rpartition("/")[0] or member
 
 
-def size(entry: Entry) -> int:
+def entry_size(entry: Entry) -> int:
     """Return the approximate size of an entry in bytes."""
     return len(entry.key) + len(entry.value or b"") + len(entry.hint) + ENTRY_OVERHEAD
 
@@ -381,10 +383,12 @@
     fanout: int = 3  # peers that a change is pushed to at each hop
     # A member without peers for this time starts its own map from what it has. A shorter time could miss
     # entries that peers still hold for it; a longer one delays its own entries.
-    lone_us: int = 3_000_000
+    alone_us: int = 3_000_000
     keep_us: int = 3_600_000_000  # retention of owner tombstones
-    give_bytes_s: int = 512 * 1024  # of entries, for all peers that catch up together
-    trust_us: int = 30_000_000  # a list that no service confirmed for this long does not overrule the own one
+    send_bytes_s: int = 512 * 1024  # of entries, for all peers that catch up together
+    list_trust_us: int = (
+        30_000_000  # a list that no service confirmed for this long does not overrule the own one
+    )
 
 
 @dataclass(slots=True)
@@ -420,7 +424,7 @@
 MergeValues = Callable[[bytes, bytes], bytes]
 
 
-class Copies:
+class ReplicaStore:
     """One member's replica store.
 
     `disk`: the changes that an earlier incarnation stored, as `_restore` reads them.
@@ -428,7 +432,7 @@
 
     def __init__(
         self,
-        me: str,
+        member_name: str,
         settings: Settings,
         random: Random,
         now: int,
@@ -441,19 +445,21 @@
         `list_name`: the name of the list service that the members use. `merge`: joins two values of one
         server under one version of that list; commutative, associative and idempotent.
         """
-        self.me = me
+        self.member_name = member_name
         self.settings = settings
         self.random = random
         self.now = now
         self.created_us = now
-        self.books: dict[ReplicaId, Book] = {}
+        self.replicas: dict[ReplicaId, Replica] = {}
         self._by_owner: dict[str, set[ReplicaId]] = {}
-        self.marks: OrderedDict[str, tuple[int, int]] = OrderedDict()  # owner -> epoch that ended, and when
-        self.era = 0
-        self.level = False
+        self.owner_tombstones: OrderedDict[str, tuple[int, int]] = (
+            OrderedDict()
+        )  # owner -> epoch that ended, and when
+        self.gc_epoch = 0
+        self.caught_up = False
         self.counters = Counters()
         self.forks: OrderedDict[str, tuple[int, int]] = OrderedDict()  # owner -> epoch and sequence reported
-        self.mine: Book | None = None
+        self.own_replica: Replica | None = None
         self.pending_puts: dict[str, bytes | None] = {}  # puts before this incarnation's map was started
         # Epoch, sequence and time of the last update from the own list service.
         self.own_list_state: tuple[int, int, int] | None = None
@@ -463,13 +469,13 @@
         self._incarnation = random.getrandbits(52)
         self._incarnation_started_us = now - settings.compare_us
         self._merge = merge
-        self.list_owner = LIST + list_name
+        self.list_owner = LIST_PREFIX + list_name
         self._own_list: dict[str, tuple[bytes, bytes]] = {}  # the list from the own list service
-        self._heard_seq = 0  # its version; 0: no list was received
+        self._own_list_seq = 0  # its version; 0: no list was received
         self._in_sync_peers: set[str] = set()
         self._fetches: dict[ReplicaId, _Fetch] = {}
         self._queued_pulls: OrderedDict[tuple[str, ReplicaId], Pull] = OrderedDict()
-        self._send_budget = float(settings.give_bytes_s)
+        self._send_budget = float(settings.send_bytes_s)
         self._refilled_us = now
         self._unpushed: dict[ReplicaId, tuple[int, int]] = {}  # replica -> sequence before, most hops so far
         self._push_us: int | None = None
@@ -485,62 +491,62 @@
         self.required_hosts = 1
         self._durable_seq = 0
         self._merged_list: tuple[ReplicaId, int, int] | None = None
-        self._out: list[Action] = []
+        self._actions: list[Action] = []
         for change in disk:
             self._restore(change)
-        for replica in self.books.values():
+        for replica in self.replicas.values():
             replica.changed_us = now - settings.keep_us  # its real age is unknown: taken as the oldest
         self._drop_superseded()
 
     # Disk
 
     def _restore(self, change: Change) -> None:
-        self.era = max(self.era, change.gc_epoch)
+        self.gc_epoch = max(self.gc_epoch, change.gc_epoch)
         version = change.version
         if version is None:
             return
         if change.dropped:
-            if version.id in self.books:
+            if version.id in self.replicas:
                 self._remove(version.id)
             if version.seq == ENDED_SEQ:
-                self.marks[version.owner] = (version.epoch, self.now)
+                self.owner_tombstones[version.owner] = (version.epoch, self.now)
             return
-        replica = self.books.get(version.id)
+        replica = self.replicas.get(version.id)
         if replica is None or change.full:
             if replica is not None:
                 self._remove(version.id)
-            if len(self.books) >= MAX_REPLICAS:
+            if len(self.replicas) >= MAX_REPLICAS:
                 return
-            replica = Book(version.id, self.now)
+            replica = Replica(version.id, self.now)
         else:
             self._toggle_digest(replica)
         for entry in change.entries:
             replica.apply(entry)
         replica.seq = max(replica.seq, version.seq)
         replica.tombstone_floor = max(replica.tombstone_floor, change.tombstone_floor)
-        if version.id in self.books:
+        if version.id in self.replicas:
             self._toggle_digest(replica)
         else:
             self._add(replica)
 
     def snapshot(self) -> Iterator[Change]:
         """Yield the full state as changes to be stored on disk."""
-        yield Change(None, gc_epoch=self.era)
-        for replica in self.books.values():
+        yield Change(None, gc_epoch=self.gc_epoch)
+        for replica in self.replicas.values():
             yield Change(
                 replica.version,
                 tuple(replica.after(0, "")),
                 full=True,
                 tombstone_floor=replica.tombstone_floor,
             )
-        for owner, (epoch, _) in self.marks.items():
-            yield Change(Row(owner, epoch, 0, ENDED_SEQ), (), dropped=True)
+        for owner, (epoch, _) in self.owner_tombstones.items():
+            yield Change(Version(owner, epoch, 0, ENDED_SEQ), (), dropped=True)
 
     def _write(self, change: Change) -> int:
         self._writes += 1
         if change.version is not None and not change.dropped:
             self._unwritten[change.version.id] = self._writes
-        self._out.append(Write(self._writes, change))
+        self._actions.append(Write(self._writes, change))
         return self._writes
 
     def on_written(self, number: int, now: int) -> list[Action]:
@@ -552,11 +558,11 @@
         for (to, id), (seq, at) in list(self._pending_acks.items()):
             if at <= self._written:
                 del self._pending_acks[to, id]
-                replica = self.books.get(id)
+                replica = self.replicas.get(id)
                 if replica is not None and replica.seq >= seq:
                     self._send(to, PersistAck(replica.version))
         self._report_durable()
-        return self._take()
+        return self._take_actions()
 
     # This member's own map
 
@@ -566,7 +572,7 @@
         Returns the sequence of the entry, or 0 while the map has not been started. Raises ValueError if the
         entry is too large or there is no room.
         """
-        if len(key) > MAX_KEY_CHARS or len(value) > MAX_VALUE_BYTES or key.startswith(COVERS):
+        if len(key) > MAX_KEY_CHARS or len(value) > MAX_VALUE_BYTES or key.startswith(SUPERSEDED_PREFIX):
             raise ValueError(f"entry too large or key reserved: {len(key)} characters, {len(value)} bytes")
         return self._write_own(key, value, now)
 
@@ -576,44 +582,46 @@
 
     def _write_own(self, key: str, value: bytes | None, now: int) -> int:
         self.now = max(now, self.now)
-        if self.mine is None:
+        if self.own_replica is None:
             if len(self.pending_puts) >= MAX_MESSAGE_ENTRIES and key not in self.pending_puts:
                 raise ValueError("too many entries before the own map was started")
             self.pending_puts[key] = value
             return 0
-        known = self.mine.entries.get(key)
+        known = self.own_replica.entries.get(key)
         if (known is None and value is None) or (known is not None and known.value == value):
-            return self.mine.seq
-        if known is None and len(self.mine.entries) >= MAX_ENTRIES:
+            return self.own_replica.seq
+        if known is None and len(self.own_replica.entries) >= MAX_ENTRIES:
             raise ValueError("the own map has its maximum number of entries")
-        seq = self.mine.seq + 1
-        self._commit(self.mine, [Entry(key, seq, value, origin=(self.mine.id.epoch, seq))], seq)
+        seq = self.own_replica.seq + 1
+        self._commit(self.own_replica, [Entry(key, seq, value, origin=(self.own_replica.id.epoch, seq))], seq)
         return seq
 
-    def _begin(self) -> None:
+    def _start_incarnation(self) -> None:
         """Start a new incarnation's map, with an epoch above all known ones and with their entries."""
         incarnations = sorted(
-            (replica for replica in self.books.values() if replica.id.owner == self.me), key=lambda b: b.id
+            (replica for replica in self.replicas.values() if replica.id.owner == self.member_name),
+            key=lambda b: b.id,
         )
-        ended = self.marks.pop(self.me, (0, 0))[0]
+        ended = self.owner_tombstones.pop(self.member_name, (0, 0))[0]
         epoch = 1 + max([ended, *(replica.id.epoch for replica in incarnations)])
-        fork = self.mine is not None and any(
-            replica.id.epoch == self.mine.id.epoch and replica is not self.mine for replica in incarnations
+        fork = self.own_replica is not None and any(
+            replica.id.epoch == self.own_replica.id.epoch and replica is not self.own_replica
+            for replica in incarnations
         )
-        if fork and self.mine is not None:
-            self._report_fork(self.me, self.mine.id.epoch, self.mine.seq)
+        if fork and self.own_replica is not None:
+            self._report_fork(self.member_name, self.own_replica.id.epoch, self.own_replica.seq)
         latest: dict[str, Entry] = {}
         for replica in incarnations:  # the value written last wins, whichever incarnation took it over
-            for entry in (*replica.entries.values(), *replica.deleted.values()):
+            for entry in (*replica.entries.values(), *replica.tombstones.values()):
                 known = latest.get(entry.key)
-                if not entry.key.startswith(COVERS) and (
+                if not entry.key.startswith(SUPERSEDED_PREFIX) and (
                     known is None or _write_order(entry) > _write_order(known)
                 ):
                     latest[entry.key] = entry
         self._incarnation_started_us = self.now
         self._incarnation = self.random.getrandbits(52)
-        self.mine = Book(ReplicaId(self.me, epoch, self._incarnation), self.now)
-        self._add(self.mine)
+        self.own_replica = Replica(ReplicaId(self.member_name, epoch, self._incarnation), self.now)
+        self._add(self.own_replica)
         superseded: dict[tuple[int, int], int] = {}
         for replica in incarnations:
             for incarnation, seq in (
@@ -622,7 +630,9 @@
             ):
                 superseded[incarnation] = max(seq, superseded.get(incarnation, 0))
         entries = [
-            Entry(f"{COVERS}{incarnation[0]}/{incarnation[1]}", at, b"%d" % superseded[incarnation])
+            Entry(
+                f"{SUPERSEDED_PREFIX}{incarnation[0]}/{incarnation[1]}", at, b"%d" % superseded[incarnation]
+            )
             for at, incarnation in enumerate(sorted(superseded)[-MAX_INCARNATIONS:], 1)
         ]
         for entry in sorted(latest.values(), key=_write_order):
@@ -631,25 +641,25 @@
             seq = len(entries) + 1
             entries.append(Entry(key, seq, value, origin=(epoch, seq)))
         self.pending_puts.clear()
-        self._commit(self.mine, entries, len(entries))
+        self._commit(self.own_replica, entries, len(entries))
         self._drop_superseded()
 
-    def _take_over(self, replica: Book) -> None:
+    def _take_over(self, replica: Replica) -> None:
         """Take over the entries of another incarnation of this member, whose map has arrived in full."""
-        if self.mine is None:
+        if self.own_replica is None:
             return
-        if replica.id.epoch >= self.mine.id.epoch:
+        if replica.id.epoch >= self.own_replica.id.epoch:
             # Two live members with one name would otherwise start a new incarnation at each other's every
             # message, until the view makes one of them withdraw. The rest is taken over with the next
             # comparison.
             if self.now - self._incarnation_started_us >= self.settings.compare_us:
-                self._begin()
+                self._start_incarnation()
             return
         entries: list[Entry] = []
-        seq = self.mine.seq
-        for entry in (*replica.entries.values(), *replica.deleted.values()):
-            known = self.mine.entries.get(entry.key) or self.mine.deleted.get(entry.key)
-            if entry.key.startswith(COVERS) or (
+        seq = self.own_replica.seq
+        for entry in (*replica.entries.values(), *replica.tombstones.values()):
+            known = self.own_replica.entries.get(entry.key) or self.own_replica.tombstones.get(entry.key)
+            if entry.key.startswith(SUPERSEDED_PREFIX) or (
                 known is not None and _write_order(known) >= _write_order(entry)
             ):
                 continue
@@ -657,48 +667,48 @@
             entries.append(msgspec.structs.replace(entry, seq=seq))
         seq += 1
         entries.append(
-            Entry(f"{COVERS}{replica.id.epoch}/{replica.id.incarnation}", seq, b"%d" % replica.seq)
+            Entry(f"{SUPERSEDED_PREFIX}{replica.id.epoch}/{replica.id.incarnation}", seq, b"%d" % replica.seq)
         )
-        self._commit(self.mine, entries, seq)
+        self._commit(self.own_replica, entries, seq)
         self._drop_superseded()
 
-    def is_superseded(self, version: Row) -> bool:
+    def is_superseded(self, version: Version) -> bool:
         """Whether a later incarnation of the owner has taken this version over.
 
         For a list service any map of a later epoch supersedes the earlier ones.
         """
-        of_list = version.owner.startswith(LIST)
+        of_list = version.owner.startswith(LIST_PREFIX)
         return any(
             replica.id.epoch > version.epoch
             and (of_list or replica.superseded.get((version.epoch, version.incarnation), -1) >= version.seq)
             for replica in self._incarnations(version.owner)
         )
 
-    def _incarnations(self, owner: str) -> list[Book]:
-        return [self.books[id] for id in self._by_owner.get(owner, ())]
+    def _incarnations(self, owner: str) -> list[Replica]:
+        return [self.replicas[id] for id in self._by_owner.get(owner, ())]
 
     def _drop_superseded(self) -> None:
-        for replica in list(self.books.values()):
+        for replica in list(self.replicas.values()):
             if (
-                replica is not self.mine
+                replica is not self.own_replica
                 and len(self._by_owner[replica.id.owner]) > 1
                 and self.is_superseded(replica.version)
             ):
                 self._drop(replica)
 
-    def _add(self, replica: Book) -> None:
-        self.books[replica.id] = replica
+    def _add(self, replica: Replica) -> None:
+        self.replicas[replica.id] = replica
         self._by_owner.setdefault(replica.id.owner, set()).add(replica.id)
         self._toggle_digest(replica)
 
-    def _drop(self, replica: Book, leave_tombstone: bool = False) -> None:
+    def _drop(self, replica: Replica, leave_tombstone: bool = False) -> None:
         self._remove(replica.id)
         seq = ENDED_SEQ if leave_tombstone else replica.seq
-        self._write(Change(Row(*replica.id, seq), dropped=True))
-        self._out.append(Changed(replica.id.owner, tuple(replica.entries)))
+        self._write(Change(Version(*replica.id, seq), dropped=True))
+        self._actions.append(Changed(replica.id.owner, tuple(replica.entries)))
 
     def _remove(self, id: ReplicaId) -> None:
-        replica = self.books.pop(id)
+        replica = self.replicas.pop(id)
         self._toggle_digest(replica)
         incarnations = self._by_owner[id.owner]
         incarnations.discard(id)
@@ -707,11 +717,11 @@
         for table in (self._unpushed, self._fetches, self._unwritten):
             table.pop(id, None)
 
-    def _toggle_digest(self, replica: Book) -> None:
+    def _toggle_digest(self, replica: Replica) -> None:
         """Add the version of a replica to the digests, or remove it (XOR)."""
         self._digests[bucket_of(replica.id.owner)] ^= _version_checksum(replica.version)
 
-    def _commit(self, replica: Book, entries: Iterable[Entry], seq: int) -> None:
+    def _commit(self, replica: Replica, entries: Iterable[Entry], seq: int) -> None:
         """Apply newer entries to a replica and set its sequence."""
         self._toggle_digest(replica)
         before = replica.seq
@@ -720,10 +730,10 @@
         replica.changed_us = self.now
         self._toggle_digest(replica)
         self._write(Change(replica.version, taken))
-        self._out.append(Changed(replica.id.owner, tuple(entry.key for entry in taken)))
+        self._actions.append(Changed(replica.id.owner, tuple(entry.key for entry in taken)))
         self._schedule_push(replica, before, 0)
 
-    def _schedule_push(self, replica: Book, before: int, hops: int) -> None:
+    def _schedule_push(self, replica: Replica, before: int, hops: int) -> None:
         """Schedule a push to a few peers of the entries after this sequence."""
         first, known = self._unpushed.get(replica.id, (before, 0))
         self._unpushed[replica.id] = (first, max(known, hops))
@@ -736,7 +746,7 @@
         self.forks.move_to_end(owner)
         if len(self.forks) > MAX_FETCHES * 16:
             self.forks.popitem(last=False)
-        self._out.append(Forked(owner, epoch, seq))
+        self._actions.append(Forked(owner, epoch, seq))
 
     # Time
 
@@ -749,7 +759,7 @@
             due.append(min(fetch.timeout_us for fetch in self._fetches.values()))
         if self._queued_pulls:
             due.append(self._budget_available_us())
-        if self.mine is None:
+        if self.own_replica is None:
             due.append(self._start_deadline_us())
         return min(due)
 
@@ -758,7 +768,7 @@
 
         Without this limit, peers that never answer would hold this member's entries back for ever.
         """
-        return self.created_us + self.settings.lone_us * (4 if self.peers else 1)
+        return self.created_us + self.settings.alone_us * (4 if self.peers else 1)
 
     def on_time(self, now: int, peers: Iterable[str]) -> list[Action]:
         """Do what is due.
@@ -767,12 +777,12 @@
         """
         lateness_us = now - self.next_us()
         self.now = max(now, self.now)
-        self.peers = sorted(name for name in peers if name != self.me)
-        if lateness_us > 2 * self.settings.compare_us and self.level:
-            self.level = False  # the process was suspended: it may have missed changes
+        self.peers = sorted(name for name in peers if name != self.member_name)
+        if lateness_us > 2 * self.settings.compare_us and self.caught_up:
+            self.caught_up = False  # the process was suspended: it may have missed changes
             self._in_sync_peers.clear()
-        if self.mine is None and self._start_deadline_us() <= self.now:
-            self._begin()
+        if self.own_replica is None and self._start_deadline_us() <= self.now:
+            self._start_incarnation()
         for id, fetch in list(self._fetches.items()):
             if fetch.timeout_us <= self.now:
                 self._retry_fetch(id, fetch)
@@ -782,68 +792,70 @@
         if self._next_compare_us <= self.now:
             jitter = 0.5 + self.random.random()
             self._next_compare_us = self.now + int(self.settings.compare_us * jitter)
-            if not self.level:
+            if not self.caught_up:
                 self._next_compare_us = self.now + int(self.settings.compare_us * jitter / 4)
-            for replica in self._incarnations(self.me) if self.mine is not None else ():
-                if replica is not self.mine and replica.id in self.books:
+            for replica in self._incarnations(self.member_name) if self.own_replica is not None else ():
+                if replica is not self.own_replica and replica.id in self.replicas:
                     self._take_over(replica)
             self._send_digests()
             self._request_persistence()
             self._purge_tombstones()
-        return self._take()
+        return self._take_actions()
 
-    def _take(self) -> list[Action]:
-        out, self._out = self._out, []
+    def _take_actions(self) -> list[Action]:
+        out, self._actions = self._actions, []
         return out
 
-    def _send(self, to: str, message: Word) -> None:
-        self._out.append(Say(to, message))
+    def _send(self, to: str, message: Message) -> None:
+        self._actions.append(Send(to, message))
 
     def _send_digests(self) -> None:
-        unsynced = [name for name in self.peers if name not in self._in_sync_peers] if not self.level else []
+        unsynced = (
+            [name for name in self.peers if name not in self._in_sync_peers] if not self.caught_up else []
+        )
         candidates = unsynced or self.peers
         if candidates:
-            self._send(candidates[self.random.randrange(len(candidates))], self._beat())
+            self._send(candidates[self.random.randrange(len(candidates))], self._digest_message())
 
-    def _beat(self) -> Digests:
+    def _digest_message(self) -> Digests:
         list_state = None
         if self.own_list_state is not None:
             epoch, seq, at = self.own_list_state
             list_state = (epoch, seq, max(0, self.now - at) // 1_000)
-        return Digests(tuple(self._digests), self.era, self.level, list_state)
+        return Digests(tuple(self._digests), self.gc_epoch, self.caught_up, list_state)
 
     def _purge_tombstones(self) -> None:
         limit = self.now - self.settings.keep_us
-        for owner in [owner for owner, (_, ended_us) in self.marks.items() if ended_us <= limit]:
-            del self.marks[owner]
-            self._raise_gc_epoch(self.era + 1)
+        for owner in [owner for owner, (_, ended_us) in self.owner_tombstones.items() if ended_us <= limit]:
+            del self.owner_tombstones[owner]
+            self._raise_gc_epoch(self.gc_epoch + 1)
 
     def retire(self, owner: str, now: int) -> list[Action]:
         """Drop the maps of a member that has left for good, and leave a tombstone."""
         self.now = max(now, self.now)
-        if owner != self.me:
+        if owner != self.member_name:
             self._retire(owner, max((replica.id.epoch for replica in self._incarnations(owner)), default=-1))
-        return self._take()
+        return self._take_actions()
 
     def _retire(self, owner: str, epoch: int) -> None:
         replicas = [replica for replica in self._incarnations(owner) if replica.id.epoch <= epoch]
         if not replicas:
             return
-        self.marks[owner] = (epoch, self.now)
+        self.owner_tombstones[owner] = (epoch, self.now)
         for replica in replicas:
             self._drop(replica, leave_tombstone=True)
-        while len(self.marks) > MAX_OWNER_TOMBSTONES:
-            self.marks.popitem(last=False)
-            self._raise_gc_epoch(self.era + 1)
+        while len(self.owner_tombstones) > MAX_OWNER_TOMBSTONES:
+            self.owner_tombstones.popitem(last=False)
+            self._raise_gc_epoch(self.gc_epoch + 1)
 
     def _raise_gc_epoch(self, gc_epoch: int) -> None:
-        if gc_epoch > self.era:
-            self.era = gc_epoch
+        if gc_epoch > self.gc_epoch:
+            self.gc_epoch = gc_epoch
             self._write(Change(None, gc_epoch=gc_epoch))
 
     # Messages
 
-    def on_word(self, sender: str, message: Word, now: int) -> list[Action]:
+    def on_message(self, sender: str, message: Message, now: int) -> list[Action]:
         """Handle a message from a member."""
         self.now = max(now, self.now)
         match message:
@@ -859,38 +871,38 @@
             case Delta():
                 self._on_delta(sender, message)
             case PersistRequest(version):
-                self._on_hold(sender, version)
+                self._on_persist_request(sender, version)
             case PersistAck(version):
                 self._on_persist_ack(sender, version)
-        return self._take()
+        return self._take_actions()
 
     def _on_digests(self, sender: str, message: Digests) -> None:
         self._on_list_state(message.list_state)
         differing = tuple(at for at in range(BUCKETS) if message.digests[at] != self._digests[at])
-        if differing and message.gc_epoch != self.era:
+        if differing and message.gc_epoch != self.gc_epoch:
             differing = tuple(range(BUCKETS))  # a member that is behind has to compare all buckets
         if not differing:
             self._on_gc_epoch(sender, message.gc_epoch, None)
             self._on_in_sync(sender)
             if not message.caught_up:
-                self._send(sender, InSync(self.era))
+                self._send(sender, InSync(self.gc_epoch))
             return
         self._send(sender, self._version_message(differing, wants_reply=True))
 
     def _version_message(self, buckets: tuple[int, ...], wants_reply: bool) -> Versions:
         wanted = set(buckets)
         versions = [
-            replica.version for replica in self.books.values() if bucket_of(replica.id.owner) in wanted
+            replica.version for replica in self.replicas.values() if bucket_of(replica.id.owner) in wanted
         ]
         versions += [
-            Row(owner, epoch, 0, ENDED_SEQ)
-            for owner, (epoch, _) in self.marks.items()
+            Version(owner, epoch, 0, ENDED_SEQ)
+            for owner, (epoch, _) in self.owner_tombstones.items()
             if bucket_of(owner) in wanted
         ]
         complete = len(versions) <= MAX_VERSIONS
         if not complete:
             versions = self.random.sample(versions, MAX_VERSIONS)
-        return Versions(buckets, tuple(versions), self.era, wants_reply, complete)
+        return Versions(buckets, tuple(versions), self.gc_epoch, wants_reply, complete)
 
     def _on_versions(self, sender: str, message: Versions) -> None:
         self.counters.compared += 1
@@ -906,14 +918,14 @@
                 ahead = True
                 continue
             if (
-                message.gc_epoch < self.era
-                and version.id not in self.books
+                message.gc_epoch < self.gc_epoch
+                and version.id not in self.replicas
                 and self._is_unknown_member(version.owner, sender)
             ):
                 # Its tombstone may have expired: a member that was away must not bring the map back.
                 self.counters.resurrected += 1
                 continue
-            replica = self.books.get(version.id)
+            replica = self.replicas.get(version.id)
             if replica is None or replica.seq < version.seq:
                 behind = True
                 self._start_fetch(sender, version)
@@ -924,23 +936,30 @@
                 ahead = True
         if not ahead:
             wanted = set(message.buckets)
-            ahead = any(bucket_of(id.owner) in wanted and id not in remote_ids for id in self.books)
+            ahead = any(bucket_of(id.owner) in wanted and id not in remote_ids for id in self.replicas)
         if ahead and message.wants_reply:
             self._send(sender, self._version_message(message.buckets, wants_reply=False))
         if not behind and message.complete:
             self._on_in_sync(sender)
 
     def _is_unknown_member(self, owner: str, sender: str) -> bool:
-        return owner not in (self.me, sender) and owner not in self.peers and not owner.startswith(LIST)
+        return (
+            owner not in (self.member_name, sender)
+            and owner not in self.peers
+            and not owner.startswith(LIST_PREFIX)
+        )
 
-    def _is_ended(self, version: Row) -> bool:
-        return version.owner in self.marks and version.epoch <= self.marks[version.owner][0]
+    def _is_ended(self, version: Version) -> bool:
+        return (
+            version.owner in self.owner_tombstones
+            and version.epoch <= self.owner_tombstones[version.owner][0]
+        )
 
-    def _on_tombstone(self, version: Row) -> None:
-        if version.owner == self.me:
-            if self.mine is not None and version.epoch >= self.mine.id.epoch:
-                self.marks[self.me] = (version.epoch, self.now)
-                self._begin()  # it was retired, and is back
+    def _on_tombstone(self, version: Version) -> None:
+        if version.owner == self.member_name:
+            if self.own_replica is not None and version.epoch >= self.own_replica.id.epoch:
+                self.owner_tombstones[self.member_name] = (version.epoch, self.now)
+                self._start_incarnation()  # it was retired, and is back
             return
         self._retire(version.owner, version.epoch)
 
@@ -950,14 +969,14 @@
         If it is higher, tombstones have expired that this member may never have received. Maps that did not
         change here for as long and that the peer does not have are then taken as ended.
         """
-        if gc_epoch <= self.era:
+        if gc_epoch <= self.gc_epoch:
             return
         if shown is None:
             self._raise_gc_epoch(gc_epoch)
             return
         remote_ids, buckets = shown
         limit = self.now - self.settings.keep_us
-        for replica in list(self.books.values()):
+        for replica in list(self.replicas.values()):
             id = replica.id
             old = replica.changed_us <= limit and id not in remote_ids and bucket_of(id.owner) in buckets
             if old and self._is_unknown_member(id.owner, sender):
@@ -967,18 +986,18 @@
             self._raise_gc_epoch(gc_epoch)
 
     def _on_in_sync(self, sender: str) -> None:
-        if self.level or sender not in self.peers:
+        if self.caught_up or sender not in self.peers:
             return
         self._in_sync_peers.add(sender)
         if len(self._in_sync_peers & set(self.peers)) >= min(CAUGHT_UP_PEERS, len(self.peers)):
-            self.level = True
-            if self.mine is None:
-                self._begin()
-            self._out.append(Levelled())
+            self.caught_up = True
+            if self.own_replica is None:
+                self._start_incarnation()
+            self._actions.append(CaughtUp())
 
     # Catching up
 
-    def _start_fetch(self, source: str, version: Row, full: bool = False, differs: bool = False) -> None:
+    def _start_fetch(self, source: str, version: Version, full: bool = False, differs: bool = False) -> None:
         """Start to pull a map from a peer, from the position that this member has reached."""
         id = version.id
         fetch = self._fetches.get(id)
@@ -987,8 +1006,8 @@
         if fetch is None:
             if len(self._fetches) >= MAX_FETCHES:
                 return  # retried with the next comparison
-            replica = self.books.get(id)
-            if replica is None and len(self.books) >= MAX_REPLICAS:
+            replica = self.replicas.get(id)
+            if replica is None and len(self.replicas) >= MAX_REPLICAS:
                 self.counters.refused += 1
                 return
             full = full or replica is None
@@ -1005,9 +1024,9 @@
     def _retry_fetch(self, id: ReplicaId, fetch: _Fetch) -> None:
         """Go on with another peer, from the same position, after a fetch has timed out."""
         fetch.tries += 1
-        position = Row(*id, fetch.seq)
+        position = Version(*id, fetch.seq)
         if (
-            fetch.tries > FETCH_TRIES
+            fetch.tries > MAX_FETCH_TRIES
             or not self.peers
             or self._is_ended(position)
             or self.is_superseded(position)
@@ -1018,7 +1037,7 @@
         self._send_pull(id, fetch)
 
     def _on_pull(self, sender: str, pull: Pull) -> None:
-        if pull.id not in self.books:
+        if pull.id not in self.replicas:
             self._send(
                 sender, self._version_message((bucket_of(pull.owner),), wants_reply=False)
             )  # it has ended, or was never here
@@ -1032,20 +1051,20 @@
     def _budget_available_us(self) -> int:
         """Return when the send budget allows a byte again."""
         missing = max(0.0, 1.0 - self._send_budget)
-        return self._refilled_us + 1 + int(missing * 1e6 / self.settings.give_bytes_s)
+        return self._refilled_us + 1 + int(missing * 1e6 / self.settings.send_bytes_s)
 
     def _serve_pulls(self) -> None:
         """Answer the queued pulls as far as the send budget goes."""
-        rate = float(self.settings.give_bytes_s)
+        rate = float(self.settings.send_bytes_s)
         self._send_budget = min(rate, self._send_budget + (self.now - self._refilled_us) / 1e6 * rate)
         self._refilled_us = self.now
         while self._queued_pulls and self._send_budget >= 1.0:
             (sender, id), pull = self._queued_pulls.popitem(last=False)
-            replica = self.books.get(id)
+            replica = self.replicas.get(id)
             if replica is not None:
                 self._send_budget -= self._send_delta(sender, replica, pull)
 
-    def _send_delta(self, to: str, replica: Book, pull: Pull) -> int:
+    def _send_delta(self, to: str, replica: Replica, pull: Pull) -> int:
         """Send the next chunk that a pull asks for; return its size in bytes."""
         position, full = (pull.seq, pull.key), pull.full
         if pull.seq < replica.tombstone_floor and position != (0, ""):
@@ -1058,15 +1077,17 @@
         )
         return used + ENTRY_OVERHEAD
 
-    def _next_chunk(self, replica: Book, position: tuple[int, str]) -> tuple[tuple[Entry, ...], int, bool]:
+    def _next_chunk(self, replica: Replica, position: tuple[int, str]) -> tuple[tuple[Entry, ...], int, bool]:
         """Return the entries after a position that fit one message, their bytes, and if that is all."""
         entries: list[Entry] = []
         used = 0
         for entry in replica.after(*position):
-            if entries and (used + size(entry) > MAX_CHUNK_BYTES or len(entries) >= MAX_MESSAGE_ENTRIES):
+            if entries and (
+                used + entry_size(entry) > MAX_CHUNK_BYTES or len(entries) >= MAX_MESSAGE_ENTRIES
+            ):
                 return tuple(entries), used, False
             entries.append(entry)
-            used += size(entry)
+            used += entry_size(entry)
         return tuple(entries), used, True
 
     def _push_changes(self) -> None:
@@ -1074,7 +1095,7 @@
         unpushed, self._unpushed, self._push_us = self._unpushed, {}, None
         max_hops = 2 + len(self.peers).bit_length()
         for id, (seq, hops) in unpushed.items():
-            replica = self.books.get(id)
+            replica = self.replicas.get(id)
             if replica is None or hops >= max_hops or not self.peers:
                 continue
             if seq < replica.tombstone_floor and seq:
@@ -1105,7 +1126,7 @@
         if (
             self._is_ended(version)
             or self.is_superseded(version)
-            or (version.owner == self.me and self._is_own(id))
+            or (version.owner == self.member_name and self._is_own(id))
         ):
             self._fetches.pop(id, None)
             return
@@ -1116,7 +1137,7 @@
             self._on_push(sender, delta)
 
     def _is_own(self, id: ReplicaId) -> bool:
-        return self.mine is not None and self.mine.id == id
+        return self.own_replica is not None and self.own_replica.id == id
 
     def _append_chunk(self, id: ReplicaId, fetch: _Fetch, sender: str, delta: Delta) -> bool:
         """Append a chunk to a fetch; return False if it does not continue it."""
@@ -1127,7 +1148,7 @@
         if (delta.after, delta.after_key) != (fetch.seq, fetch.key) or delta.full != fetch.full:
             return False
         fetch.entries.extend(delta.entries)
-        fetch.bytes += sum(map(size, delta.entries))
+        fetch.bytes += sum(map(entry_size, delta.entries))
         fetch.seq, fetch.key, fetch.tries = delta.up_to, delta.up_to_key, 0
         if len(fetch.entries) > 2 * MAX_ENTRIES or fetch.bytes > MAX_REPLICA_BYTES:
             self.counters.refused += 1
@@ -1148,11 +1169,11 @@
 
     def _on_push(self, sender: str, delta: Delta) -> None:
         """Handle a pushed delta: all changes since a version, in one unrequested message."""
-        replica = self.books.get(delta.version.id)
-        if replica is None and delta.after == 0 and len(self.books) < MAX_REPLICAS:
-            if self._is_unknown_member(delta.version.owner, sender) and self.era:
+        replica = self.replicas.get(delta.version.id)
+        if replica is None and delta.after == 0 and len(self.replicas) < MAX_REPLICAS:
+            if self._is_unknown_member(delta.version.owner, sender) and self.gc_epoch:
                 return  # a comparison shows whether it has ended
-            replica = Book(delta.version.id, self.now)
+            replica = Replica(delta.version.id, self.now)
             self._add(replica)
         if replica is None or delta.after > replica.seq:
             self._start_fetch(sender, delta.version)
@@ -1164,7 +1185,7 @@
 
         `pushed`: the delta came as a push and is forwarded.
         """
-        replica = self.books.get(delta.version.id)
+        replica = self.replicas.get(delta.version.id)
         if replica is None or delta.version.seq <= replica.seq:
             return
         self._toggle_digest(replica)
@@ -1184,7 +1205,7 @@
         replica.changed_us = self.now
         self._toggle_digest(replica)
         self._write(Change(replica.version, taken))
-        self._out.append(Changed(replica.id.owner, tuple(entry.key for entry in taken)))
+        self._actions.append(Changed(replica.id.owner, tuple(entry.key for entry in taken)))
         if pushed:
             self._schedule_push(replica, before, delta.hops + 1)
         self._after_update(replica)
@@ -1192,7 +1213,7 @@
     def _apply_snapshot(self, sender: str, fetch: _Fetch, delta: Delta) -> None:
         """Replace a replica by a full snapshot."""
         id = delta.version.id
-        updated = Book(id, self.now)
+        updated = Replica(id, self.now)
         for entry in fetch.entries:
             updated.apply(entry)
         updated.seq, updated.tombstone_floor = (
@@ -1202,15 +1223,15 @@
         if updated.checksum != delta.version.checksum:
             self.counters.spoilt += 1
             return
-        known = self.books.get(id)
+        known = self.replicas.get(id)
         if known is not None:
             if known.seq > updated.seq:
                 return
             if known.seq == updated.seq and known.checksum != updated.checksum:
-                updated = self._settle(known, updated)
+                updated = self._merge_contents(known, updated)
             self._toggle_digest(known)
             updated.superseded = {**known.superseded, **updated.superseded}
-            self.books[id] = updated
+            self.replicas[id] = updated
             self._toggle_digest(updated)
             keys = {*known.entries, *updated.entries}
         else:
@@ -1224,17 +1245,17 @@
                 tombstone_floor=updated.tombstone_floor,
             )
         )
-        self._out.append(Changed(id.owner, tuple(sorted(keys))))
+        self._actions.append(Changed(id.owner, tuple(sorted(keys))))
         self._after_update(updated)
 
-    def _after_update(self, replica: Book) -> None:
-        if replica.id.owner == self.me and replica is not self.mine:
+    def _after_update(self, replica: Replica) -> None:
+        if replica.id.owner == self.member_name and replica is not self.own_replica:
             self._take_over(replica)
         elif len(self._by_owner[replica.id.owner]) > 1:
             self._drop_superseded()
             self._detect_duplicates(replica)
 
-    def _detect_duplicates(self, replica: Book) -> None:
+    def _detect_duplicates(self, replica: Replica) -> None:
         """Report two incarnations of one name in one epoch: a cloned name or a restored disk."""
         owner, epoch, _ = replica.id
         same = [id for id in self._by_owner.get(owner, ()) if id.epoch == epoch]
@@ -1243,21 +1264,21 @@
 
     # Conflicting contents of one version
 
-    def _on_conflict(self, sender: str, replica: Book, version: Row) -> None:
+    def _on_conflict(self, sender: str, replica: Replica, version: Version) -> None:
         if self.forks.get(version.owner) != (version.epoch, version.seq):
             self._report_fork(version.owner, version.epoch, version.seq)
-        if version.owner.startswith(LIST) or version.checksum > replica.checksum:
+        if version.owner.startswith(LIST_PREFIX) or version.checksum > replica.checksum:
             self._start_fetch(sender, version, full=True, differs=True)
 
-    def _settle(self, known: Book, other: Book) -> Book:
+    def _merge_contents(self, known: Replica, other: Replica) -> Replica:
         """Merge two contents of one version, with the same result for any member and any order.
 
         For a list: the more cautious value of each server, and no entry for a server that either content
         lacks. For other maps: the content with the higher checksum.
         """
-        if not known.id.owner.startswith(LIST):
+        if not known.id.owner.startswith(LIST_PREFIX):
             return known if known.checksum > other.checksum else other
-        updated = Book(known.id, self.now)
+        updated = Replica(known.id, self.now)
         for key, entry in known.entries.items():
             counterpart = other.entries.get(key)
             if counterpart is not None and entry.value is not None and counterpart.value is not None:
@@ -1271,7 +1292,7 @@
 
     # Durability on several hosts
 
-    def hold(self, hosts: int, now: int) -> list[Action]:
+    def require_hosts(self, hosts: int, now: int) -> list[Action]:
         """Require that the own map is durable on so many hosts, this one included.
 
         `Kept` reports each sequence for which that is so.
@@ -1280,24 +1301,24 @@
         self.required_hosts = hosts
         self._request_persistence()
         self._report_durable()
-        return self._take()
+        return self._take_actions()
 
     def _request_persistence(self) -> None:
-        mine = self.mine
+        mine = self.own_replica
         if mine is None or self.required_hosts < 2 or self._durable_seq >= mine.seq:
             return
         durable_on = {host for host, seq in self._durable_seqs.items() if seq >= mine.seq}
         missing = self.required_hosts - 1 - len(durable_on)
         hosts: dict[str, list[str]] = {}
         for name in self.peers:
-            if host_of(name) != host_of(self.me) and host_of(name) not in durable_on:
+            if host_of(name) != host_of(self.member_name) and host_of(name) not in durable_on:
                 hosts.setdefault(host_of(name), []).append(name)
         for host in self.random.sample(sorted(hosts), min(max(0, missing), len(hosts))):
             name = hosts[host][self.random.randrange(len(hosts[host]))]
             self._send(name, PersistRequest(mine.version))
 
-    def _on_hold(self, sender: str, version: Row) -> None:
-        replica = self.books.get(version.id)
+    def _on_persist_request(self, sender: str, version: Version) -> None:
+        replica = self.replicas.get(version.id)
         if replica is None or replica.seq < version.seq:
             if not (self._is_ended(version) or self.is_superseded(version)):
                 self._start_fetch(sender, version)
@@ -1308,14 +1329,14 @@
         elif len(self._pending_acks) < MAX_PENDING_ACKS:
             self._pending_acks[sender, version.id] = (replica.seq, at)
 
-    def _on_persist_ack(self, sender: str, version: Row) -> None:
-        if self.mine is not None and version.id == self.mine.id:
+    def _on_persist_ack(self, sender: str, version: Version) -> None:
+        if self.own_replica is not None and version.id == self.own_replica.id:
             host = host_of(sender)
             self._durable_seqs[host] = max(version.seq, self._durable_seqs.get(host, 0))
             self._report_durable()
 
     def _report_durable(self) -> None:
-        mine = self.mine
+        mine = self.own_replica
         if mine is None or self._unwritten.get(mine.id, 0) > self._written or self.required_hosts < 1:
             return
         held = sorted(self._durable_seqs.values(), reverse=True)
@@ -1324,11 +1345,11 @@
         seq = mine.seq if self.required_hosts == 1 else min(mine.seq, held[self.required_hosts - 2])
         if seq > self._durable_seq:
             self._durable_seq = seq
-            self._out.append(Kept(seq, self.required_hosts))
+            self._actions.append(Durable(seq, self.required_hosts))
 
     # The list
 
-    def heard(
+    def on_list(
         self, seq: int, complete: bool, servers: Mapping[str, tuple[bytes, bytes] | None], now: int
     ) -> list[Action]:
         """Handle an update of the list from this member's own list service.
@@ -1344,18 +1365,18 @@
                 self._own_list.pop(key, None)
             else:
                 self._own_list[key] = value_and_hint
-        self._heard_seq = seq
+        self._own_list_seq = seq
         self._confirm_list()
-        return self._take()
+        return self._take_actions()
 
-    def current(self, now: int) -> list[Action]:
+    def on_list_unchanged(self, now: int) -> list[Action]:
         """Note that the list service is reachable and has no further changes."""
         self.now = max(now, self.now)
-        if self._heard_seq:
+        if self._own_list_seq:
             self._confirm_list()
-        return self._take()
+        return self._take_actions()
 
-    def listed(self) -> Book | None:
+    def list_replica(self) -> Replica | None:
         """Return the replica of the list with the highest epoch."""
         incarnations = self._incarnations(self.list_owner)
         return max(incarnations, key=lambda replica: replica.id.epoch) if incarnations else None
@@ -1368,31 +1389,31 @@
         return None if self.list_confirmed_us is None else max(0, self.now - self.list_confirmed_us)
 
     def _confirm_list(self) -> None:
-        replica = self.listed()
+        replica = self.list_replica()
         if replica is None:
-            replica = Book(ReplicaId(self.list_owner, 1, 0), self.now)
+            replica = Replica(ReplicaId(self.list_owner, 1, 0), self.now)
             self._add(replica)
-        if self._heard_seq < replica.seq:
+        if self._own_list_seq < replica.seq:
             # The service lags, or was restored to an earlier version. It was restored if no member's service
             # has confirmed the newer version for `trust_us`.
             last_confirmed_us = max(
                 self.created_us,
                 self.list_confirmed_us if self.list_confirmed_us is not None else self.created_us,
             )
-            if self.now - last_confirmed_us < self.settings.trust_us:
+            if self.now - last_confirmed_us < self.settings.list_trust_us:
                 return
-            replica = Book(ReplicaId(self.list_owner, replica.id.epoch + 1, 0), self.now)
+            replica = Replica(ReplicaId(self.list_owner, replica.id.epoch + 1, 0), self.now)
             self._add(replica)
-        if self._heard_seq > replica.seq:
+        if self._own_list_seq > replica.seq:
             entries = [
-                Entry(key, self._heard_seq, *value_and_hint)
+                Entry(key, self._own_list_seq, *value_and_hint)
                 for key, value_and_hint in self._own_list.items()
                 if key not in replica.entries or replica.entries[key].value != value_and_hint[0]
             ]
             entries += [
-                Entry(key, self._heard_seq, None) for key in replica.entries if key not in self._own_list
+                Entry(key, self._own_list_seq, None) for key in replica.entries if key not in self._own_list
             ]
-            self._commit(replica, entries, self._heard_seq)
+            self._commit(replica, entries, self._own_list_seq)
             self._drop_superseded()
         elif self._own_list_checksum() != replica.checksum and self._merged_list != (
             replica.id,
@@ -1400,13 +1421,13 @@
             replica.checksum,
         ):
             self._report_fork(self.list_owner, replica.id.epoch, replica.seq)
-            other = Book(replica.id, self.now)
+            other = Replica(replica.id, self.now)
             for key, value_and_hint in self._own_list.items():
-                other.apply(Entry(key, self._heard_seq, *value_and_hint))
-            other.seq = self._heard_seq
-            updated = self._settle(replica, other)
+                other.apply(Entry(key, self._own_list_seq, *value_and_hint))
+            other.seq = self._own_list_seq
+            updated = self._merge_contents(replica, other)
             self._toggle_digest(replica)
-            self.books[replica.id] = updated
+            self.replicas[replica.id] = updated
             self._toggle_digest(updated)
             self._write(
                 Change(
@@ -1416,7 +1437,7 @@
                     tombstone_floor=updated.tombstone_floor,
                 )
             )
-            self._out.append(Changed(self.list_owner, tuple(updated.entries)))
+            self._actions.append(Changed(self.list_owner, tuple(updated.entries)))
             self._merged_list = (updated.id, updated.seq, updated.checksum)
             replica = updated
         self.own_list_state = (replica.id.epoch, replica.seq, self.now)
@@ -1429,7 +1450,7 @@
         return total
 
     def _on_list_state(self, list_state: tuple[int, int, int] | None) -> None:
-        replica = self.listed()
+        replica = self.list_replica()
         if list_state is None or replica is None:
             return
         epoch, seq, age_ms = list_state
@@ -1446,7 +1467,7 @@
     def values(self, key: str) -> list[tuple[ReplicaId, bytes]]:
         """Return all members' values under this key, by map, for the caller to join."""
         found = []
-        for id, replica in self.books.items():
+        for id, replica in self.replicas.items():
             entry = replica.entries.get(key)
             if entry is not None and entry.value is not None:
                 found.append((id, entry.value))
--- a/sorrelfront/decisions/fleet/policy.py
+++ b/sorrelfront/decisions/fleet/policy.py
@@ -101,7 +101,7 @@
         return self.document if self.value.void else self.value.document
 
 
-class Need(NamedTuple):
+class LearnRequest(NamedTuple):
     """A request for the values chosen from this slot on."""
 
     slot: int
@@ -131,26 +131,26 @@
     version: int
 
 
-class Ask(NamedTuple):
+class RecoveryQuery(NamedTuple):
     """A voter that has lost its record asks another one for its latest slot."""
 
     voter: str
 
 
-class Known(NamedTuple):
+class LatestSlot(NamedTuple):
     """The latest slot whose chosen value the voter knows; the answer to `RecoveryQuery` and `Initialize`."""
 
     voter: str
     latest_slot: int
 
 
-class Blank(NamedTuple):
+class Uninitialized(NamedTuple):
     """The voter has no record: it was never initialized, or it has lost its disk."""
 
     voter: str
 
 
-class Found(NamedTuple):
+class Initialize(NamedTuple):
     """An operator initializes a voter.
 
     Without a value, as a voter of a new fleet. With one, which is for a fleet that has lost its quorum for
@@ -162,7 +162,7 @@
     requester: str
 
 
-class Look(NamedTuple):
+class StateQuery(NamedTuple):
     """A query for a voter's state; `number` is echoed in the answer."""
 
     number: int
@@ -170,7 +170,7 @@
     history: bool
 
 
-class Shown(NamedTuple):
+class VoterState(NamedTuple):
     """A voter's state.
 
     `slot` is its latest slot (-1 without a record), with the id of the change chosen there and the digest of
@@ -190,15 +190,15 @@
     history: tuple[Value, ...]
 
 
-class Check(NamedTuple):
+class ValidationRequest(NamedTuple):
     """A request to a member to validate a policy before it is proposed."""
 
     number: int
-    who: str
+    requester: str
     document: bytes
 
 
-class Checked(NamedTuple):
+class ValidationReply(NamedTuple):
     """The result of a check: `fault` is empty if the member would serve the policy, else the reason."""
 
     number: int
@@ -206,10 +206,27 @@
     fault: str
 
 
-Word = (
-    Prepare | Promise | Accept | Accepted | Reject | Chosen | Current | Need | Renew | Grant | Release | Ask
-    | Known | Blank | Found | Look | Shown | Check | Checked
-)  # fmt: skip
+PolicyMessage = (
+    Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Reject
+    | Chosen
+    | Current
+    | LearnRequest
+    | Renew
+    | Grant
+    | Release
+    | RecoveryQuery
+    | LatestSlot
+    | Uninitialized
+    | Initialize
+    | StateQuery
+    | VoterState
+    | ValidationRequest
+    | ValidationReply
+)
 
 
 def digest_of(document: bytes) -> str:
@@ -220,7 +237,7 @@
 # Actions
 
 
-class Keep(NamedTuple):
+class Persist(NamedTuple):
     """Persist this record before any later action is taken."""
 
     record: Record
@@ -230,7 +247,7 @@
     """Send a message to a voter or a member, by name."""
 
     to: str
-    word: Word
+    message: PolicyMessage
 
 
 class Record(NamedTuple):
@@ -241,12 +258,12 @@
     promised: Ballot
     accepted: Ballot
     value: Value | None
-    abstains: int  # it does not vote in slots up to this one
+    abstain_through_slot: int  # it does not vote in slots up to this one
     document: bytes = b""  # the policy in force by the last of `chosen`
 
 
-FIRST = Record((), 0, NO_BALLOT, NO_BALLOT, None, 0)  # of a voter of a new fleet, on initialization
-Step = tuple["Voter", list[Keep | Send]]
+EMPTY_RECORD = Record((), 0, NO_BALLOT, NO_BALLOT, None, 0)  # of a voter of a new fleet, on initialization
+Step = tuple["Voter", list[Persist | Send]]
 
 
 class Voter(NamedTuple):
@@ -258,7 +275,9 @@
     lease_us: int
     no_grants_until_us: int  # leases that it granted before a restart may run until then
     leases: tuple[tuple[str, int, int], ...] = ()  # holder, version, expiry by this voter's clock
-    told: tuple[tuple[str, int], ...] = ()  # without a record: the latest slots that other voters report
+    recovery_replies: tuple[
+        tuple[str, int], ...
+    ] = ()  # without a record: the latest slots that other voters report
 
     @property
     def majority(self) -> int:
@@ -277,7 +296,7 @@
             return self, refusal
         updated = record._replace(promised=message.ballot)
         answer = Promise(message.slot, message.ballot, self.name, record.accepted, record.value)
-        return self._replace(record=updated), [Keep(updated), Send(sender, answer)]
+        return self._replace(record=updated), [Persist(updated), Send(sender, answer)]
 
     def on_accept(self, message: Accept, sender: str) -> Step:
         """Accept the value, unless a higher ballot was promised or the slot is not the next."""
@@ -289,25 +308,25 @@
             return self, refusal
         updated = record._replace(promised=message.ballot, accepted=message.ballot, value=message.value)
         answer = Accepted(message.slot, message.ballot, self.name)
-        return self._replace(record=updated), [Keep(updated), Send(sender, answer)]
+        return self._replace(record=updated), [Persist(updated), Send(sender, answer)]
 
-    def _refusal(self, record: Record, slot: int, ballot: Ballot, sender: str) -> list[Keep | Send] | None:
+    def _refusal(self, record: Record, slot: int, ballot: Ballot, sender: str) -> list[Persist | Send] | None:
         """The actions to take instead of voting, possibly none; None if it may vote."""
         actions = self._other_slot_actions(record, slot, sender)
         if actions is not None:
             return actions
-        if slot <= record.abstains:
+        if slot <= record.abstain_through_slot:
             return []
         if ballot < record.promised:
             return [Send(sender, Reject(slot, record.promised, self.name))]
         return None
 
-    def _other_slot_actions(self, record: Record, slot: int, sender: str) -> list[Keep | Send] | None:
+    def _other_slot_actions(self, record: Record, slot: int, sender: str) -> list[Persist | Send] | None:
         """The answer to a vote in a slot that is not the next one; None if it is."""
         if slot <= record.slot:
             return [Send(sender, message) for message in self.chosen_from(slot)]
         if slot > record.slot + 1:
-            return [Send(sender, Need(record.slot + 1, self.name))]
+            return [Send(sender, LearnRequest(record.slot + 1, self.name))]
         return None
 
     def current(self) -> list[Current]:
@@ -335,8 +354,10 @@
             return self, []
         chosen = (*record.chosen, message.value)[-HISTORY_LENGTH:]
         document = record.document if message.value.void else message.value.document
-        updated = Record(chosen, message.slot, NO_BALLOT, NO_BALLOT, None, record.abstains, document)
-        return self._replace(record=updated), [Keep(updated)]
+        updated = Record(
+            chosen, message.slot, NO_BALLOT, NO_BALLOT, None, record.abstain_through_slot, document
+        )
+        return self._replace(record=updated), [Persist(updated)]
 
     def on_current(self, message: Current) -> Step:
         """Skip to a later slot; votes in earlier ones, whose values may be in no history, are dropped."""
@@ -345,10 +366,12 @@
             return self, []
         earlier = record.chosen if message.slot == record.slot + 1 else ()
         chosen = (*earlier, message.value)[-HISTORY_LENGTH:]
-        updated = Record(chosen, message.slot, NO_BALLOT, NO_BALLOT, None, record.abstains, message.policy)
-        return self._replace(record=updated), [Keep(updated)]
+        updated = Record(
+            chosen, message.slot, NO_BALLOT, NO_BALLOT, None, record.abstain_through_slot, message.policy
+        )
+        return self._replace(record=updated), [Persist(updated)]
 
-    def on_found(self, message: Found, sender: str) -> Step:
+    def on_initialize(self, message: Initialize, sender: str) -> Step:
         """Initialize a voter of a new fleet, or force an existing one to the operator's slot and value.
 
         A forced slot only moves forward: a voter that returns after all may have taken part in choosing other
@@ -356,18 +379,20 @@
         """
         record = self.record
         if message.value is None and record is None:
-            fresh = self._replace(record=FIRST, told=(), no_grants_until_us=0)  # no lease was ever granted
-            return fresh, [Keep(FIRST), Send(sender, Known(self.name, 0))]
+            fresh = self._replace(
+                record=EMPTY_RECORD, recovery_replies=(), no_grants_until_us=0
+            )  # no lease was ever granted
+            return fresh, [Persist(EMPTY_RECORD), Send(sender, LatestSlot(self.name, 0))]
         if message.value is not None and (record is None or message.slot > record.slot):
             document = message.value.document
             updated = Record((message.value,), message.slot, NO_BALLOT, NO_BALLOT, None, 0, document)
-            reply = Known(self.name, message.slot)
-            return self._replace(record=updated, told=()), [Keep(updated), Send(sender, reply)]
-        return self, [] if record is None else [Send(sender, Known(self.name, record.slot))]
+            reply = LatestSlot(self.name, message.slot)
+            return self._replace(record=updated, recovery_replies=()), [Persist(updated), Send(sender, reply)]
+        return self, [] if record is None else [Send(sender, LatestSlot(self.name, record.slot))]
 
     # Recovery of a voter without a record
 
-    def on_known(self, message: Known) -> Step:
+    def on_latest_slot(self, message: LatestSlot) -> Step:
         """Vote again, after losing the disk, only in slots in which this voter cannot have voted before.
 
         It cannot have voted beyond the second slot past the latest one that a majority of the voters reports:
@@ -376,13 +401,15 @@
         """
         if self.record is not None or message.voter == self.name or message.voter not in self.voters:
             return self, []
-        replies = tuple(sorted({**dict(self.told), message.voter: message.latest_slot}.items()))
+        replies = tuple(sorted({**dict(self.recovery_replies), message.voter: message.latest_slot}.items()))
         if len(replies) < self.majority:
-            return self._replace(told=replies), []
-        updated = FIRST._replace(abstains=max(slot for _, slot in replies) + MAX_SLOTS_AHEAD)
-        actions: list[Keep | Send] = [Keep(updated)]
-        actions += [Send(voter, Need(1, self.name)) for voter, _ in replies]
-        return self._replace(record=updated, told=()), actions
+            return self._replace(recovery_replies=replies), []
+        updated = EMPTY_RECORD._replace(
+            abstain_through_slot=max(slot for _, slot in replies) + MAX_SLOTS_AHEAD
+        )
+        actions: list[Persist | Send] = [Persist(updated)]
+        actions += [Send(voter, LearnRequest(1, self.name)) for voter, _ in replies]
+        return self._replace(record=updated, recovery_replies=()), actions
 
     # Leases
 
@@ -393,12 +420,12 @@
         """
         record = self.record
         if record is None:
-            return self, [Send(message.member, Blank(self.name))]
+            return self, [Send(message.member, Uninitialized(self.name))]
         if message.version < record.slot:
             return self, [Send(message.member, item) for item in self.current()]
         if message.version > record.slot:
-            return self, [Send(message.member, Need(record.slot + 1, self.name))]
-        if record.slot < record.abstains - MAX_SLOTS_AHEAD:
+            return self, [Send(message.member, LearnRequest(record.slot + 1, self.name))]
+        if record.slot < record.abstain_through_slot - MAX_SLOTS_AHEAD:
             # A voter that lost its disk could grant an older version than it had granted before, together
             # with a voter that is behind. Any version that was ever served is known to a majority, so to one
             # of the voters that it asked; it grants nothing until it has caught up with them.
@@ -423,7 +450,7 @@
         )
         return self._replace(leases=remaining), []
 
-    def state_reply(self, message: Look, now: int) -> Shown:
+    def state_reply(self, message: StateQuery, now: int) -> VoterState:
         """The answer to a query for this voter's state."""
         record = self.record
         running = tuple(
@@ -431,60 +458,60 @@
         )
         no_grants_us = max(0, self.no_grants_until_us - now)
         if record is None:
-            return Shown(message.number, self.name, -1, "", "", "", running, no_grants_us, ())
+            return VoterState(message.number, self.name, -1, "", "", "", running, no_grants_us, ())
         change = record.chosen[-1].change if record.chosen else ""
         under_way = record.value.change if record.value is not None else ""
         history = record.chosen if message.history else ()
         digest = digest_of(record.document)
-        return Shown(
+        return VoterState(
             message.number, self.name, record.slot, change, digest, under_way, running, no_grants_us, history
         )
 
-    def step(self, message: Word, sender: str, now: int) -> Step:
+    def step(self, message: PolicyMessage, sender: str, now: int) -> Step:
         """Handle one message from `sender`; `now` is by this voter's own clock."""
         match message:
             case Current():
                 return self.on_current(message)
-            case Found():
-                return self.on_found(message, sender)
-            case Look():
+            case Initialize():
+                return self.on_initialize(message, sender)
+            case StateQuery():
                 return self, [Send(message.requester, self.state_reply(message, now))]
-            case Ask() if self.record is None:
-                return self, [Send(message.voter, Blank(self.name))]
+            case RecoveryQuery() if self.record is None:
+                return self, [Send(message.voter, Uninitialized(self.name))]
             case Prepare():
                 return self.on_prepare(message, sender)
             case Accept():
                 return self.on_accept(message, sender)
             case Chosen():
                 return self.on_chosen(message)
-            case Need() if self.record is not None:
+            case LearnRequest() if self.record is not None:
                 return self, [Send(message.requester, item) for item in self.chosen_from(message.slot)]
             case Renew():
                 return self.on_renew(message, now)
             case Release():
                 return self.on_release(message, now)
-            case Ask() if self.record is not None:
-                return self, [Send(message.voter, Known(self.name, self.record.slot))]
-            case Known():
-                return self.on_known(message)
+            case RecoveryQuery() if self.record is not None:
+                return self, [Send(message.voter, LatestSlot(self.name, self.record.slot))]
+            case LatestSlot():
+                return self.on_latest_slot(message)
         return self, []
 
-    def begin(self) -> list[Keep | Send]:
+    def recovery_actions(self) -> list[Persist | Send]:
         """Actions at the start: a voter without a record asks the others for their latest slots."""
         if self.record is not None:
             return []
-        return [Send(voter, Ask(self.name)) for voter in self.voters if voter != self.name]
+        return [Send(voter, RecoveryQuery(self.name)) for voter in self.voters if voter != self.name]
 
 
-def started(
-    name: str, voters: tuple[str, ...], record: Record | None, lease_us: int, now: int, fresh: bool
+def start_voter(
+    name: str, voters: tuple[str, ...], record: Record | None, lease_us: int, now: int, new_fleet: bool
 ) -> Voter:
     """Create a voter from the record on its disk.
 
     `fresh` says that its fleet is being created, so no lease can be running. Otherwise it grants none for one
     lease, since it does not know which it granted before.
     """
-    no_grants_until_us = now if fresh else now + int(lease_us * (1 + MAX_CLOCK_DRIFT)) + 1
+    no_grants_until_us = now if new_fleet else now + int(lease_us * (1 + MAX_CLOCK_DRIFT)) + 1
     return Voter(name, voters, record, lease_us, no_grants_until_us)
 
 
@@ -516,7 +543,7 @@
             return self.begin()
         return [Send(voter, Accept(self.slot, self.ballot, self.proposed)) for voter in self.voters]
 
-    def again(self, above: Ballot) -> tuple[Proposer, list[Send]]:
+    def next_round(self, above: Ballot) -> tuple[Proposer, list[Send]]:
         """Start a round higher than `above`, after a rejection or a timeout."""
         fresh = Proposer(
             self.name, self.voters, self.slot, self.value,
@@ -555,7 +582,7 @@
             return self
         return self._replace(outcome=message.value)
 
-    def step(self, message: Word) -> tuple[Proposer, list[Send]]:
+    def step(self, message: PolicyMessage) -> tuple[Proposer, list[Send]]:
         """Handle one message; those that are not for a proposer are ignored."""
         match message:
             case Promise():
@@ -567,7 +594,7 @@
         return self, []
 
 
-class Holder(NamedTuple):
+class LeaseHolder(NamedTuple):
     """A member that serves under leases: the version that it knows, and the voters that have granted it."""
 
     name: str
@@ -582,7 +609,7 @@
         """The number of voters that form a quorum."""
         return len(self.voters) // 2 + 1
 
-    def serves(self, now: int) -> int | None:
+    def serving_version(self, now: int) -> int | None:
         """The version that requests may be served under at this moment, or None.
 
         Call it for each decision: a process that was suspended notices an expired lease only by checking.
@@ -599,7 +626,7 @@
         """Requests for the lease, to all voters; call at the start and several times per lease."""
         return [Send(voter, Renew(self.name, self.version, now)) for voter in self.voters]
 
-    def on_grant(self, message: Grant, now: int) -> Holder:
+    def on_grant(self, message: Grant, now: int) -> LeaseHolder:
         """Record a voter's grant of the current version, counted from when it was asked for."""
         if message.version != self.version or message.voter not in self.voters or message.asked_us > now:
             return self
@@ -608,7 +635,7 @@
         grants[message.voter] = max(grants.get(message.voter, 0), until)
         return self._replace(grants=tuple(sorted(grants.items())))
 
-    def on_current(self, message: Current) -> tuple[Holder, bool]:
+    def on_current(self, message: Current) -> tuple[LeaseHolder, bool]:
         """Switch to this version if it is newer, and serve none until it is granted.
 
         Also returns whether it was newer: then call `release_messages` as soon as no request is in flight
@@ -618,6 +645,6 @@
             return self, False
         return self._replace(version=message.slot, document=message.policy, grants=()), True
 
-    def released(self) -> list[Send]:
+    def release_messages(self) -> list[Send]:
         """Releases of all older versions, to all voters."""
         return [Send(voter, Release(self.name, self.version)) for voter in self.voters]
--- a/sorrelfront/decisions/fleet/said.py
+++ b/sorrelfront/decisions/fleet/said.py
@@ -10,57 +10,73 @@
 import msgspec
 
 from sorrelfront.decisions.fleet import policy
-from sorrelfront.decisions.fleet.words import Unreadable
+from sorrelfront.decisions.fleet.words import MalformedMessage
 
-POLICY_MOST = 32 * 1024  # bytes of one policy
+MAX_POLICY_BYTES = 32 * 1024  # bytes of one policy
 MAX_TEXT_LENGTH = 512  # characters of a name, a change's id, an error
 INTEGER_LIMIT = 2**53  # above any counter; JSON's safe integers end here
 MAX_LIST_ITEMS = 4_096  # of a list; there are fewer leases, one a member, even in a large fleet
 
-TYPES: tuple[type[Any], ...] = (
-    policy.Prepare, policy.Promise, policy.Accept, policy.Accepted, policy.Reject, policy.Chosen,
-    policy.Current, policy.Need, policy.Renew, policy.Grant, policy.Release, policy.Ask, policy.Known,
-    policy.Blank, policy.Found, policy.Look, policy.Shown, policy.Check, policy.Checked,
-)  # fmt: skip
-TYPE_NUMBERS = {kind: number for number, kind in enumerate(TYPES)}
-_decoders = [msgspec.msgpack.Decoder(kind) for kind in TYPES]
+MESSAGE_TYPES: tuple[type[Any], ...] = (
+    policy.Prepare,
+    policy.Promise,
+    policy.Accept,
+    policy.Accepted,
+    policy.Reject,
+    policy.Chosen,
+    policy.Current,
+    policy.LearnRequest,
+    policy.Renew,
+    policy.Grant,
+    policy.Release,
+    policy.RecoveryQuery,
+    policy.LatestSlot,
+    policy.Uninitialized,
+    policy.Initialize,
+    policy.StateQuery,
+    policy.VoterState,
+    policy.ValidationRequest,
+    policy.ValidationReply,
+)
+TYPE_NUMBERS = {kind: number for number, kind in enumerate(MESSAGE_TYPES)}
+_decoders = [msgspec.msgpack.Decoder(kind) for kind in MESSAGE_TYPES]
 _encode = msgspec.msgpack.Encoder().encode
 _record_decoder = msgspec.msgpack.Decoder(policy.Record)
 RememberedPolicy = tuple[int, bytes]  # the version that a member last applied, and its policy
 _remembered_decoder = msgspec.msgpack.Decoder(RememberedPolicy)
 
 
-def pack(message: policy.Word) -> tuple[int, bytes]:
+def encode_message(message: policy.PolicyMessage) -> tuple[int, bytes]:
     """Encode a policy message as its type's number and its fields."""
     return TYPE_NUMBERS[type(message)], _encode(message)
 
 
-def unpack(kind: int, data: bytes) -> policy.Word:
+def decode_message(kind: int, data: bytes) -> policy.PolicyMessage:
     """Decode the fields of the message type numbered `kind`.
 
     Raises MalformedMessage for any bytes that are no valid message, and no other exception.
     """
-    if not 0 <= kind < len(TYPES):
-        raise Unreadable(f"unknown message type {kind}")
+    if not 0 <= kind < len(MESSAGE_TYPES):
+        raise MalformedMessage(f"unknown message type {kind}")
     return _decode_checked(_decoders[kind], data)  # type: ignore[no-any-return]
 
 
-def pack_record(record: policy.Record) -> bytes:
+def encode_record(record: policy.Record) -> bytes:
     """Encode a voter's record for its file."""
     return _encode(record)
 
 
-def unpack_record(data: bytes) -> policy.Record:
+def decode_record(data: bytes) -> policy.Record:
     """Decode a voter's record; raises MalformedMessage."""
     return _decode_checked(_record_decoder, data)  # type: ignore[no-any-return]
 
 
-def pack_held(version: int, document: bytes) -> bytes:
+def encode_remembered(version: int, document: bytes) -> bytes:
     """Encode the version and the policy that a member remembers."""
     return _encode((version, document))
 
 
-def unpack_held(data: bytes) -> RememberedPolicy:
+def decode_remembered(data: bytes) -> RememberedPolicy:
     """Decode a remembered version and policy; raises MalformedMessage."""
     return _decode_checked(_remembered_decoder, data)  # type: ignore[no-any-return]
 
@@ -69,7 +85,7 @@
     try:
         value = decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedMessage(str(error)) from None
     _check_bounds(value)
     return value
 
@@ -80,13 +96,13 @@
         case bool() | None:
             return
         case int() if not -1 <= value < INTEGER_LIMIT:
-            raise Unreadable("a number is out of range")
+            raise MalformedMessage("a number is out of range")
         case str() if len(value) > MAX_TEXT_LENGTH:
-            raise Unreadable("a text is too long")
-        case bytes() if len(value) > POLICY_MOST:
-            raise Unreadable("a policy is too long")
+            raise MalformedMessage("a text is too long")
+        case bytes() if len(value) > MAX_POLICY_BYTES:
+            raise MalformedMessage("a policy is too long")
         case tuple():
             if len(value) > MAX_LIST_ITEMS:
-                raise Unreadable("a list is too long")
+                raise MalformedMessage("a list is too long")
             for item in value:
                 _check_bounds(item)
--- a/sorrelfront/decisions/fleet/seats.py
+++ b/sorrelfront/decisions/fleet/seats.py
@@ -14,7 +14,7 @@
 import hashlib
 from collections.abc import Collection
 
-from sorrelfront.decisions.places import POINTS, point
+from sorrelfront.decisions.places import RING_POINTS, ring_point
 
 MAX_MATCHED_MEMBERS = 64  # 4,096 pairs take some 10 ms, which block the instance
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # odd, mixes the bits (Knuth, multiplicative hashing)
@@ -27,13 +27,13 @@
     return int.from_bytes(digest[:8], "big"), int.from_bytes(digest[8:], "big")
 
 
-def places(names: Collection[str]) -> dict[str, int]:
+def ring_positions(names: Collection[str]) -> dict[str, int]:
     """Return each member's point on a ring of `POINTS`; all are different.
 
     Raises ValueError if there are more members than half the ring's points.
     """
-    if CELLS_PER_MEMBER * len(names) > POINTS:
-        raise ValueError(f"{len(names)} members on a ring of {POINTS} points")
+    if CELLS_PER_MEMBER * len(names) > RING_POINTS:
+        raise ValueError(f"{len(names)} members on a ring of {RING_POINTS} points")
     return _matched(names) if len(names) <= MAX_MATCHED_MEMBERS else _linear_probed(names)
 
 
@@ -51,7 +51,7 @@
     taken: set[int] = set()
     for _, name, slot in pairs:
         if name not in positions and slot not in taken:
-            positions[name] = point(slot)
+            positions[name] = ring_point(slot)
             taken.add(slot)
     return positions
 
@@ -66,10 +66,10 @@
         while cell in taken:
             cell = (cell + 1) % cells
         taken[cell] = name
-    return {name: cell * POINTS // cells for cell, name in taken.items()}
+    return {name: cell * RING_POINTS // cells for cell, name in taken.items()}
 
 
-class Seat:
+class RingPosition:
     """This member's ring position, recomputed once its view has been stable for a while."""
 
     def __init__(self, name: str, settle_us: int) -> None:
@@ -92,7 +92,7 @@
             return None
         if now - self._stable_since_us < self._settle_us or self._name not in members:
             return None
-        point = places(members)[self._name]
+        point = ring_positions(members)[self._name]
         if point == self.point:
             return None
         self.point = point
--- a/sorrelfront/decisions/fleet/view.py
+++ b/sorrelfront/decisions/fleet/view.py
@@ -29,15 +29,15 @@
     MAX_UPDATES,
     Ack,
     Address,
+    FullState,
     Gossip,
+    MemberUpdate,
+    Message,
     Nack,
     NameConflict,
-    News,
     Ping,
     PingRequest,
     State,
-    Whole,
-    Word,
     encoded_size,
 )
 
@@ -57,17 +57,19 @@
     The defaults are memberlist's for a local network; docs/design/view.md gives the reasons.
     """
 
-    interval_us: int = 1_000_000  # between two probes
-    timeout_us: int = 500_000  # for a direct ack; indirect probes have the rest of the interval
+    probe_interval_us: int = 1_000_000  # between two probes
+    probe_timeout_us: int = 500_000  # for a direct ack; indirect probes have the rest of the interval
     indirect_probes: int = 3  # helpers that are asked to ping an unresponsive member
     suspicion_multiplier: int = 4  # shortest timeout: intervals x max(1, log10 of the fleet's size)
     suspicion_max_multiplier: int = 6  # longest suspicion timeout, as a multiple of the shortest
     retransmit_multiplier: int = 4  # transmissions of an update, x log10 of the fleet's size
-    gossip_us: int = 200_000  # between two gossip rounds, while updates are queued
+    gossip_interval_us: int = 200_000  # between two gossip rounds, while updates are queued
     fanout: int = 3  # members that a gossip round sends to
-    exchange_us: int = 30_000_000  # between two push-pull exchanges
-    recall_us: int = 2_000_000  # between two attempts to reach a dead member or join address
-    keep_us: int = 3_600_000_000  # for which dead members are remembered, and reconnects to them attempted
+    push_pull_interval_us: int = 30_000_000  # between two push-pull exchanges
+    reconnect_interval_us: int = 2_000_000  # between two attempts to reach a dead member or join address
+    dead_retention_us: int = (
+        3_600_000_000  # for which dead members are remembered, and reconnects to them attempted
+    )
     max_members: int = MAX_MEMBERS
     # Lifeguard's components; each can be switched off to measure its effect.
     health: bool = True
@@ -79,10 +81,10 @@
     """Send a message as one datagram."""
 
     to: Address
-    message: Word
+    message: Message
 
 
-class Exchange(NamedTuple):
+class PushPull(NamedTuple):
     """Connect, send `View.full_state()` and pass the answer to `View.on_full_state`.
 
     A failure need not be reported.
@@ -91,13 +93,13 @@
     to: Address
 
 
-class Keep(NamedTuple):
+class PersistIncarnation(NamedTuple):
     """Persist an incarnation; the next process of this member starts above it."""
 
     incarnation: int
 
 
-class Told(NamedTuple):
+class MemberEvent(NamedTuple):
     """A membership event for the log and for subscribers.
 
     A member joined, was suspected, cleared, died or left; `twin`: another process uses this one's name;
@@ -111,7 +113,7 @@
     address: Address
 
 
-Action = Send | Exchange | Keep | Told
+Action = Send | PushPull | PersistIncarnation | MemberEvent
 
 
 @dataclass(slots=True)
@@ -147,7 +149,7 @@
 
 @dataclass(slots=True)
 class _Broadcast:
-    update: News
+    update: MemberUpdate
     bytes: int
     sent: int = 0
 
@@ -189,7 +191,7 @@
     process. All times are from a monotonic clock, in microseconds.
     """
 
-    me: News
+    me: MemberUpdate
     settings: Settings
     random: Random
     now: int
@@ -198,29 +200,31 @@
 
     def __post_init__(self) -> None:
         self.join = self.join[:MAX_JOIN_ADDRESSES]
-        self.members: dict[str, News] = {self.me.name: self.me}
+        self.members: dict[str, MemberUpdate] = {self.me.name: self.me}
         self.changed_us: dict[str, int] = {}  # time of each member's last change
         self.digest = _name_hash(self.me.name)  # exclusive or of the living members' name hashes
         self.peer_digests: dict[str, int] = {}  # last digest received from each member
         self.started_us = self.now
         self.health = 0
-        self.back = False  # has yielded its name to an older process
+        self.yielded = False  # has yielded its name to an older process
         self.leaving = False
         self.reserved_incarnation = self.me.incarnation  # highest incarnation reserved on disk
         self._seq = self.random.randrange(2**32)
         self._probe_order: list[str] = []
         self._order_index = 0
         self._probe: _Probe | None = None
-        self._next_probe_us = self.now + self.random.randrange(self.settings.interval_us)
+        self._next_probe_us = self.now + self.random.randrange(self.settings.probe_interval_us)
         self._next_gossip_us = self.now
-        self._next_push_pull_us = self.now + self._jitter_us(self.settings.exchange_us)
+        self._next_push_pull_us = self.now + self._jitter_us(self.settings.push_pull_interval_us)
         # Jitter, so that members started together do not contact one address at the same instant.
-        self._next_reconnect_us = self.now + self.random.randrange(1 + self.settings.recall_us // 4)
-        self._next_expiry_us = self.now + self.settings.keep_us // 8
+        self._next_reconnect_us = self.now + self.random.randrange(
+            1 + self.settings.reconnect_interval_us // 4
+        )
+        self._next_expiry_us = self.now + self.settings.dead_retention_us // 8
         self._suspicions: dict[str, _Suspicion] = {}
         self._broadcasts: OrderedDict[tuple[str, str], _Broadcast] = OrderedDict()
         self._relayed_pings: dict[int, _RelayedPing] = {}
-        self._conflicts: dict[int, tuple[News, int]] = {}  # by process nonce, with the deadline
+        self._conflicts: dict[int, tuple[MemberUpdate, int]] = {}  # by process nonce, with the deadline
         self._reconnect_count = 0
         self._reported_duplicates: set[int] = set()  # process nonces already reported
         self._actions: list[Action] = []
@@ -248,19 +252,19 @@
             if name != self.me.name and name in self.members and self.members[name].state <= State.SUSPECT
         )
 
-    def whole(self, reply: bool = False) -> Whole:
+    def full_state(self, reply: bool = False) -> FullState:
         """Return the full state for a push-pull exchange.
 
         A process that has yielded its name answers too, so that a member that joins by its address learns of
         the older process and of the rest.
         """
-        return Whole(self.members[self.me.name], list(self.members.values()), reply)
+        return FullState(self.members[self.me.name], list(self.members.values()), reply)
 
     # Time
 
-    def next_us(self) -> int:
+    def next_timer_us(self) -> int:
         """Return the time at which `on_timer` is due next."""
-        if self.back:
+        if self.yielded:
             return self.now + 3_600_000_000
         due = [self._next_probe_us, self._next_push_pull_us, self._next_reconnect_us, self._next_expiry_us]
         if self._broadcasts:
@@ -275,13 +279,13 @@
             due.append(min(until for _, until in self._conflicts.values()))
         return min(due)
 
-    def on_time(self, now: int) -> list[Action]:
+    def on_timer(self, now: int) -> list[Action]:
         """Perform everything that is due at `now`."""
-        due = self.next_us()
+        due = self.next_timer_us()
         self.now = now
-        if self.back:
-            return self._take()
-        if now - due > 2 * self.settings.interval_us:
+        if self.yielded:
+            return self._take_actions()
+        if now - due > 2 * self.settings.probe_interval_us:
             self._recover_from_pause(now)
         self._advance_probe()
         for seq in [seq for seq, item in self._relayed_pings.items() if item.nack_at_us <= now]:
@@ -294,19 +298,19 @@
         if self._broadcasts and self._next_gossip_us <= now:
             self._gossip()
         if self._next_push_pull_us <= now:
-            self._next_push_pull_us = now + self._jitter_us(self.settings.exchange_us)
+            self._next_push_pull_us = now + self._jitter_us(self.settings.push_pull_interval_us)
             others = self._random_alive(1)
             if others:
                 self._push_pull(self.members[others[0]].address)
         if self._next_reconnect_us <= now:
-            self._next_reconnect_us = now + self._jitter_us(self.settings.recall_us)
+            self._next_reconnect_us = now + self._jitter_us(self.settings.reconnect_interval_us)
             self._reconnect()
         if self._next_expiry_us <= now:
-            self._next_expiry_us = now + self.settings.keep_us // 8
+            self._next_expiry_us = now + self.settings.dead_retention_us // 8
             self._forget_expired()
-        return self._take()
+        return self._take_actions()
 
-    def _take(self) -> list[Action]:
+    def _take_actions(self) -> list[Action]:
         out, self._actions = self._actions, []
         return out
 
@@ -319,7 +323,7 @@
         if not self.settings.health:
             return
         self._probe = None
-        self._next_probe_us = now + self._scale_by_health(self.settings.timeout_us)
+        self._next_probe_us = now + self._scale_by_health(self.settings.probe_timeout_us)
         self.health = MAX_LOCAL_HEALTH
         for suspicion in self._suspicions.values():
             # The timeout ran while no refutation could be received, so it starts again.
@@ -345,7 +349,7 @@
         elif probe is not None:
             self._probe = None
         if self._next_probe_us <= self.now:
-            self._next_probe_us = self.now + self._scale_by_health(self.settings.interval_us)
+            self._next_probe_us = self.now + self._scale_by_health(self.settings.probe_interval_us)
             if self._probe is None:
                 self._start_probe()
 
@@ -356,8 +360,8 @@
         update = self.members[name]
         self._seq += 1
         self.counters.probes += 1
-        indirect_at_us = self.now + self._scale_by_health(self.settings.timeout_us)
-        ends_at_us = self.now + self._scale_by_health(self.settings.interval_us)
+        indirect_at_us = self.now + self._scale_by_health(self.settings.probe_timeout_us)
+        ends_at_us = self.now + self._scale_by_health(self.settings.probe_interval_us)
         self._probe = _Probe(
             name, update.incarnation, self._seq, indirect_at_us, max(ends_at_us, indirect_at_us + 1)
         )
@@ -379,7 +383,7 @@
             self._order_index = 0
         return None
 
-    def _ping(self, update: News, seq: int) -> None:
+    def _ping(self, update: MemberUpdate, seq: int) -> None:
         # Lifeguard's buddy system: a ping to a suspect carries the suspicion first, so it can refute it.
         priority = [update] if self.settings.buddy and update.state is not State.ALIVE else []
         ping = Ping(seq, self.me, update.name, self.digest, self._piggyback(priority))
@@ -429,16 +433,16 @@
 
     # Messages
 
-    def on_word(self, message: Word, now: int) -> list[Action]:
+    def on_message(self, message: Message, now: int) -> list[Action]:
         """Handle a decoded datagram."""
-        late_us = now - self.next_us()
+        late_us = now - self.next_timer_us()
         self.now = max(now, self.now)
-        if not self.back and late_us > 2 * self.settings.interval_us:
+        if not self.yielded and late_us > 2 * self.settings.probe_interval_us:
             self._recover_from_pause(now)
         match message:
             case NameConflict():
                 self._on_name_conflict(message)
-            case _ if self.back:
+            case _ if self.yielded:
                 pass  # the name belongs to another process
             case Ping():
                 self._on_ping(message)
@@ -452,7 +456,7 @@
                     probe.nacks += 1
             case Gossip():
                 self._merge_all(message.updates)
-        return self._take()
+        return self._take_actions()
 
     def _on_ping(self, ping: Ping) -> None:
         if ping.to != self.me.name:
@@ -491,7 +495,7 @@
             self.counters.rejected += 1
             return
         self._seq += 1
-        at = self.now + self.settings.timeout_us * 4 // 5
+        at = self.now + self.settings.probe_timeout_us * 4 // 5
         self._relayed_pings[self._seq] = _RelayedPing(request.sender.address, request.seq, request.to, at)
         known = self.members.get(request.to)
         priority = (
@@ -513,10 +517,10 @@
             # member does not restart it, so it still detects a member that sends but does not receive.
             suspicion.started_us = self.now
 
-    def on_whole(self, remote: Whole, now: int) -> list[Action]:
+    def on_full_state(self, remote: FullState, now: int) -> list[Action]:
         """Merge the peer's full state, from a push-pull exchange that either side started."""
         self.now = max(now, self.now)
-        if self.back:
+        if self.yielded:
             return []
         self.counters.push_pulls += 1
         self._merge(remote.sender)
@@ -529,15 +533,15 @@
                 if known is None:
                     continue
             self._merge(update)
-        return self._take()
+        return self._take_actions()
 
     # Updates
 
-    def _merge_all(self, items: Iterable[News]) -> None:
+    def _merge_all(self, items: Iterable[MemberUpdate]) -> None:
         for update in items:
             self._merge(update)
 
-    def _merge(self, update: News) -> None:
+    def _merge(self, update: MemberUpdate) -> None:
         if update.name == self.me.name:
             self._on_own_update(update)
             return
@@ -552,7 +556,7 @@
             return
         self._apply(known, update)
 
-    def _add_member(self, update: News) -> None:
+    def _add_member(self, update: MemberUpdate) -> None:
         if len(self.members) >= self.settings.max_members and not self._evict_dead():
             self.counters.rejected += 1
             return
@@ -571,7 +575,7 @@
         self._forget(min(dead, key=lambda name: self.changed_us.get(name, 0)))
         return True
 
-    def _apply(self, known: News | None, update: News) -> None:
+    def _apply(self, known: MemberUpdate | None, update: MemberUpdate) -> None:
         """Replace the known state of a member by the update."""
         name = update.name
         was_living = known is not None and known.state <= State.SUSPECT
@@ -597,14 +601,16 @@
             kind = "raised"  # only its incarnation rose
         self._emit_event(kind, update)
 
-    def _emit_event(self, kind: str, update: News) -> None:
-        self._actions.append(Told(kind, update.name, update.incarnation, update.reporter, update.address))
+    def _emit_event(self, kind: str, update: MemberUpdate) -> None:
+        self._actions.append(
+            MemberEvent(kind, update.name, update.incarnation, update.reporter, update.address)
+        )
 
-    def _start_suspicion(self, update: News) -> None:
+    def _start_suspicion(self, update: MemberUpdate) -> None:
         settings = self.settings
         self.counters.suspicions += 1
         scale = max(1.0, math.log10(max(1, self._living_count)))
-        shortest_us = int(settings.suspicion_multiplier * scale * settings.interval_us)
+        shortest_us = int(settings.suspicion_multiplier * scale * settings.probe_interval_us)
         expected_confirmations = (
             min(settings.suspicion_multiplier - 2, self._living_count - 2) if settings.confirm else 0
         )
@@ -616,7 +622,7 @@
             {update.reporter},
         )
 
-    def _confirm_suspicion(self, update: News) -> None:
+    def _confirm_suspicion(self, update: MemberUpdate) -> None:
         """Count an independent confirmation: it shortens the suspicion timeout and is gossiped too."""
         suspicion = self._suspicions.get(update.name)
         if (
@@ -634,9 +640,9 @@
         self.counters.deaths += 1
         self._apply(known, msgspec.structs.replace(known, state=State.DEAD, reporter=self.me.name))
 
-    def _on_own_update(self, update: News) -> None:
+    def _on_own_update(self, update: MemberUpdate) -> None:
         """Handle an update about this member itself."""
-        if self.leaving or self.back:
+        if self.leaving or self.yielded:
             return
         if update.process_nonce == self.me.process_nonce:
             if update.incarnation >= self.me.incarnation and update.state is not State.ALIVE:
@@ -651,7 +657,7 @@
             self._raise_incarnation(update.incarnation)
         elif update.process_nonce not in self._conflicts and len(self._conflicts) < MAX_NAME_CONFLICTS:
             # An earlier process at another address, or a duplicate name: only a query can tell.
-            until = self.now + 3 * self._scale_by_health(self.settings.timeout_us)
+            until = self.now + 3 * self._scale_by_health(self.settings.probe_timeout_us)
             self._conflicts[update.process_nonce] = (update, until)
             self._queue_send(update.address, self._name_conflict(is_reply=False))
 
@@ -665,7 +671,7 @@
     def _reserve_incarnations(self) -> None:
         if self.me.incarnation >= self.reserved_incarnation:
             self.reserved_incarnation = self.me.incarnation + RESERVED_INCARNATIONS
-            self._actions.append(Keep(self.reserved_incarnation))
+            self._actions.append(PersistIncarnation(self.reserved_incarnation))
 
     # Two processes under one name
 
@@ -682,7 +688,7 @@
         is_older = (own_up_ms, self.me.process_nonce) > (conflict.up_ms, conflict.process_nonce)
         if not conflict.is_reply:
             self._queue_send((conflict.ip, conflict.port), self._name_conflict(is_reply=True))
-        if self.back:
+        if self.yielded:
             return
         other_process = msgspec.structs.replace(
             self.me,
@@ -702,8 +708,8 @@
         else:
             self._yield_name(other_process)
 
-    def _yield_name(self, other: News) -> None:
-        self.back = True
+    def _yield_name(self, other: MemberUpdate) -> None:
+        self.yielded = True
         self.members[self.me.name] = other
         self._probe = None
         self._broadcasts.clear()
@@ -718,7 +724,7 @@
 
     # Dissemination
 
-    def _queue_broadcast(self, update: News) -> None:
+    def _queue_broadcast(self, update: MemberUpdate) -> None:
         """Queue an update for gossip.
 
         A newer state replaces older ones; confirmations of a suspicion are queued side by side.
@@ -736,7 +742,7 @@
         self._broadcasts[key] = _Broadcast(update, encoded_size(update))
         self._broadcasts.move_to_end(key, last=False)  # the newest first
 
-    def _piggyback(self, priority: list[News] | None = None) -> list[News]:
+    def _piggyback(self, priority: list[MemberUpdate] | None = None) -> list[MemberUpdate]:
         """Choose the updates for one datagram: `priority`, then the least transmitted that fit."""
         chosen = list(priority or ())
         remaining_bytes = (
@@ -766,20 +772,20 @@
         return chosen
 
     def _gossip(self) -> None:
-        self._next_gossip_us = self.now + self.settings.gossip_us
+        self._next_gossip_us = self.now + self.settings.gossip_interval_us
         for name in self._random_alive(self.settings.fanout):
             updates = self._piggyback()
             if not updates:
                 break
             self._queue_send(self.members[name].address, Gossip(updates))
 
-    def _queue_send(self, to: Address, message: Word) -> None:
+    def _queue_send(self, to: Address, message: Message) -> None:
         self._actions.append(Send(to, message))
 
     # Push-pull and reconnects
 
     def _push_pull(self, to: Address) -> None:
-        self._actions.append(Exchange(to))
+        self._actions.append(PushPull(to))
 
     def _reconnect(self) -> None:
         """Contact a dead member, or a join address that no living member has.
@@ -800,7 +806,7 @@
 
     def _forget_expired(self) -> None:
         """Forget members that have been dead for longer than the retention time."""
-        limit = self.now - self.settings.keep_us
+        limit = self.now - self.settings.dead_retention_us
         for name in [name for name, update in self.members.items() if update.state >= State.DEAD]:
             if self.changed_us.get(name, self.started_us) < limit:
                 self._forget(name)
@@ -815,21 +821,21 @@
     def leave(self, now: int) -> list[Action]:
         """Announce that this member leaves for good, so that the others need not detect it."""
         self.now = now
-        if self.back or self.leaving:
+        if self.yielded or self.leaving:
             return []
         self.leaving = True
         self.me = msgspec.structs.replace(self.me, state=State.LEFT, reporter=self.me.name)
         self.members[self.me.name] = self.me
         for name in self._random_alive(2 * self.settings.fanout):
             self._queue_send(self.members[name].address, Gossip([self.me]))
-        return self._take()
+        return self._take_actions()
 
     def reconfigure(self, settings: Settings, join: tuple[Address, ...]) -> None:
         """Replace the settings and the join addresses."""
         self.settings = settings
         self.join = join[:MAX_JOIN_ADDRESSES]
 
-    def seeded(self, members: Iterable[News]) -> None:
+    def seed_members(self, members: Iterable[MemberUpdate]) -> None:
         """Start with these members known to be alive, for measurements of a converged fleet."""
         for update in members:
             if update.name not in self.members:
@@ -841,19 +847,21 @@
         self._broadcasts.clear()
 
 
-def bound_us(settings: Settings, members: int, awake: bool = True) -> int:
+def convergence_bound_us(settings: Settings, members: int, healthy: bool = True) -> int:
     """Return the time after the last fault by which every living member's view is exactly the living members.
 
     docs/design/view.md derives it. Without `healthy`, members may start at their worst local health, at which
     probes take nine times as long.
     """
     count = max(2, members)
-    slow = 1 if awake else MAX_LOCAL_HEALTH + 1
+    slow = 1 if healthy else MAX_LOCAL_HEALTH + 1
     probes = math.ceil(math.log(1e6)) + 1  # after this many rounds one member in a million is unprobed
-    detect = probes * settings.interval_us * slow
-    shortest = int(settings.suspicion_multiplier * max(1.0, math.log10(count)) * settings.interval_us)
+    detect = probes * settings.probe_interval_us * slow
+    shortest = int(settings.suspicion_multiplier * max(1.0, math.log10(count)) * settings.probe_interval_us)
     suspect = shortest * settings.suspicion_max_multiplier  # nobody else may be there to confirm
     rounds = 2 * settings.retransmit_multiplier * math.ceil(math.log10(count + 1))
-    disseminate = rounds * settings.gossip_us + 2 * settings.interval_us * slow
-    reconnect = 8 * int(1.5 * settings.recall_us) * 2  # half of the attempts may go to join addresses
+    disseminate = rounds * settings.gossip_interval_us + 2 * settings.probe_interval_us * slow
+    reconnect = (
+        8 * int(1.5 * settings.reconnect_interval_us) * 2
+    )  # half of the attempts may go to join addresses
     return detect + suspect + disseminate + reconnect
--- a/sorrelfront/decisions/fleet/words.py
+++ b/sorrelfront/decisions/fleet/words.py
@@ -37,7 +37,7 @@
     LEFT = 3
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A member's state as reported by another member or by itself.
 
     `process_nonce` is drawn at random by each process; `reporter` is the member that observed this state
@@ -59,14 +59,14 @@
         return self.ip, self.port
 
 
-Updates = Annotated[list[News], Meta(max_length=MAX_UPDATES)]
+Updates = Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="p", gc=False):
     """A probe, answered by an Ack to the sender's own address; `to` is the member it is meant for."""
 
     seq: Count
-    sender: News
+    sender: MemberUpdate
     to: Name
     digest: Hash
     updates: Updates
@@ -85,7 +85,7 @@
     """A request to ping `to` on the sender's behalf (SWIM's ping-req), answered by an Ack or a Nack."""
 
     seq: Count
-    sender: News
+    sender: MemberUpdate
     to: Name
     ip: Annotated[str, Meta(max_length=15)]
     port: Port
@@ -138,19 +138,19 @@
     payload: bytes
 
 
-class Whole(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class FullState(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """A member's full state, for a push-pull exchange over a connection; `reply` marks the answer."""
 
-    sender: News
-    members: Annotated[list[News], Meta(max_length=MAX_MEMBERS)]
+    sender: MemberUpdate
+    members: Annotated[list[MemberUpdate], Meta(max_length=MAX_MEMBERS)]
     reply: bool
 
 
-Word = Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyFrame | ReplicationFrame
+Message = Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyFrame | ReplicationFrame
 MAX_STATE_BYTES = MAX_MEMBERS * (2 * MAX_NAME_LENGTH + 96)  # size limit of an encoded full state
 
 
-class Unreadable(SorrelfrontError):
+class MalformedMessage(SorrelfrontError):
     """Bytes that do not decode to a valid message; the text says why."""
 
     remedy = (
@@ -159,22 +159,22 @@
     )
 
 
-_datagram_decoder = msgspec.msgpack.Decoder(Word)
-_stream_decoder = msgspec.msgpack.Decoder(Whole | PolicyFrame | ReplicationFrame)
+_datagram_decoder = msgspec.msgpack.Decoder(Message)
+_stream_decoder = msgspec.msgpack.Decoder(FullState | PolicyFrame | ReplicationFrame)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def encode(message: Word | Whole) -> bytes:
+def encode(message: Message | FullState) -> bytes:
     """Encode a message as MessagePack."""
     return _encode(message)
 
 
-def encoded_size(update: News) -> int:
+def encoded_size(update: MemberUpdate) -> int:
     """Return the bytes that an update takes in a datagram."""
     return len(_encode(update))
 
 
-def decode(data: bytes) -> Word:
+def decode(data: bytes) -> Message:
     """Decode a datagram's payload.
 
     Raises MalformedMessage for any bytes that are no valid message, and no other exception.
@@ -182,10 +182,10 @@
     try:
         return _datagram_decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedMessage(str(error)) from None
 
 
-def decode_stream(data: bytes) -> Whole | PolicyFrame | ReplicationFrame:
+def decode_stream(data: bytes) -> FullState | PolicyFrame | ReplicationFrame:
     """Decode a message received on a connection.
 
     Raises MalformedMessage for any bytes that are no valid message, and no other exception.
@@ -193,4 +193,4 @@
     try:
         return _stream_decoder.decode(data)  # type: ignore[no-any-return]
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedMessage(str(error)) from None
--- a/sorrelfront/decisions/interface.py
+++ b/sorrelfront/decisions/interface.py
@@ -160,7 +160,7 @@
     arriving: bool = False  # its body is still being received, and is streamed to the server meanwhile
 
 
-class Whole(NamedTuple):
+class BodyReceived(NamedTuple):
     """The last byte of an arriving request was received, and its server works on it from now on."""
 
     request_id: int
--- a/sorrelfront/decisions/learnt.py
+++ b/sorrelfront/decisions/learnt.py
@@ -22,11 +22,11 @@
 MAX_NAMES = 256  # classes; also kinds of servers
 MAX_TEXT_LENGTH = 4 * 1024 * 1024  # characters
 MAX_AGE_US = 30_000_000  # an older snapshot describes another load
-KEPT_MOST_US = 3_600_000_000  # for a stored one while no process ran: for an hour, better than none
+MAX_STORED_AGE_US = 3_600_000_000  # for a stored one while no process ran: for an hour, better than none
 MAX_VALUE = 1e17  # Unix time is the largest figure here, below 2e15
 
 
-class Unusable(SorrelfrontError):
+class UnusableSnapshot(SorrelfrontError):
     """A snapshot cannot be restored; the text says why."""
 
     remedy = "Nothing has to be done: estimates are learnt anew within seconds."
@@ -36,7 +36,7 @@
     return [item.baseline.value, item.baseline.count, item.value, now - item.updated_at]
 
 
-def snapshot(balancer: Balancer, now: int, at_us: int) -> str:
+def take_snapshot(balancer: Balancer, now: int, at_us: int) -> str:
     """Return a snapshot of this balancer's estimates. `at_us` is the present Unix time."""
     sampled = [server for server in balancer.servers.values() if server.updated_at >= 0]
     sampled.sort(key=lambda server: server.updated_at, reverse=True)
@@ -56,7 +56,7 @@
         "servers": {
             server.info.id: [
                 server.info.started_us, server.estimate, server.mean, server.ahead, now - server.updated_at,
-                now - server.heard_at if server.heard_at >= 0 else -1,
+                now - server.last_answer_at if server.last_answer_at >= 0 else -1,
             ]
             for server in sampled[:MAX_SERVERS]
         },
@@ -74,7 +74,7 @@
     return text
 
 
-def merged(texts: Iterable[str], at_us: int) -> str:
+def merge_snapshots(texts: Iterable[str], at_us: int) -> str:
     """Merge several snapshots into one as of `at_us` (Unix time).
 
     It has the latest state of each server, and all else from the newest snapshot. Unusable snapshots are
@@ -83,8 +83,8 @@
     bodies = []
     for text in texts:
         try:
-            body = decode_snapshot(text, at_us, KEPT_MOST_US)
-        except Unusable:
+            body = decode_snapshot(text, at_us, MAX_STORED_AGE_US)
+        except UnusableSnapshot:
             continue
         bodies.append(body)
     if not bodies:
@@ -95,7 +95,7 @@
         passed_us = max(0, at_us - int(body["at_us"]))
         for name, row in body["servers"].items():
             aged = [*row[:4], row[4] + passed_us, row[5] if row[5] < 0 else row[5] + passed_us]
-            if aged[4] > KEPT_MOST_US:
+            if aged[4] > MAX_STORED_AGE_US:
                 continue
             known = servers.get(name)
             # Of two processes of one server the later one; of the same process the later sample.
@@ -119,41 +119,41 @@
 def _numbers(value: Any, count: int) -> list[float]:
     """Check that `value` is a list of `count` finite numbers. Raises Unusable."""
     if not isinstance(value, list) or len(value) != count:
-        raise Unusable("a row has the wrong length")
+        raise UnusableSnapshot("a row has the wrong length")
     for item in value:
         if isinstance(item, bool) or not isinstance(item, (int, float)) or not isfinite(item):
-            raise Unusable("a value is not a finite number")
+            raise UnusableSnapshot("a value is not a finite number")
         if not -1 <= item <= MAX_VALUE:
-            raise Unusable("a value is out of bounds")
+            raise UnusableSnapshot("a value is out of bounds")
     return value
 
 
 def _rows(body: dict[str, Any], key: str, count: int, max_rows: int) -> dict[str, list[float]]:
     table = body.get(key)
     if not isinstance(table, dict) or len(table) > max_rows:
-        raise Unusable(f"{key} is not a table of at most {max_rows} rows")
+        raise UnusableSnapshot(f"{key} is not a table of at most {max_rows} rows")
     return {name: _numbers(row, count) for name, row in table.items()}
 
 
 def decode_snapshot(text: str, at_us: int, max_age_us: int = MAX_AGE_US) -> dict[str, Any]:
     """Return the validated body of a snapshot. Raises Unusable."""
     if len(text) > MAX_TEXT_LENGTH:
-        raise Unusable("it is too long")
+        raise UnusableSnapshot("it is too long")
     version, _, rest = text.partition(" ")
     checksum, _, data = rest.partition(" ")
     if version != str(VERSION):
-        raise Unusable(f"it is of version {version[:8]!r}, not {VERSION}")
+        raise UnusableSnapshot(f"it is of version {version[:8]!r}, not {VERSION}")
     if checksum != f"{zlib.crc32(data.encode('utf-8', 'surrogatepass')):08x}":
-        raise Unusable("its checksum is wrong")
+        raise UnusableSnapshot("its checksum is wrong")
     try:
         body = msgspec.json.decode(data.encode("utf-8", "surrogatepass"))
     except (ValueError, RecursionError):
-        raise Unusable("it is not JSON") from None
+        raise UnusableSnapshot("it is not JSON") from None
     if not isinstance(body, dict):
-        raise Unusable("it is not an object")
+        raise UnusableSnapshot("it is not an object")
     (taken_at_us, _) = _numbers([body.get("at_us"), body.get("common_us")], 2)
     if not -MAX_AGE_US <= at_us - taken_at_us <= max_age_us:
-        raise Unusable(f"it is {(at_us - taken_at_us) / 1e6:.0f} s old")
+        raise UnusableSnapshot(f"it is {(at_us - taken_at_us) / 1e6:.0f} s old")
     for key, count in (("usual", 2), ("hints", 2), ("kinds", 5)):
         _rows(body, key, count, MAX_NAMES)
     _rows(body, "servers", 6, MAX_SERVERS)
@@ -161,7 +161,7 @@
     return body
 
 
-def adopt(
+def restore_snapshot(
     balancer: Balancer, text: str, now: int, at_us: int, max_age_us: int = MAX_AGE_US, max_aging_us: int = 0
 ) -> int:
     """Restore a snapshot and return the number of servers whose estimates were restored.
@@ -197,7 +197,7 @@
             continue
         server.estimate, server.mean, server.ahead = row[1], row[2], row[3]
         server.updated_at = max(0, now - passed_us - int(row[4]))
-        server.heard_at = -1 if row[5] < 0 else max(0, now - passed_us - int(row[5]))
+        server.last_answer_at = -1 if row[5] < 0 else max(0, now - passed_us - int(row[5]))
         count += 1
     return count
 
--- a/sorrelfront/decisions/listing.py
+++ b/sorrelfront/decisions/listing.py
@@ -16,9 +16,9 @@
 HEARTBEAT_US = 2_000_000  # interval of the empty lines that are sent while nothing changes
 # A call without a whole line for this long is broken: a heartbeat, and one second for a busy machine. That
 # leaves half of the time until the missed changes count as known for calling again.
-SILENCE_US = HEARTBEAT_US + 1_000_000
-COUNTS_US = 6_000_000  # from the start of a silence until the changes it missed count as known
-MOVED_US = 4_000_000  # from a change of address until the changes reported there count as known
+READ_TIMEOUT_US = HEARTBEAT_US + 1_000_000
+KNOWN_AFTER_SILENCE_US = 6_000_000  # from the start of a silence until the changes it missed count as known
+KNOWN_AFTER_MOVE_US = 4_000_000  # from a change of address until the changes reported there count as known
 # Waits before a call, as shares of the drain grace. A change counts as known once a call made at the time of
 # the change would have been answered, whether or not one was made. So the waits in a row, with two rejected
 # calls between them, must fit in the grace and leave the time for which a process may be stalled. A service
@@ -82,26 +82,26 @@
 class DiscoveryCall:
     """State of one call to the service."""
 
-    __slots__ = ("answered", "number", "opened", "since")
+    __slots__ = ("answered", "last_line_at", "number", "opened_at")
 
     def __init__(self, now: int, number: int) -> None:
         self.number = number  # sequence number in this process, from 1
-        self.opened = now
-        self.since = now  # its start, the head of its answer, or its last whole line
+        self.opened_at = now
+        self.last_line_at = now  # its start, the head of its answer, or its last whole line
         self.answered = False  # at least one whole line was received, if only an empty one
 
-    def began(self, now: int) -> None:
+    def response_started(self, now: int) -> None:
         """Note that the head of the answer was received."""
-        self.since = now
+        self.last_line_at = now
 
     @property
-    def due(self) -> int:
+    def timeout_at(self) -> int:
         """Time at which the call counts as broken if no whole line is received before.
 
         Counted by bytes, a call that delivers one byte a second would pass for a good one and hide every
         drain.
         """
-        return self.since + SILENCE_US
+        return self.last_line_at + READ_TIMEOUT_US
 
 
 class WatchTimer:
@@ -123,35 +123,39 @@
         self._count = 0  # calls made so far
         self.known_at: int | None = None  # when the changes that may have been missed count as known
 
-    def opened(self, now: int) -> DiscoveryCall:
+    def call_opened(self, now: int) -> DiscoveryCall:
         """Register a new call. After a change of address the previous call may still receive lines."""
         self._count += 1
         self._newest_call = DiscoveryCall(now, self._count)
         return self._newest_call
 
-    def line(self, call: DiscoveryCall, now: int) -> None:
+    def line_received(self, call: DiscoveryCall, now: int) -> None:
         """Register a whole line, empty or not: all changes up to now are known."""
-        call.since = now
+        call.last_line_at = now
         call.answered = True
         self._last_line_at = now
         if call is self._newest_call:
             self.known_at = None
             self._back_off.reset()
 
-    def moved(self, now: int) -> None:
+    def address_changed(self, now: int) -> None:
         """Register a change to another address."""
-        self._set_known_at(now + MOVED_US)
+        self._set_known_at(now + KNOWN_AFTER_MOVE_US)
 
-    def ended(self, call: DiscoveryCall, now: int, silent: bool, unreachable: bool = False) -> int | None:
+    def call_ended(
+        self, call: DiscoveryCall, now: int, silent: bool, unreachable: bool = False
+    ) -> int | None:
         """Return the wait before the next call after this one ended; None leaves it to `BackOff`.
 
         `silent`: nothing was received until `due`. `unreachable`: nobody accepted the call.
         """
         if silent and call.answered:
-            self._set_known_at(call.since + COUNTS_US)  # the silence cannot have begun before its last line
+            self._set_known_at(
+                call.last_line_at + KNOWN_AFTER_SILENCE_US
+            )  # the silence cannot have begun before its last line
         if self.pushed or unreachable:
             return self._back_off.unreachable(self.grace_us)
-        if call.answered and not silent and now - call.opened >= MIN_CALL_DURATION_US:
+        if call.answered and not silent and now - call.opened_at >= MIN_CALL_DURATION_US:
             return int(REOPEN_DELAY_US * (0.5 + self._random()))
         if self.known_at is None or now >= self.known_at:
             self.known_at = None
--- a/sorrelfront/decisions/membership.py
+++ b/sorrelfront/decisions/membership.py
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class Settings:
     """Time limits of the suspicion of missing servers, in microseconds.
 
     `doubt_us` is how long after a failure of the service bulk removals are attributed to that failure:
@@ -177,7 +177,7 @@
     the whole list for each record.
     """
 
-    def __init__(self, settings: Terms, seed: int, evidence: Evidence) -> None:
+    def __init__(self, settings: Settings, seed: int, evidence: Evidence) -> None:
         self._settings = settings
         self._random = Random(seed)
         self._evidence = evidence
--- a/sorrelfront/decisions/orders.py
+++ b/sorrelfront/decisions/orders.py
@@ -15,11 +15,11 @@
 
 from sorrelfront.decisions.interface import Backend, State
 
-OUT_MOST = 10_000  # disabled servers; no list has more entries
-ID_MOST = 256  # characters of a server's id
+MAX_DISABLED_SERVERS = 10_000  # disabled servers; no list has more entries
+MAX_ID_LENGTH = 256  # characters of a server's id
 
 
-class Orders:
+class Overrides:
     """Keeps the list as received and the disabled servers, and computes the effective list."""
 
     def __init__(self) -> None:
@@ -27,16 +27,16 @@
         self._disabled: frozenset[str] = frozenset()
 
     @property
-    def out(self) -> frozenset[str]:
+    def disabled(self) -> frozenset[str]:
         """Ids of the disabled servers, listed or not."""
         return self._disabled
 
     @property
-    def listed(self) -> int:
+    def listed_count(self) -> int:
         """Number of servers on the list."""
         return len(self._listed)
 
-    def listed_out(self) -> list[str]:
+    def listed_disabled(self) -> list[str]:
         """Return the ids of the disabled servers that are on the list."""
         return [name for name in self._disabled if name in self._listed]
 
@@ -44,7 +44,7 @@
         """Whether this id is listed or disabled, so that an order for it has a meaning."""
         return server in self._listed or server in self._disabled
 
-    def heard(self, backends: Iterable[Backend], complete: bool) -> tuple[Backend, ...]:
+    def apply_list(self, backends: Iterable[Backend], complete: bool) -> tuple[Backend, ...]:
         """Record a list update and return its effective entries.
 
         `complete`: it is the whole list, and servers missing from it are gone.
@@ -61,7 +61,7 @@
             return backends
         return tuple(self._effective(backend) for backend in backends)
 
-    def ordered(self, out: Iterable[str]) -> tuple[Backend, ...]:
+    def disable_only(self, out: Iterable[str]) -> tuple[Backend, ...]:
         """Disable these servers and no others.
 
         Returns the effective entries of the listed servers for which that is a change.
--- a/sorrelfront/decisions/places.py
+++ b/sorrelfront/decisions/places.py
@@ -21,19 +21,19 @@
 from typing import NamedTuple
 
 MAX_SEATS = 4_096
-POINTS = 65_536  # points on the ring; the balancer gets this as the number of agents
+RING_POINTS = 65_536  # points on the ring; the balancer gets this as the number of agents
 MAX_CANDIDATES = 128  # free seats from which a claim is chosen at random
-POINT_BITS = POINTS.bit_length() - 1
+POINT_BITS = RING_POINTS.bit_length() - 1
 
 
-def point(seat: int) -> int:
+def ring_point(seat: int) -> int:
     """Return the point on the ring at which the slice of this seat begins: its bit-reversed number.
 
     Raises:
         ValueError: The seat is negative or not below POINTS.
     """
-    if not 0 <= seat < POINTS:
-        raise ValueError(f"seat {seat} is not from 0 to {POINTS - 1}")
+    if not 0 <= seat < RING_POINTS:
+        raise ValueError(f"seat {seat} is not from 0 to {RING_POINTS - 1}")
     reversed_bits = 0
     for _ in range(POINT_BITS):
         reversed_bits = reversed_bits << 1 | seat & 1
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class Settings:
     """Time limits of seat assignment, in microseconds.
 
     `hole_us` is how long a seat stays free before the instance with the highest seat moves into it, so that
@@ -109,7 +109,7 @@
     plus the time that a claim takes.
     """
 
-    def __init__(self, settings: Terms, seed: int, last: int | None = None) -> None:
+    def __init__(self, settings: Settings, seed: int, last: int | None = None) -> None:
         """Start without a seat; `last` is the seat before a restart, which is claimed first."""
         self._settings = settings
         self._random = Random(seed)
@@ -225,14 +225,14 @@
         return [Claim(seat, delay)]
 
 
-def gaps(seats: Collection[int]) -> tuple[float, float]:
+def gap_ratios(seats: Collection[int]) -> tuple[float, float]:
     """Return the smallest and largest gap between neighbours on the ring, as multiples of an even share."""
-    points = sorted(point(seat) for seat in seats)
+    points = sorted(ring_point(seat) for seat in seats)
     if not points:
         return math.nan, math.nan
-    next_points = [*points[1:], points[0] + POINTS]
+    next_points = [*points[1:], points[0] + RING_POINTS]
     shares = [
-        (following - start) * len(points) / POINTS
+        (following - start) * len(points) / RING_POINTS
         for start, following in zip(points, next_points, strict=True)
     ]
     return min(shares), max(shares)
