--- a/sorrelfront/decisions/sites/offers.py
+++ b/sorrelfront/decisions/sites/offers.py
@@ -22,7 +22,7 @@
 MAX_HOPS = 7  # sites that re-advertised an offer; a path has nine with its owner and its reader
 MAX_COST = 1_000_000
 MAX_COUNT = 2**63 - 1
-CHAINS_MOST = 4_096  # chains in one advertisement; one with more is refused whole
+MAX_CHAINS = 4_096  # chains in one advertisement; one with more is refused whole
 MAX_FORGED = 16  # bad signatures in one advertisement before the rest is rejected unverified
 SIGNATURE_BYTES = 64  # bytes (Ed25519, RFC 8032)
 
@@ -47,7 +47,7 @@
     PROVIDER = 2
 
     @property
-    def other_way(self) -> Relation:
+    def inverse(self) -> Relation:
         """The same relation as the other site sees it."""
         return Relation(2 - self)
 
@@ -72,7 +72,7 @@
     gateway: Text
     name: Text
     epoch: Count
-    birth: Count
+    boot_id: Count
     version: Count
     stamp_ms: Count
     cost: Cost
@@ -87,7 +87,7 @@
         return OfferId(self.owner, self.gateway, self.name)
 
     @property
-    def age(self) -> tuple[int, int]:
+    def state(self) -> tuple[int, int]:
         """Epoch and version: of two states of one offer, the one with the higher pair is newer."""
         return self.epoch, self.version
 
@@ -129,7 +129,7 @@
         return self.offer.cost + sum(hop.cost for hop in self.hops)
 
 
-class Why(Enum):
+class UnusedReason(Enum):
     """Why a chain is not used. `REMEDY` has what an operator can do about each."""
 
     UNKNOWN_SITE = "a site on its way has no key here"
@@ -153,24 +153,36 @@
 
 
 REMEDY = {
-    Why.UNKNOWN_SITE: "Name the site with its key in [partners], or have the partner not pass its offers on.",
-    Why.SIGNATURE: "Compare the keys in [partners] with those that the site gives; if they agree, call it.",
-    Why.WIDENED: "Call the partner that passed it on: it adds to what the owner allows.",
-    Why.NOT_PASSED_ON: "Call the partner: the owner's terms do not let it pass this on.",
-    Why.LOOP: "Nothing: each site leaves out what came through itself.",
-    Why.ADDRESSEE: "Compare the site's names in both files; each partner is known by its own.",
-    Why.VALLEY: "Compare the relations in both files, or ask the partner to pass on customers' offers only.",
-    Why.ROLE: "Agree with the partner who lends to whom, and set `relation` in both files.",
-    Why.SPELLING: "Ask the partner which program it runs; this one's own words are always in one form.",
-    Why.OLD: "Nothing, if it passes; else the partner repeats old words and should be called.",
-    Why.FORKED: "Ask the owner whether two processes run under one gateway's name or a disk was put back.",
-    Why.TOO_MANY: "Ask the owner to offer fewer, larger things; what was known before is kept.",
-    Why.EMPTY: "Nothing: the sites on its way have narrowed it until nothing was left.",
-    Why.NOT_LENT: "Ask its owner to name this site in `to`, if it should be used.",
-    Why.EXPIRED: "Look at the link to the partner and at its gateways' logs.",
-    Why.DAMPED: "Ask the owner what goes up and down there; it is used again once it has been quiet.",
-    Why.STALE: "Look at the link to the partner and at its gateway's process.",
-    Why.WITHDRAWN: "Nothing: requests go elsewhere.",
+    UnusedReason.UNKNOWN_SITE: (
+        "Name the site with its key in [partners], or have the partner not pass its offers on."
+    ),
+    UnusedReason.SIGNATURE: (
+        "Compare the keys in [partners] with those that the site gives; if they agree, call it."
+    ),
+    UnusedReason.WIDENED: "Call the partner that passed it on: it adds to what the owner allows.",
+    UnusedReason.NOT_PASSED_ON: "Call the partner: the owner's terms do not let it pass this on.",
+    UnusedReason.LOOP: "Nothing: each site leaves out what came through itself.",
+    UnusedReason.ADDRESSEE: "Compare the site's names in both files; each partner is known by its own.",
+    UnusedReason.VALLEY: (
+        "Compare the relations in both files, or ask the partner to pass on customers' offers only."
+    ),
+    UnusedReason.ROLE: "Agree with the partner who lends to whom, and set `relation` in both files.",
+    UnusedReason.SPELLING: (
+        "Ask the partner which program it runs; this one's own words are always in one form."
+    ),
+    UnusedReason.OLD: "Nothing, if it passes; else the partner repeats old words and should be called.",
+    UnusedReason.FORKED: (
+        "Ask the owner whether two processes run under one gateway's name or a disk was put back."
+    ),
+    UnusedReason.TOO_MANY: "Ask the owner to offer fewer, larger things; what was known before is kept.",
+    UnusedReason.EMPTY: "Nothing: the sites on its way have narrowed it until nothing was left.",
+    UnusedReason.NOT_LENT: "Ask its owner to name this site in `to`, if it should be used.",
+    UnusedReason.EXPIRED: "Look at the link to the partner and at its gateways' logs.",
+    UnusedReason.DAMPED: (
+        "Ask the owner what goes up and down there; it is used again once it has been quiet."
+    ),
+    UnusedReason.STALE: "Look at the link to the partner and at its gateway's process.",
+    UnusedReason.WITHDRAWN: "Nothing: requests go elsewhere.",
 }
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -185,12 +197,12 @@
     return b"sorrelfront hop 1\x00" + digest + _encode(msgspec.structs.replace(hop, signature=b""))
 
 
-def signed(offer: Offer, sign: Sign) -> Offer:
+def sign_offer(offer: Offer, sign: Sign) -> Offer:
     """Return the offer with its owner's signature."""
     return msgspec.structs.replace(offer, signature=sign(_offer_bytes(offer)))
 
 
-def passed_on(chain: Chain, hop: Hop, sign: Sign) -> Chain:
+def add_hop(chain: Chain, hop: Hop, sign: Sign) -> Chain:
     """Return the chain with one more signed hop; whether that is allowed is not checked."""
     data = _hop_bytes(_encode(chain), hop)
     return Chain(chain.offer, (*chain.hops, msgspec.structs.replace(hop, signature=sign(data))))
@@ -207,42 +219,42 @@
     return hashlib.blake2b(_encode(chain), digest_size=16).digest()
 
 
-def prove(
+def verify_chains(
     chains: Iterable[Chain], verify: Verify, known: Callable[[str], bool], good: Container[bytes]
-) -> list[Why | None]:
+) -> list[UnusedReason | None]:
     """Return the `signature_fault` of each chain.
 
     This is the expensive part of validation. It changes no state, so it may run in a thread. `good` has the
     digests of chains verified before. After MAX_FORGED bad signatures the remaining chains are rejected
     unverified, so that a site cannot use up CPU time by sending thousands of forged chains.
     """
-    found: list[Why | None] = []
+    found: list[UnusedReason | None] = []
     forged = 0
     for chain in chains:
         why = None
         if chain_digest(chain) not in good:
-            why = Why.SIGNATURE if forged >= MAX_FORGED else signature_fault(chain, verify, known)
-            forged += why is Why.SIGNATURE
+            why = UnusedReason.SIGNATURE if forged >= MAX_FORGED else signature_fault(chain, verify, known)
+            forged += why is UnusedReason.SIGNATURE
         found.append(why)
     return found
 
 
-def signature_fault(chain: Chain, verify: Verify, known: Callable[[str], bool]) -> Why | None:
+def signature_fault(chain: Chain, verify: Verify, known: Callable[[str], bool]) -> UnusedReason | None:
     """Return what is wrong with the chain's signatures; expensive. `fault` checks everything else."""
     if not all(known(site) for site in chain.sites):
-        return Why.UNKNOWN_SITE
+        return UnusedReason.UNKNOWN_SITE
     offer = chain.offer
     if not verify(offer.owner, offer.signature, _offer_bytes(offer)):
-        return Why.SIGNATURE
+        return UnusedReason.SIGNATURE
     before = Chain(offer)
     for hop in chain.hops:
         if not verify(hop.site, hop.signature, _hop_bytes(_encode(before), hop)):
-            return Why.SIGNATURE
+            return UnusedReason.SIGNATURE
         before = Chain(offer, (*before.hops, hop))
     return None
 
 
-def fault(chain: Chain, me: str, advertiser: str, relation: Relation) -> Why | None:
+def fault(chain: Chain, me: str, advertiser: str, relation: Relation) -> UnusedReason | None:
     """Return which rule the chain's contents break, apart from its signatures.
 
     Args:
@@ -253,30 +265,30 @@
     """
     sites = chain.sites
     if sites[0] != advertiser or (chain.hops and chain.hops[-1].next != me):
-        return Why.ADDRESSEE
+        return UnusedReason.ADDRESSEE
     if me in sites or len(set(sites)) != len(sites):
-        return Why.LOOP
+        return UnusedReason.LOOP
     allowed, expected = chain.offer.terms, ""
     if not canonical(allowed):
-        return Why.SPELLING
+        return UnusedReason.SPELLING
     for hop in chain.hops:
         if expected not in ("", hop.site):
-            return Why.ADDRESSEE
+            return UnusedReason.ADDRESSEE
         if not canonical(hop.terms):
-            return Why.SPELLING
-        if not allowed.carries(hop.site):
-            return Why.NOT_PASSED_ON
+            return UnusedReason.SPELLING
+        if not allowed.allows_onward(hop.site):
+            return UnusedReason.NOT_PASSED_ON
         if not within(hop.terms, allowed):
-            return Why.WIDENED
-        if not may_tell(hop.import_relation, hop.export_relation):
-            return Why.VALLEY
+            return UnusedReason.WIDENED
+        if not may_export(hop.import_relation, hop.export_relation):
+            return UnusedReason.VALLEY
         allowed, expected = hop.terms, hop.next
-    if chain.hops and chain.hops[-1].export_relation != relation.other_way:
-        return Why.ROLE
-    return Why.EMPTY if allowed.empty else None
+    if chain.hops and chain.hops[-1].export_relation != relation.inverse:
+        return UnusedReason.ROLE
+    return UnusedReason.EMPTY if allowed.empty else None
 
 
-def may_tell(import_relation: Relation, export_relation: Relation) -> bool:
+def may_export(import_relation: Relation, export_relation: Relation) -> bool:
     """Whether an offer learned from one relation may be advertised to another (Gao-Rexford export rule).
 
     Customers' offers go to everybody, all others to customers only. With customers preferred and no cycle of
@@ -285,7 +297,7 @@
     return import_relation is Relation.CUSTOMER or export_relation is Relation.CUSTOMER
 
 
-def circle(providers: dict[str, frozenset[str]]) -> list[str]:
+def provider_cycle(providers: dict[str, frozenset[str]]) -> list[str]:
     """Return a cycle of sites in which each one's provider is the next; empty if there is none.
 
     Of several cycles the first in the order of names is returned.
--- a/sorrelfront/decisions/sites/passage.py
+++ b/sorrelfront/decisions/sites/passage.py
@@ -13,13 +13,13 @@
 from enum import Enum
 from typing import NamedTuple
 
-from sorrelfront.decisions.sites.routes import MAX_PATH_SITES, Lent, Partner
+from sorrelfront.decisions.sites.routes import MAX_PATH_SITES, OfferConfig, Partner
 from sorrelfront.decisions.sites.terms import MAX_NAME_LENGTH, MAX_RATE
 
 PATH_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]*(,[a-z0-9][a-z0-9-]*)*")
 SECOND_US = 1_000_000
 BURST_SHARE = 0.2  # fraction of an offer's rate that may arrive as a burst; the rest is spread evenly
-FULL_US = 500_000  # retry delay when a gateway is full: about when a slot should be free
+FULL_RETRY_US = 500_000  # retry delay when a gateway is full: about when a slot should be free
 FORBIDDEN_RETRY_US = 30_000_000  # retry delay when the terms forbid a request: an operator has to change them
 
 
@@ -34,14 +34,14 @@
     FULL = "this gateway is full"
 
 
-class Away(NamedTuple):
+class Rejected(NamedTuple):
     """Rejected without having been executed; may be retried after `retry_after_us`."""
 
-    why: Rejection
+    reason: Rejection
     retry_after_us: int
 
 
-class In(NamedTuple):
+class Admitted(NamedTuple):
     """Admitted under this offer of the gateway; None if it is to be forwarded to another site."""
 
     offer: str | None
@@ -64,25 +64,25 @@
     return sites if good and all(len(site) <= MAX_NAME_LENGTH for site in sites) else None
 
 
-class Passage:
+class Admission:
     """Admits requests one by one and counts those in flight."""
 
     def __init__(self, site: str) -> None:
         self.site = site
-        self.inside: dict[str, int] = {}  # requests in flight by offer
+        self.in_flight: dict[str, int] = {}  # requests in flight by offer
         self.counts = dict.fromkeys((item.name.lower() for item in Rejection), 0) | {"own": 0, "through": 0}
         self._buckets: dict[str, _Bucket] = {}
 
-    def judge(
+    def admit(
         self,
         partner: str | None,
         path: tuple[str, ...] | None,
         cls: str,
         partners: Mapping[str, Partner],
-        lent: Mapping[str, Lent],
+        lent: Mapping[str, OfferConfig],
         can_forward: bool,
         now: int,
-    ) -> In | Away:
+    ) -> Admitted | Rejected:
         """Admit or reject a request.
 
         Call `left` for every request admitted under an offer once it is answered.
@@ -97,13 +97,13 @@
             now: Microseconds.
         """
         found = self._decide(partner, path, cls, partners, lent, can_forward, now)
-        if isinstance(found, Away):
-            self.counts[found.why.name.lower()] += 1
+        if isinstance(found, Rejected):
+            self.counts[found.reason.name.lower()] += 1
         elif found.offer is None:
             self.counts["through"] += 1
         else:
             self.counts["own"] += 1
-            self.inside[found.offer] = self.inside.get(found.offer, 0) + 1
+            self.in_flight[found.offer] = self.in_flight.get(found.offer, 0) + 1
         return found
 
     def _decide(
@@ -112,33 +112,33 @@
         path: tuple[str, ...] | None,
         cls: str,
         partners: Mapping[str, Partner],
-        lent: Mapping[str, Lent],
+        lent: Mapping[str, OfferConfig],
         can_forward: bool,
         now: int,
-    ) -> In | Away:
+    ) -> Admitted | Rejected:
         if path is None:
-            return Away(Rejection.PATH, FORBIDDEN_RETRY_US)
+            return Rejected(Rejection.PATH, FORBIDDEN_RETRY_US)
         if partner is None or partner not in partners or path[-1] != partner:
-            return Away(Rejection.STRANGER, FORBIDDEN_RETRY_US)
+            return Rejected(Rejection.STRANGER, FORBIDDEN_RETRY_US)
         if self.site in path:
-            return Away(Rejection.LOOP, FORBIDDEN_RETRY_US)
+            return Rejected(Rejection.LOOP, FORBIDDEN_RETRY_US)
         allowed = [item for _, item in sorted(lent.items()) if _allows(item, path, cls)]
         if not allowed:
-            return In(None) if can_forward else Away(Rejection.FORBIDDEN, FORBIDDEN_RETRY_US)
+            return Admitted(None) if can_forward else Rejected(Rejection.FORBIDDEN, FORBIDDEN_RETRY_US)
         wait = math.inf
         for item in allowed:
-            if self.inside.get(item.name, 0) >= item.capacity:
+            if self.in_flight.get(item.name, 0) >= item.capacity:
                 continue
             wait = min(wait, self._take_token(item, now))
             if not wait:
-                return In(item.name)
+                return Admitted(item.name)
         if can_forward:
-            return In(None)
+            return Admitted(None)
         if wait == math.inf:
-            return Away(Rejection.FULL, FULL_US)
-        return Away(Rejection.RATE, int(wait))
+            return Rejected(Rejection.FULL, FULL_RETRY_US)
+        return Rejected(Rejection.RATE, int(wait))
 
-    def _take_token(self, item: Lent, now: int) -> int:
+    def _take_token(self, item: OfferConfig, now: int) -> int:
         """Take one token of the offer's rate; return 0, or the microseconds until there is one.
 
         Burst and refill of one second together are no more than the rate, so no second admits more than that.
@@ -155,20 +155,20 @@
             return 0
         return max(1, int((1.0 - bucket.tokens) * SECOND_US / rate))
 
-    def left(self, offer: str) -> None:
+    def finished(self, offer: str) -> None:
         """Record that a request admitted under this offer has been answered."""
-        count = self.inside.get(offer, 0) - 1
+        count = self.in_flight.get(offer, 0) - 1
         if count > 0:
-            self.inside[offer] = count
+            self.in_flight[offer] = count
         else:
-            self.inside.pop(offer, None)
+            self.in_flight.pop(offer, None)
 
-    def keep(self, lent: Mapping[str, Lent]) -> None:
+    def retain(self, lent: Mapping[str, OfferConfig]) -> None:
         """Drop the token buckets of offers that are not among these."""
         for name in [name for name in self._buckets if name not in lent]:
             del self._buckets[name]
 
 
-def _allows(item: Lent, path: tuple[str, ...], cls: str) -> bool:
+def _allows(item: OfferConfig, path: tuple[str, ...], cls: str) -> bool:
     """Whether the offer is for the request's origin site and each later site may forward the request."""
-    return item.terms.lends(path[0], cls) and all(item.terms.carries(site) for site in path[1:])
+    return item.terms.allows_use(path[0], cls) and all(item.terms.allows_onward(site) for site in path[1:])
--- a/sorrelfront/decisions/sites/routes.py
+++ b/sorrelfront/decisions/sites/routes.py
@@ -25,7 +25,7 @@
 from msgspec import Meta
 
 from sorrelfront.decisions.sites.offers import (
-    CHAINS_MOST,
+    MAX_CHAINS,
     MAX_COST,
     Chain,
     Count,
@@ -36,16 +36,16 @@
     Relation,
     Sign,
     Text,
+    UnusedReason,
     Verify,
-    Why,
+    add_hop,
     chain_digest,
-    circle,
     content_digest,
     fault,
-    may_tell,
-    passed_on,
-    prove,
-    signed,
+    may_export,
+    provider_cycle,
+    sign_offer,
+    verify_chains,
 )
 from sorrelfront.decisions.sites.terms import MAX_LIFETIME_MS, SiteName, Terms
 
@@ -55,7 +55,7 @@
 # Minimum lifetime in query intervals: enough for an offer to pass five hops before it expires.
 MIN_LIFETIME_INTERVALS = 8
 MAX_OWN_OFFERS = 256  # offers by one gateway
-IDS_MOST = 4_096  # offers of one owner whose newest state is remembered
+MAX_OFFER_IDS = 4_096  # offers of one owner whose newest state is remembered
 MAX_VERIFIED_CHAINS = 8_192  # chains whose signatures have been verified
 MAX_CACHED_ROUTES = 256  # results of `ways` that are cached until the table changes
 MAX_PATH_SITES = 8  # sites that a request has passed
@@ -66,7 +66,7 @@
 DAMP_HALF_LIFE_US = 8_000_000
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="a", gc=False):
+class OfferQuery(msgspec.Struct, frozen=True, array_like=True, tag="a", gc=False):
     """Query for the offers that a gateway makes and re-advertises to the sender.
 
     `number` is repeated in the answer. `have` is the digest of the last advertisement received, `known` the
@@ -76,13 +76,13 @@
     site: SiteName
     to: SiteName
     number: Count
-    have: Annotated[bytes, Meta(max_length=16)]
-    known: tuple[Count, Count]
+    digest: Annotated[bytes, Meta(max_length=16)]
+    known_incarnation: tuple[Count, Count]
     role: Relation  # what you are to me
     providers: Annotated[tuple[SiteName, ...], Meta(max_length=64)] = ()
 
 
-class Tell(msgspec.Struct, frozen=True, array_like=True, tag="t", gc=False):
+class Advertisement(msgspec.Struct, frozen=True, array_like=True, tag="t", gc=False):
     """Advertisement of all offers that a gateway makes or re-advertises to one partner.
 
     `chains` is None if they are the same as the receiver has by its digest. `ages_ms` has for each chain how
@@ -92,20 +92,20 @@
     site: SiteName
     to: SiteName
     gateway: Text
-    place: HostPort
+    address: HostPort
     number: Count
     epoch: Count
-    birth: Count
+    boot_id: Count
     version: Count
-    have: Annotated[bytes, Meta(max_length=16)]
-    chains: Annotated[tuple[Chain, ...], Meta(max_length=CHAINS_MOST)] | None
-    ages_ms: Annotated[tuple[Count, ...], Meta(max_length=CHAINS_MOST)]
+    digest: Annotated[bytes, Meta(max_length=16)]
+    chains: Annotated[tuple[Chain, ...], Meta(max_length=MAX_CHAINS)] | None
+    ages_ms: Annotated[tuple[Count, ...], Meta(max_length=MAX_CHAINS)]
     role: Relation  # what you are to me
     ticket: Annotated[bytes, Meta(max_length=64)] = b""
     providers: Annotated[tuple[SiteName, ...], Meta(max_length=64)] = ()
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, tag="n", gc=False):
+class ChangeNotice(msgspec.Struct, frozen=True, array_like=True, tag="n", gc=False):
     """Notice that the sender's advertisement has changed and should be queried again."""
 
     site: SiteName
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class OfferConfig:
     """An offer of this gateway as configured."""
 
     name: str
@@ -143,13 +143,13 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldChain:
     """One chain as advertised by one gateway."""
 
     chain: Chain
     peer: str
     partner: str
-    place: str
+    address: str
     expires_us: int
     since_us: int
 
@@ -161,19 +161,19 @@
     partner: str
     number: int = 0
     asked_us: int = 0
-    have: bytes = b""
-    place: str = ""
+    digest: bytes = b""
+    address: str = ""
     gateway: str = ""
-    life: tuple[int, int] = (0, 0)
+    incarnation: tuple[int, int] = (0, 0)
     ticket: bytes = b""
     silent_since: int | None = None
     agrees: bool = True  # whether both sites configure the same relation
-    held: dict[OfferId, Held] = field(default_factory=dict)
+    held: dict[OfferId, HeldChain] = field(default_factory=dict)
     refused: dict[str, int] = field(default_factory=dict)  # reason -> chains refused in its last answer
-    way_us: int = 0  # round-trip time, as measured by queries
+    round_trip_us: int = 0  # round-trip time, as measured by queries
 
 
-class Newest(NamedTuple):
+class OfferState(NamedTuple):
     """The newest known state of an offer and the boot id of the incarnation that made it.
 
     `content` is the digest of its content, empty if the offer was withdrawn. `forked` says that two different
@@ -183,7 +183,7 @@
     epoch: int
     version: int
     content: bytes
-    birth: int
+    boot_id: int
     forked: bool = False
 
 
@@ -193,13 +193,13 @@
     id: OfferId
     peer: str
     partner: str
-    place: str
+    address: str
     sites: tuple[str, ...]
     terms: Terms
     rank: tuple[int, int, int]
     capacity: int
     group: str
-    state: Why | None  # why it is not usable; None if it is
+    state: UnusedReason | None  # why it is not usable; None if it is
 
 
 @dataclass(slots=True)
@@ -212,8 +212,11 @@
         return float(self.penalty * 0.5 ** ((now - self.at_us) / DAMP_HALF_LIFE_US))
 
 
-def settle(held: Iterable[Held], partners: Mapping[str, Partner], states: Mapping[tuple[str, OfferId], Why]
-           ) -> tuple[Route, ...]:  # fmt: skip
+def build_table(
+    held: Iterable[HeldChain],
+    partners: Mapping[str, Partner],
+    states: Mapping[tuple[str, OfferId], UnusedReason],
+) -> tuple[Route, ...]:
     """Build the table: all routes, preferred ones first. The order of the arguments has no effect."""
     found = []
     for item in held:
@@ -224,7 +227,7 @@
         rank = (int(partner.relation), min(MAX_COST, chain.cost + partner.cost), len(chain.hops))
         found.append(
             Route(
-                chain.offer.id, item.peer, item.partner, item.place, chain.sites, chain.terms, rank,
+                chain.offer.id, item.peer, item.partner, item.address, chain.sites, chain.terms, rank,
                 chain.offer.capacity, chain.offer.group, states.get((item.peer, chain.offer.id)),
             )
         )  # fmt: skip
@@ -241,10 +244,10 @@
         self,
         site: str,
         gateway: str,
-        place: str,
+        address: str,
         sign: Sign,
         verify: Verify,
-        life: tuple[int, int],
+        incarnation: tuple[int, int],
         now: int,
         settings: Settings = Settings(),
     ) -> None:
@@ -253,27 +256,27 @@
         `life` is the incarnation of this process: its epoch, which is above every earlier one of this
         gateway, and its boot id.
         """
-        self.site, self.gateway, self.place = site, gateway, place
+        self.site, self.gateway, self.address = site, gateway, address
         self.settings = settings
         self.now = now
-        self.life = life
+        self.incarnation = incarnation
         self.partners: dict[str, Partner] = {}
         self.peers: dict[str, Peer] = {}
-        self.newest: OrderedDict[OfferId, Newest] = OrderedDict()
+        self.newest: OrderedDict[OfferId, OfferState] = OrderedDict()
         self.counts = dict.fromkeys(
             ("asked", "told", "refused", "overdue", "withdrawn", "forked", "damped", "outlived", "unheard"), 0
         )
         self.table: tuple[Route, ...] = ()
-        self.circle: list[str] = []  # a cycle of providers, as reported by partners; empty for none
-        self.changed = 0  # version of the table
-        self.told = 0  # version of this gateway's own offers
+        self.provider_cycle: list[str] = []  # a cycle of providers, as reported by partners; empty for none
+        self.table_version = 0  # version of the table
+        self.offers_version = 0  # version of this gateway's own offers
         # States received from partners and not yet replicated to the other members of this site.
-        self.marks: dict[OfferId, Newest] = {}
+        self.pending_states: dict[OfferId, OfferState] = {}
         self._sign, self._verify = sign, verify
         self._began_us = now
         self._epoch_raised_us = now - EPOCH_RAISE_INTERVAL_US
         self._version = 0
-        self._own: dict[str, tuple[Lent, Offer]] = {}
+        self._own: dict[str, tuple[OfferConfig, Offer]] = {}
         # (owner, gateway) -> the (epoch, version) that it last advertised itself, and its offers then.
         self._self_advertised: OrderedDict[tuple[str, str], tuple[tuple[int, int], frozenset[str]]] = (
             OrderedDict()
@@ -281,10 +284,12 @@
         # Forked offers: content digest -> when the last copy of that content expires.
         self._forked: dict[OfferId, dict[bytes, int]] = {}
         self._id_counts: dict[str, int] = {}  # owner -> number of offers remembered
-        self._heard: OrderedDict[tuple[OfferId, int, int, int], int] = OrderedDict()  # stamp -> first seen
+        self._first_seen: OrderedDict[tuple[OfferId, int, int, int], int] = (
+            OrderedDict()
+        )  # stamp -> first seen
         # (owner, gateway, epoch, birth) -> latest possible start of that incarnation, and when computed
         self._started: OrderedDict[tuple[str, str, int, int], tuple[int, int]] = OrderedDict()
-        self.good: OrderedDict[bytes, None] = OrderedDict()  # digests of chains with valid signatures
+        self.verified: OrderedDict[bytes, None] = OrderedDict()  # digests of chains with valid signatures
         self._flaps: dict[tuple[str, OfferId], _Flap] = {}
         self._reexports: dict[tuple[bytes, str], Chain] = {}
         self._exports: dict[str, tuple[tuple[int, int], tuple[Chain, ...], bytes]] = {}
@@ -295,7 +300,7 @@
 
     # Configuration
 
-    def configure(self, partners: Iterable[Partner], lent: Iterable[Lent], now: int) -> None:
+    def configure(self, partners: Iterable[Partner], lent: Iterable[OfferConfig], now: int) -> None:
         """Apply a new configuration.
 
         Offers that are not in it are withdrawn. Changed terms apply to requests that arrive from now on.
@@ -319,13 +324,13 @@
                 else (item, self._sign_own(item, self._version))
                 for name, item in wanted.items()
             }
-            self.told += 1
+            self.offers_version += 1
         self._rebuild_table()
 
-    def _sign_own(self, item: Lent, version: int) -> Offer:
-        epoch, birth = self.life
+    def _sign_own(self, item: OfferConfig, version: int) -> Offer:
+        epoch, birth = self.incarnation
         stamp_ms = (self.now - self._began_us) // MS
-        return signed(
+        return sign_offer(
             Offer(
                 self.site, self.gateway, item.name, epoch, birth, version, stamp_ms, item.cost, item.capacity,
                 item.group, self._terms(item),
@@ -333,34 +338,34 @@
             self._sign,
         )  # fmt: skip
 
-    def _terms(self, item: Lent) -> Terms:
+    def _terms(self, item: OfferConfig) -> Terms:
         """Return the terms to advertise now: their lifetime ends no later than the offer itself."""
         if item.until_us is None:
             return item.terms
         left_ms = max(0, item.until_us - self.now) // MS
         return msgspec.structs.replace(item.terms, left_ms=min(item.terms.left_ms, left_ms))
 
-    def _restamp(self, name: str, item: Lent, offer: Offer) -> None:
+    def _restamp(self, name: str, item: OfferConfig, offer: Offer) -> None:
         """Renew the stamp of an offer; one whose end is near gets a new version with a shorter lifetime."""
         version = offer.version
         if self._terms(item) != offer.terms:
             self._version += 1
-            self.told += 1
+            self.offers_version += 1
             version = self._version
         self._own[name] = (item, self._sign_own(item, version))
         self._held_version += 1
 
-    def live(self, life: tuple[int, int], now: int) -> None:
+    def set_incarnation(self, incarnation: tuple[int, int], now: int) -> None:
         """Continue as another incarnation, as a partner remembers a later one of this gateway."""
         self.now = max(now, self.now)
-        self.life = life
+        self.incarnation = incarnation
         self._epoch_raised_us = now
         self._own = {
             name: (item, self._sign_own(item, self._version)) for name, (item, _) in self._own.items()
         }
-        self.told += 1
+        self.offers_version += 1
 
-    def offers(self, now: int) -> dict[str, Lent]:
+    def offers(self, now: int) -> dict[str, OfferConfig]:
         """Return the configured offers that have not ended."""
         return {
             name: item
@@ -369,23 +374,23 @@
         }
 
     @property
-    def heard_itself(self) -> Container[tuple[str, str]]:
+    def gateways_heard(self) -> Container[tuple[str, str]]:
         """Gateways, as (owner, gateway), that advertised their own offers to this incarnation."""
         return self._self_advertised.keys()
 
     # Queries
 
-    def peer(self, name: str, partner: str, first: int = 0) -> None:
+    def add_peer(self, name: str, partner: str, first: int = 0) -> None:
         """Add a partner gateway to query; `first` precedes the number of the first query."""
         if partner in self.partners:
             self.peers.setdefault(name, Peer(partner, first))
 
-    def drop(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         """Remove a partner gateway and its routes."""
         if self.peers.pop(name, None) is not None:
             self._rebuild_table()
 
-    def ask(self, name: str, now: int) -> Ask:
+    def query(self, name: str, now: int) -> OfferQuery:
         """Return the next query to a gateway; send it at once, as lifetimes in its answer start now."""
         self.now = max(now, self.now)
         peer = self.peers[name]
@@ -393,7 +398,9 @@
         peer.asked_us = now
         self.counts["asked"] += 1
         role = self.partners[peer.partner].relation
-        return Ask(self.site, peer.partner, peer.number, peer.have, peer.life, role, self.providers)
+        return OfferQuery(
+            self.site, peer.partner, peer.number, peer.digest, peer.incarnation, role, self.providers
+        )
 
     @property
     def providers(self) -> tuple[str, ...]:
@@ -401,16 +408,22 @@
         found = sorted(name for name, item in self.partners.items() if item.relation is Relation.PROVIDER)
         return tuple(found[:64])
 
-    def silent(self, name: str, now: int) -> None:
+    def on_silence(self, name: str, now: int) -> None:
         """Record that a gateway did not answer or its connection failed."""
         self.now = max(now, self.now)
         peer = self.peers.get(name)
         if peer is not None and peer.silent_since is None:
             peer.silent_since = now
-            peer.have = b""
+            peer.digest = b""
             self._rebuild_table()
 
-    def on_tell(self, name: str, tell: Tell, now: int, proven: Sequence[Why | None] | None = None) -> bool:
+    def on_advertisement(
+        self,
+        name: str,
+        advertisement: Advertisement,
+        now: int,
+        proven: Sequence[UnusedReason | None] | None = None,
+    ) -> bool:
         """Process an advertisement.
 
         `proven` is the result of `prove` for its chains; if it is left out, the signatures are verified here.
@@ -418,34 +431,50 @@
         """
         self.now = max(now, self.now)
         peer = self.peers.get(name)
-        if peer is None or (tell.site, tell.to) != (peer.partner, self.site) or tell.number != peer.number:
+        if (
+            peer is None
+            or (advertisement.site, advertisement.to) != (peer.partner, self.site)
+            or advertisement.number != peer.number
+        ):
             return False
         asked = peer.asked_us
-        if tell.chains is None and tell.have != peer.have:
+        if advertisement.chains is None and advertisement.digest != peer.digest:
             return False
-        if tell.chains is not None and len(tell.chains) != len(tell.ages_ms):
+        if advertisement.chains is not None and len(advertisement.chains) != len(advertisement.ages_ms):
             return False
         self.counts["told"] += 1
         peer.silent_since = None
         elapsed = now - asked
-        peer.way_us = elapsed if not peer.way_us else min(elapsed, peer.way_us + elapsed // 8)
-        peer.place, peer.gateway, peer.ticket = tell.place, tell.gateway, tell.ticket
-        peer.life = max(peer.life, (tell.epoch, tell.birth)) if tell.epoch >= peer.life[0] else peer.life
-        peer.agrees = tell.role == self.partners[peer.partner].relation.other_way
-        self._update_providers(peer.partner, tell.providers)
-        if tell.chains is None:
+        peer.round_trip_us = (
+            elapsed if not peer.round_trip_us else min(elapsed, peer.round_trip_us + elapsed // 8)
+        )
+        peer.address, peer.gateway, peer.ticket = (
+            advertisement.address,
+            advertisement.gateway,
+            advertisement.ticket,
+        )
+        peer.incarnation = (
+            max(peer.incarnation, (advertisement.epoch, advertisement.boot_id))
+            if advertisement.epoch >= peer.incarnation[0]
+            else peer.incarnation
+        )
+        peer.agrees = advertisement.role == self.partners[peer.partner].relation.inverse
+        self._update_providers(peer.partner, advertisement.providers)
+        if advertisement.chains is None:
             for held in peer.held.values():
                 if not held.chain.hops:
                     held.expires_us = self._expiry(held.chain.terms, asked)
         else:
             if proven is None:
-                proven = prove(tell.chains, self._verify, self._known, self.good)
-            self._import(name, peer, tell, asked, proven)
-            peer.have = tell.have
+                proven = verify_chains(advertisement.chains, self._verify, self._known, self.verified)
+            self._import(name, peer, advertisement, asked, proven)
+            peer.digest = advertisement.digest
         self._rebuild_table()
         return True
 
-    def _import(self, name: str, peer: Peer, tell: Tell, asked: int, proven: Sequence[Why | None]) -> None:
+    def _import(
+        self, name: str, peer: Peer, tell: Advertisement, asked: int, proven: Sequence[UnusedReason | None]
+    ) -> None:
         before, peer.held = peer.held, {}
         peer.refused = {}
         self._held_version += 1
@@ -455,7 +484,7 @@
                 seen = self._stamp_first_seen(chain.offer, asked - age_ms * MS)
                 since = asked if not chain.hops else seen
                 why = self._record_chain(chain.offer, self._expiry(chain.terms, since) <= self.now)
-            if why in (Why.OLD, Why.WITHDRAWN, Why.FORKED) and not chain.hops:
+            if why in (UnusedReason.OLD, UnusedReason.WITHDRAWN, UnusedReason.FORKED) and not chain.hops:
                 self._request_higher_epoch(peer, chain.offer)
             if why is not None:
                 peer.refused[why.name] = peer.refused.get(why.name, 0) + 1
@@ -463,8 +492,8 @@
                 continue
             id = chain.offer.id
             known = before.get(id)
-            peer.held[id] = Held(
-                chain, name, peer.partner, tell.place, self._expiry(chain.terms, since),
+            peer.held[id] = HeldChain(
+                chain, name, peer.partner, tell.address, self._expiry(chain.terms, since),
                 known.since_us if known is not None else self.now,
             )  # fmt: skip
             if known is not None and content_digest(known.chain.offer) != content_digest(chain.offer):
@@ -476,16 +505,16 @@
         if tell.gateway:
             self._withdraw_missing(peer, tell)
 
-    def _check(self, peer: Peer, chain: Chain, found: Why | None) -> Why | None:
+    def _check(self, peer: Peer, chain: Chain, found: UnusedReason | None) -> UnusedReason | None:
         """Return why a chain is refused, or None and remember that its signatures are valid."""
         if not peer.agrees:
-            return Why.ROLE
+            return UnusedReason.ROLE
         why = fault(chain, self.site, peer.partner, self.partners[peer.partner].relation) or found
         if why is not None:
             return why
-        self.good[chain_digest(chain)] = None
-        while len(self.good) > MAX_VERIFIED_CHAINS:
-            self.good.popitem(last=False)
+        self.verified[chain_digest(chain)] = None
+        while len(self.verified) > MAX_VERIFIED_CHAINS:
+            self.verified.popitem(last=False)
         return None
 
     def _request_higher_epoch(self, peer: Peer, offer: Offer) -> None:
@@ -495,44 +524,44 @@
         Otherwise a gateway that lost its disk would be refused for as long as any site remembers that state.
         """
         known = self.newest.get(offer.id)
-        if known is None or known.epoch < max(offer.epoch, peer.life[0]):
+        if known is None or known.epoch < max(offer.epoch, peer.incarnation[0]):
             return
-        if known.birth != offer.birth:
-            peer.life = (known.epoch, known.birth)
-        elif known[:2] == offer.age:
-            peer.life = (known.epoch, offer.birth ^ 1)  # any other boot id
+        if known.boot_id != offer.boot_id:
+            peer.incarnation = (known.epoch, known.boot_id)
+        elif known[:2] == offer.state:
+            peer.incarnation = (known.epoch, offer.boot_id ^ 1)  # any other boot id
 
     def _known(self, site: str) -> bool:
         return site in self.partners
 
-    def _record_chain(self, offer: Offer, expired: bool) -> Why | None:
+    def _record_chain(self, offer: Offer, expired: bool) -> UnusedReason | None:
         """Record the state that a chain shows; return why it is unusable. `expired`: its lifetime is over."""
-        state = Newest(offer.epoch, offer.version, content_digest(offer), offer.birth)
+        state = OfferState(offer.epoch, offer.version, content_digest(offer), offer.boot_id)
         advertised = self._self_advertised.get((offer.owner, offer.gateway))
-        if advertised is not None and offer.age <= advertised[0] and offer.name not in advertised[1]:
+        if advertised is not None and offer.state <= advertised[0] and offer.name not in advertised[1]:
             # Without this an offer seen for the first time would pass as new, though its gateway no longer
             # advertises it.
-            return Why.WITHDRAWN
+            return UnusedReason.WITHDRAWN
         known = self.newest.get(offer.id)
         if known is not None and known[:2] == state[:2] and known.content and known.content != state.content:
             if expired:
                 # A replayed message of an old incarnation would otherwise keep the new offer out forever.
-                return Why.EXPIRED
+                return UnusedReason.EXPIRED
             last = self._forked.setdefault(offer.id, {known.content: self.now})
             last[state.content] = self.now + offer.terms.left_ms * MS
         elif offer.id in self._forked:
             self._forked[offer.id][state.content] = self.now + offer.terms.left_ms * MS
         why = self.record_state(offer.id, state, received=True)
-        return Why.EXPIRED if why is None and expired else why
+        return UnusedReason.EXPIRED if why is None and expired else why
 
-    def on_mark(self, id: OfferId, state: Newest, now: int) -> None:
+    def on_state(self, id: OfferId, state: OfferState, now: int) -> None:
         """Record the state of an offer that another member of this site has received."""
         self.now = max(now, self.now)
         if id.owner in self.partners:
             self.record_state(id, state)
             self._rebuild_table()
 
-    def record_state(self, id: OfferId, state: Newest, received: bool = False) -> Why | None:
+    def record_state(self, id: OfferId, state: OfferState, received: bool = False) -> UnusedReason | None:
         """Record a state of an offer, from a chain or replicated by a member; return why it is unusable.
 
         A later state replaces earlier ones. Two contents under one state are a fork: neither is used,
@@ -540,28 +569,28 @@
         """
         known = self.newest.get(id)
         if known is None:
-            if self._id_counts.get(id.owner, 0) >= IDS_MOST:
-                return Why.TOO_MANY
+            if self._id_counts.get(id.owner, 0) >= MAX_OFFER_IDS:
+                return UnusedReason.TOO_MANY
             self._id_counts[id.owner] = self._id_counts.get(id.owner, 0) + 1
-        merged = state if known is None else later(known, state)
+        merged = state if known is None else join_states(known, state)
         if merged != known:
             self.newest[id] = merged
             if received:
-                self.marks[id] = merged
+                self.pending_states[id] = merged
             if merged.forked and not (known is not None and known.forked):
                 self.counts["forked"] += 1
         if merged[:2] > state[:2]:
-            return Why.OLD
+            return UnusedReason.OLD
         if merged.forked:
-            return Why.FORKED
-        return Why.WITHDRAWN if not merged.content and state.content else None
+            return UnusedReason.FORKED
+        return UnusedReason.WITHDRAWN if not merged.content and state.content else None
 
-    def take_marks(self) -> dict[OfferId, Newest]:
+    def take_states(self) -> dict[OfferId, OfferState]:
         """Return the states received since the last call, to replicate to the other members of this site."""
-        marks, self.marks = self.marks, {}
+        marks, self.pending_states = self.pending_states, {}
         return marks
 
-    def _withdraw_missing(self, peer: Peer, tell: Tell) -> None:
+    def _withdraw_missing(self, peer: Peer, tell: Advertisement) -> None:
         """Withdraw the offers that their own gateway no longer advertises, whoever else still does.
 
         Offers that it advertises but that were refused, as in a delayed advertisement, are not withdrawn.
@@ -570,35 +599,35 @@
         names = frozenset(id.name for id in advertised if (id.owner, id.gateway) == (tell.site, tell.gateway))
         self._self_advertised[tell.site, tell.gateway] = ((tell.epoch, tell.version), names)
         self._self_advertised.move_to_end((tell.site, tell.gateway))
-        while len(self._self_advertised) > IDS_MOST:
+        while len(self._self_advertised) > MAX_OFFER_IDS:
             self._self_advertised.popitem(last=False)
         for id, known in list(self.newest.items()):
             if (id.owner, id.gateway) != (tell.site, tell.gateway) or id in advertised or not known.content:
                 continue
-            if known.epoch >= tell.epoch and known.birth != tell.birth:
+            if known.epoch >= tell.epoch and known.boot_id != tell.boot_id:
                 # Another incarnation than the one that answers now. Two under one epoch cannot be ordered: it
                 # has to raise its epoch above both, and until then neither one's offer is valid.
-                peer.life = max(peer.life, (known.epoch, known.birth))
+                peer.incarnation = max(peer.incarnation, (known.epoch, known.boot_id))
                 if known.epoch == tell.epoch:
                     self.record_state(id, known._replace(content=b""), received=True)
             elif known[:2] <= (tell.epoch, tell.version):
-                self.record_state(id, Newest(tell.epoch, tell.version, b"", tell.birth), received=True)
+                self.record_state(id, OfferState(tell.epoch, tell.version, b"", tell.boot_id), received=True)
 
     def _stamp_first_seen(self, offer: Offer, at: int) -> int:
         """Return the earliest time at which this stamp is known to have existed.
 
         Otherwise the lifetime of an old message would start again whenever it is replayed.
         """
-        key = (offer.id, offer.epoch, offer.birth, offer.stamp_ms)
-        known = self._heard.get(key)
+        key = (offer.id, offer.epoch, offer.boot_id, offer.stamp_ms)
+        known = self._first_seen.get(key)
         first = min(at, self._latest_start(offer) + offer.stamp_ms * MS)
         if known is not None:
             first = min(known, first)
-        self._heard[key] = first
+        self._first_seen[key] = first
         if known is None:
             limit = self.now - (MAX_LIFETIME_MS + MAX_LIFETIME_MS // 10) * MS
-            while len(self._heard) > 4 * IDS_MOST or next(iter(self._heard.values())) < limit:
-                self._heard.popitem(last=False)
+            while len(self._first_seen) > 4 * MAX_OFFER_IDS or next(iter(self._first_seen.values())) < limit:
+                self._first_seen.popitem(last=False)
         return first
 
     def _latest_start(self, offer: Offer) -> int:
@@ -609,7 +638,7 @@
         arrival, not from the query: a slow answer would otherwise make all later stamps look old. The bound
         is relaxed over time by the drift between two clocks.
         """
-        key = (offer.owner, offer.gateway, offer.epoch, offer.birth)
+        key = (offer.owner, offer.gateway, offer.epoch, offer.boot_id)
         began = self.now - offer.stamp_ms * MS
         if key in self._started:
             latest, since = self._started[key]
@@ -618,7 +647,7 @@
                 return latest
         self._started[key] = (began, self.now)
         self._started.move_to_end(key)
-        while len(self._started) > IDS_MOST:
+        while len(self._started) > MAX_OFFER_IDS:
             self._started.popitem(last=False)
         return began
 
@@ -628,7 +657,7 @@
 
     def _update_providers(self, partner: str, reported: tuple[str, ...]) -> None:
         self._reported_providers[partner] = frozenset(reported)
-        self.circle = self.find_provider_cycle()
+        self.provider_cycle = self.find_provider_cycle()
 
     def find_provider_cycle(self) -> list[str]:
         """Return a cycle of providers by this site's configuration and its partners' reports, or nothing."""
@@ -638,14 +667,14 @@
             if item.relation is Relation.CUSTOMER:
                 known[name] |= {self.site}
         known[self.site] = frozenset(self.providers)
-        return circle(known)
+        return provider_cycle(known)
 
     # Damping
 
     def _count_flap(self, peer: str, id: OfferId) -> None:
         flap = self._flaps.get((peer, id))
         if flap is None:
-            if len(self._flaps) >= IDS_MOST:
+            if len(self._flaps) >= MAX_OFFER_IDS:
                 return
             flap = self._flaps[peer, id] = _Flap(0.0, self.now)
         flap.penalty = min(DAMP_MAX_PENALTY, flap.penalty_at(self.now) + 1.0)
@@ -713,10 +742,10 @@
 
     def _forget(self) -> None:
         """Forget the states of withdrawn offers that no gateway advertises, if many are remembered."""
-        if len(self.newest) <= IDS_MOST // 2:
+        if len(self.newest) <= MAX_OFFER_IDS // 2:
             return
         live = {id for peer in self.peers.values() for id in peer.held}
-        for id in [id for id in self.newest if id not in live][: len(self.newest) - IDS_MOST // 2]:
+        for id in [id for id in self.newest if id not in live][: len(self.newest) - MAX_OFFER_IDS // 2]:
             if self.newest[id].content:
                 continue  # not withdrawn by its owner
             del self.newest[id]
@@ -725,7 +754,7 @@
     # Routing table
 
     def _rebuild_table(self) -> None:
-        states: dict[tuple[str, OfferId], Why] = {}
+        states: dict[tuple[str, OfferId], UnusedReason] = {}
         held = []
         for name, peer in self.peers.items():
             for id, item in peer.held.items():
@@ -733,65 +762,67 @@
                 if why is not None:
                     states[name, id] = why
                 held.append(item)
-        table = settle(held, self.partners, states)
+        table = build_table(held, self.partners, states)
         if table != self.table:
             self.table = table
-            self.changed += 1
+            self.table_version += 1
 
-    def _state(self, name: str, peer: Peer, id: OfferId, held: Held) -> Why | None:
+    def _state(self, name: str, peer: Peer, id: OfferId, held: HeldChain) -> UnusedReason | None:
         if held.expires_us <= self.now:
-            return Why.EXPIRED
+            return UnusedReason.EXPIRED
         newest = self.newest.get(id)
         offer = held.chain.offer
-        if newest is not None and newest.forked and newest[:2] == offer.age:
-            return Why.FORKED
-        if newest is not None and newest[:2] > offer.age:
-            return Why.OLD if newest.content else Why.WITHDRAWN
-        if newest is not None and newest[:2] == offer.age and not newest.content:
-            return Why.WITHDRAWN
+        if newest is not None and newest.forked and newest[:2] == offer.state:
+            return UnusedReason.FORKED
+        if newest is not None and newest[:2] > offer.state:
+            return UnusedReason.OLD if newest.content else UnusedReason.WITHDRAWN
+        if newest is not None and newest[:2] == offer.state and not newest.content:
+            return UnusedReason.WITHDRAWN
         if not (held.chain.terms.to is None or self.site in held.chain.terms.to):
-            return Why.NOT_LENT
+            return UnusedReason.NOT_LENT
         flap = self._flaps.get((name, id))
         if flap is not None and flap.suppressed:
-            return Why.DAMPED
-        return Why.STALE if peer.silent_since is not None else None
+            return UnusedReason.DAMPED
+        return UnusedReason.STALE if peer.silent_since is not None else None
 
-    def ways(self, cls: str, now: int, path: tuple[str, ...] = ()) -> tuple[Route, ...]:
+    def best_routes(self, cls: str, now: int, path: tuple[str, ...] = ()) -> tuple[Route, ...]:
         """Return the best routes for a request, all of equal rank and each offer once.
 
         `path` has the sites that the request has passed, its origin first; it is empty for this site's own
         requests.
         """
-        if self._route_cache_version != self.changed:
+        if self._route_cache_version != self.table_version:
             self._route_cache.clear()
-            self._route_cache_version = self.changed
+            self._route_cache_version = self.table_version
         key = (cls, path)
         found = self._route_cache.get(key)
         if found is None:
             found = self._route_cache[key] = self._best_routes(cls, path)
             while len(self._route_cache) > MAX_CACHED_ROUTES:
                 self._route_cache.popitem(last=False)
-        return tuple(route for route in found if self.holds(route, now)) if found else found
+        return tuple(route for route in found if self.is_valid(route, now)) if found else found
 
-    def holds(self, route: Route, now: int) -> bool:
+    def is_valid(self, route: Route, now: int) -> bool:
         """Whether a route is still valid at this moment.
 
         Between two calls of `on_time` a route would otherwise be used past its lifetime.
         """
         peer = self.peers.get(route.peer)
         held = peer.held.get(route.id) if peer is not None else None
-        if held is None or held.expires_us <= now or held.place != route.place:
+        if held is None or held.expires_us <= now or held.address != route.address:
             return False
         newest = self.newest.get(route.id)
-        return held.chain.terms == route.terms and (newest is None or newest[:2] <= held.chain.offer.age)
+        return held.chain.terms == route.terms and (newest is None or newest[:2] <= held.chain.offer.state)
 
     def _best_routes(self, cls: str, path: tuple[str, ...]) -> tuple[Route, ...]:
-        usable = (None, Why.NOT_LENT) if path else (None,)  # not lent to this site, but perhaps to the origin
+        usable = (
+            (None, UnusedReason.NOT_LENT) if path else (None,)
+        )  # not lent to this site, but perhaps to the origin
         good = [route for route in self.table if route.state in usable and self._permits(route, cls, path)]
         if not good:
             # Damped routes are not re-advertised, but are used as a last resort. Otherwise one hostile site
             # that flaps could have a neighbour's only good route damped further along the path.
-            last = (Why.DAMPED, Why.STALE)
+            last = (UnusedReason.DAMPED, UnusedReason.STALE)
             good = [route for route in self.table if route.state in last and self._permits(route, cls, path)]
         seen: set[OfferId] = set()
         chosen = []
@@ -803,7 +834,7 @@
 
     def _permits(self, route: Route, cls: str, path: tuple[str, ...]) -> bool:
         origin = path[0] if path else self.site
-        if not route.terms.lends(origin, cls) or set(route.sites) & set(path):
+        if not route.terms.allows_use(origin, cls) or set(route.sites) & set(path):
             return False
         if not path:
             return True
@@ -811,51 +842,51 @@
         relation = self.partners[route.partner].relation
         before = self.partners.get(path[-1])
         carriers = (*path[1:], self.site)
-        allowed = before is not None and may_tell(relation, before.relation)
-        return allowed and all(route.terms.carries(site) for site in carriers)
+        allowed = before is not None and may_export(relation, before.relation)
+        return allowed and all(route.terms.allows_onward(site) for site in carriers)
 
     # Advertisements
 
-    def on_ask(self, partner: str, ask: Ask, ticket: bytes, now: int) -> Tell | None:
+    def on_query(self, partner: str, query: OfferQuery, ticket: bytes, now: int) -> Advertisement | None:
         """Answer a query with what this gateway offers and re-advertises to the partner.
 
         Returns None if the sender is no neighbour or the query is addressed to another site.
         """
         self.now = max(now, self.now)
         known = self.partners.get(partner)
-        if known is None or not known.neighbour or (ask.site, ask.to) != (partner, self.site):
+        if known is None or not known.neighbour or (query.site, query.to) != (partner, self.site):
             self.counts["unheard"] += 1
             return None
-        self._update_providers(partner, ask.providers)
-        chains, have = self._export(partner) if ask.role == known.relation.other_way else ((), b"")
-        same = have == ask.have
-        epoch, birth = self.life
+        self._update_providers(partner, query.providers)
+        chains, have = self._export(partner) if query.role == known.relation.inverse else ((), b"")
+        same = have == query.digest
+        epoch, birth = self.incarnation
         ages = () if same else tuple(self._stamp_age_ms(chain) for chain in chains)
-        return Tell(
-            self.site, partner, self.gateway, self.place, ask.number, epoch, birth, self._version, have,
+        return Advertisement(
+            self.site, partner, self.gateway, self.address, query.number, epoch, birth, self._version, have,
             None if same else chains, ages, known.relation, ticket, self.providers,
         )  # fmt: skip
 
-    def outlived(self, ask: Ask) -> int | None:
+    def epoch_to_exceed(self, query: OfferQuery) -> int | None:
         """Return the epoch that this incarnation has to exceed, if the sender knows another at or above it.
 
         At most once per EPOCH_RAISE_INTERVAL_US: two processes under one name raise their epochs in turn.
         """
-        epoch, birth = ask.known
-        over = epoch > self.life[0] or (epoch == self.life[0] and birth != self.life[1])
+        epoch, birth = query.known_incarnation
+        over = epoch > self.incarnation[0] or (epoch == self.incarnation[0] and birth != self.incarnation[1])
         return epoch if over and self.now >= self._epoch_raised_us + EPOCH_RAISE_INTERVAL_US else None
 
     def _export(self, partner: str) -> tuple[tuple[Chain, ...], bytes]:
         """Return the chains to advertise to a partner and their digest."""
-        state = (self.changed + self.told + self._held_version, len(self.circle))
+        state = (self.table_version + self.offers_version + self._held_version, len(self.provider_cycle))
         known = self._exports.get(partner)
         if known is not None and known[0] == state:
             return known[1:]
         chains = [
             Chain(offer) for _, (_, offer) in sorted(self._own.items()) if _visible_to(offer.terms, partner)
         ]
-        if not self.circle:  # with a cycle of providers routing might not converge
-            chains += self._reexported(partner, CHAINS_MOST - len(chains))
+        if not self.provider_cycle:  # with a cycle of providers routing might not converge
+            chains += self._reexported(partner, MAX_CHAINS - len(chains))
         found = tuple(chains)
         self._exports[partner] = (state, found, _chains_digest(found))
         return self._exports[partner][1:]
@@ -869,16 +900,16 @@
         export_relation = self.partners[partner].relation
         best: dict[OfferId, Route] = {}
         for route in self.table:
-            if route.state in (None, Why.NOT_LENT):
+            if route.state in (None, UnusedReason.NOT_LENT):
                 best.setdefault(route.id, route)
         chains = []
         for id in sorted(best)[:most]:
             route = best[id]
             import_relation = self.partners[route.partner].relation
             terms = route.terms
-            if partner in route.sites or not may_tell(import_relation, export_relation):
+            if partner in route.sites or not may_export(import_relation, export_relation):
                 continue
-            if terms.carries(self.site) and _visible_to(terms, partner):
+            if terms.allows_onward(self.site) and _visible_to(terms, partner):
                 held = self.peers[route.peer].held[id]
                 chains.append(self._reexport(held.chain, partner, import_relation, export_relation))
         return chains
@@ -888,7 +919,7 @@
         offer = chain.offer
         if offer.owner == self.site:
             return 0
-        heard = self._heard.get((offer.id, offer.epoch, offer.birth, offer.stamp_ms), self._began_us)
+        heard = self._first_seen.get((offer.id, offer.epoch, offer.boot_id, offer.stamp_ms), self._began_us)
         return max(0, self.now - heard + MS - 1) // MS
 
     def _reexport(
@@ -905,11 +936,11 @@
                 del self._reexports[next(iter(self._reexports))]
             cost = self.partners[chain.sites[0]].cost
             hop = Hop(self.site, partner, import_relation, export_relation, cost, chain.terms)
-            found = self._reexports[key] = passed_on(chain, hop, self._sign)
+            found = self._reexports[key] = add_hop(chain, hop, self._sign)
         return found
 
 
-def later(one: Newest, other: Newest) -> Newest:
+def join_states(one: OfferState, other: OfferState) -> OfferState:
     """Return the join of two states of an offer, ordered by (epoch, version).
 
     Two contents under one state are a fork and remain one; a withdrawal outweighs a content under the same
@@ -917,19 +948,19 @@
     """
     if one[:2] != other[:2]:
         return max(one, other, key=lambda item: item[:2])
-    birth = min(one.birth, other.birth)
+    birth = min(one.boot_id, other.boot_id)
     if not one.content or not other.content:
-        return Newest(one.epoch, one.version, b"", birth)
+        return OfferState(one.epoch, one.version, b"", birth)
     if one.content == other.content:
-        return Newest(one.epoch, one.version, one.content, birth, one.forked or other.forked)
-    return Newest(one.epoch, one.version, min(one.content, other.content), birth, True)
+        return OfferState(one.epoch, one.version, one.content, birth, one.forked or other.forked)
+    return OfferState(one.epoch, one.version, min(one.content, other.content), birth, True)
 
 
 def _visible_to(terms: Terms, partner: str) -> bool:
     """Whether an offer may be advertised to a site: it may use or re-advertise it."""
     if terms.empty:
         return False
-    return terms.to is None or partner in terms.to or terms.carries(partner)
+    return terms.to is None or partner in terms.to or terms.allows_onward(partner)
 
 
 def _chains_digest(chains: tuple[Chain, ...]) -> bytes:
--- a/sorrelfront/decisions/sites/terms.py
+++ b/sorrelfront/decisions/sites/terms.py
@@ -50,11 +50,11 @@
         """
         return self.to == () or self.classes == () or not self.rate or not self.left_ms
 
-    def lends(self, site: str, cls: str) -> bool:
+    def allows_use(self, site: str, cls: str) -> bool:
         """Whether requests of this class from this site may use the offer."""
         return _has(site, self.to) and _has(cls, self.classes) and self.rate > 0 and self.left_ms > 0
 
-    def carries(self, site: str) -> bool:
+    def allows_onward(self, site: str) -> bool:
         """Whether this site may re-advertise the offer and forward requests that use it."""
         return _has(site, self.onward)
 
--- a/sorrelfront/decisions/supervision.py
+++ b/sorrelfront/decisions/supervision.py
@@ -134,7 +134,7 @@
     phase: Phase
     run: int
     failures: int
-    looping: bool
+    in_crash_loop: bool
 
 
 class Supervisor:
@@ -161,7 +161,7 @@
     def start(self, now: int) -> list[Action]:
         """Return the first actions: start every instance that has no process, all at once."""
         self._starts_held = False
-        return self.on_time(now)
+        return self.on_timer(now)
 
     def on_adopted(self, name: str, run: int, ready: bool, now: int) -> None:
         """Take a process of an earlier supervisor as this instance.
@@ -216,7 +216,7 @@
         self._enter_phase(instance, Phase.READY, now, self.policy.silent_us)
         return []
 
-    def on_beat(self, name: str, run: int, now: int) -> list[Action]:
+    def on_heartbeat(self, name: str, run: int, now: int) -> list[Action]:
         """Handle a heartbeat, which shows that the event loop of the instance runs."""
         self._record_event(now)
         instance = self._instance_of_run(name, run)
@@ -247,8 +247,8 @@
         instance.killed = False
         if asked:  # an intended restart is no failure and has no back-off
             self._enter_phase(instance, Phase.BACKOFF, now, 0)
-            return self.on_time(now)
-        return [*self._on_failure(instance, now), *self.on_time(now)]
+            return self.on_timer(now)
+        return [*self._on_failure(instance, now), *self.on_timer(now)]
 
     def on_restart(self, name: str, now: int) -> list[Action]:
         """Restart the instance once it has finished its requests. Raises KeyError for an unknown name."""
@@ -258,7 +258,7 @@
             return []
         if instance.phase is Phase.BACKOFF:
             instance.timeout_at = now
-            return self.on_time(now)
+            return self.on_timer(now)
         if instance.phase is Phase.STOPPING:
             return []
         return self._stop(instance, now, self.policy.start_within_us)
@@ -288,7 +288,7 @@
             actions += self.on_drain(name, now, within_us)
             if self._instances[name].phase is Phase.STOPPED:
                 del self._instances[name]
-        return [*actions, *self.on_time(now)]
+        return [*actions, *self.on_timer(now)]
 
     def on_stop(self, now: int, within_us: int) -> list[Action]:
         """Stop every instance, each within `within_us`. A second call changes nothing."""
@@ -300,7 +300,7 @@
             actions += self.on_drain(name, now, within_us)
         return actions
 
-    def on_time(self, now: int) -> list[Action]:
+    def on_timer(self, now: int) -> list[Action]:
         """Return the actions that are due: starts after back-off, kills after a missed deadline."""
         self._record_event(now)
         actions: list[Action] = []
@@ -331,7 +331,7 @@
 
     # Status
 
-    def standings(self) -> list[InstanceStatus]:
+    def instance_statuses(self) -> list[InstanceStatus]:
         """Return the status of every instance."""
         return [
             InstanceStatus(item.name, item.phase, item.run, item.failures, item.looping)
--- a/sorrelfront/errors.py
+++ b/sorrelfront/errors.py
@@ -23,6 +23,6 @@
         if not getattr(cls, "remedy", ""):
             raise TypeError(f"{cls.__name__} has no remedy")
 
-    def told(self) -> str:
+    def message_with_remedy(self) -> str:
         """Return the error text and the remedy in one line."""
         return " ".join(f"{self}; {self.remedy}".split())
--- a/sorrelfront/fleet/carrier.py
+++ b/sorrelfront/fleet/carrier.py
@@ -15,23 +15,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from sorrelfront.decisions.fleet.view import Action, Exchange, Keep, Send, Told, View
+from sorrelfront.decisions.fleet.view import Action, MemberEvent, PersistIncarnation, PushPull, Send, View
 from sorrelfront.decisions.fleet.words import (
     MAX_DATAGRAM_BYTES,
     MAX_STATE_BYTES,
     Address,
+    FullState,
+    MalformedMessage,
+    Message,
     PolicyFrame,
     ReplicationFrame,
     State,
-    Unreadable,
-    Whole,
-    Word,
     decode,
     decode_stream,
     encode,
 )
 from sorrelfront.fleet.envelope import ENVELOPE_BYTES, EnvelopeCodec
-from sorrelfront.net.streams import end_stream
+from sorrelfront.net.streams import close_stream
 
 log = logging.getLogger("sorrelfront.fleet")
 
@@ -110,7 +110,7 @@
             return
         self._server = await asyncio.start_server(self._serve, sock=self._tcp, limit=64 * 1024)
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._on_readable)
-        self._perform(self.view.on_time(now_us()))
+        self._perform(self.view.on_timer(now_us()))
 
     def _bind(self) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
@@ -181,24 +181,24 @@
             return
         try:
             message = decode(payload)
-        except Unreadable:
+        except MalformedMessage:
             self.counters["unreadable"] += 1
             return
         self.counters["heard"] += 1
         self.counters["heard_bytes"] += len(data)
         self._dispatch(message)
 
-    def _dispatch(self, message: Word) -> None:
+    def _dispatch(self, message: Message) -> None:
         if isinstance(message, ReplicationFrame):
             if (
                 self.on_replication_message is not None
                 and message.to == self.view.me.name
-                and not self.view.back
+                and not self.view.yielded
             ):
                 self.on_replication_message(message)
         elif not isinstance(message, PolicyFrame):
-            self._perform(self.view.on_word(message, now_us()))
-        elif self.on_policy_message is not None and message.to == self.view.me.name and not self.view.back:
+            self._perform(self.view.on_message(message, now_us()))
+        elif self.on_policy_message is not None and message.to == self.view.me.name and not self.view.yielded:
             self.on_policy_message(message)
 
     # Sending
@@ -206,7 +206,7 @@
     def send(self, message: PolicyFrame | ReplicationFrame) -> None:
         """Send a message to the member that it names, at its address in the view; it may be lost."""
         member = self.view.members.get(message.to)
-        if member is None or self._closed or self.view.back:
+        if member is None or self._closed or self.view.yielded:
             self.counters["unsent"] += 1
             return
         data = self.envelope.wrap(encode(message))
@@ -228,7 +228,7 @@
                     self.counters["sent_bytes"] += len(data)
                     await writer.drain()
                 finally:
-                    await end_stream(writer)
+                    await close_stream(writer)
         except OSError:
             self.counters["unsent"] += 1
         finally:
@@ -239,13 +239,13 @@
             match action:
                 case Send(to, message):
                     self._send_datagram(to, self.envelope.wrap(encode(message)))
-                case Exchange(to):
+                case PushPull(to):
                     if self._outgoing_push_pulls < MAX_OUTGOING_PUSH_PULLS:
                         self._outgoing_push_pulls += 1
                         self.spawn(self._push_pull(to))
-                case Keep(incarnation):
+                case PersistIncarnation(incarnation):
                     self._persist(incarnation)
-                case Told():
+                case MemberEvent():
                     self._record_event(action)
         self._schedule()
 
@@ -259,7 +259,7 @@
         except OSError:  # a full buffer, or a closed port: the same as a lost datagram
             self.counters["unsent"] += 1
 
-    def _record_event(self, event: Told) -> None:
+    def _record_event(self, event: MemberEvent) -> None:
         if event.kind == "raised":
             return
         self.event_count += 1
@@ -276,7 +276,7 @@
     def _schedule(self) -> None:
         if self._closed or self._sock is None:
             return
-        due = self.view.next_us()
+        due = self.view.next_timer_us()
         if self._timer is not None and due == self._due_us:
             return
         if self._timer is not None:
@@ -287,7 +287,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._perform(self.view.on_time(now_us()))
+        self._perform(self.view.on_timer(now_us()))
 
     # Push-pull exchanges
 
@@ -298,12 +298,12 @@
                     *to, local_addr=(self.listen[0], 0), limit=64 * 1024
                 )
                 try:
-                    self._write(writer, self.view.whole())
+                    self._write(writer, self.view.full_state())
                     answer = await self._read(reader)
                 finally:
-                    await end_stream(writer)
-            if isinstance(answer, Whole) and answer.reply:
-                self._perform(self.view.on_whole(answer, now_us()))
+                    await close_stream(writer)
+            if isinstance(answer, FullState) and answer.reply:
+                self._perform(self.view.on_full_state(answer, now_us()))
         except (OSError, asyncio.IncompleteReadError):
             pass  # unreachable: the view tries again
         finally:
@@ -323,22 +323,22 @@
                 if isinstance(request, PolicyFrame | ReplicationFrame):
                     self._dispatch(request)
                 elif request is not None and not request.reply:
-                    self._perform(self.view.on_whole(request, now_us()))
-                    self._write(writer, self.view.whole(reply=True))
+                    self._perform(self.view.on_full_state(request, now_us()))
+                    self._write(writer, self.view.full_state(reply=True))
                     await writer.drain()
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         finally:
             with contextlib.suppress(asyncio.CancelledError):
-                await end_stream(writer)
+                await close_stream(writer)
             self._incoming.discard(task)
 
-    def _write(self, writer: asyncio.StreamWriter, state: Whole) -> None:
+    def _write(self, writer: asyncio.StreamWriter, state: FullState) -> None:
         data = self.envelope.wrap(encode(state))
         writer.write(LENGTH_HEADER.pack(len(data)) + data)
         self.counters["sent_bytes"] += len(data)
 
-    async def _read(self, reader: asyncio.StreamReader) -> Whole | PolicyFrame | ReplicationFrame | None:
+    async def _read(self, reader: asyncio.StreamReader) -> FullState | PolicyFrame | ReplicationFrame | None:
         """Read the peer's message, or None if it is invalid or from another fleet."""
         (length,) = LENGTH_HEADER.unpack(await reader.readexactly(LENGTH_HEADER.size))
         if not ENVELOPE_BYTES < length <= MAX_STATE_BYTES + ENVELOPE_BYTES:
@@ -351,7 +351,7 @@
             return None
         try:
             message = decode_stream(payload)
-        except Unreadable:
+        except MalformedMessage:
             self.counters["unreadable"] += 1
             return None
         self.counters["heard_bytes"] += len(data)
@@ -379,17 +379,17 @@
             )  # fmt: skip
         return rows
 
-    def told(self, after: int) -> list[dict[str, Any]]:
+    def events_after(self, after: int) -> list[dict[str, Any]]:
         """Return the events with numbers above `after`."""
         return [event for event in self.events if event["number"] > after]
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the sizes and counters for the status."""
         view = self.view
         return {
             "members": view.living, "agreeing": view.agreeing(), "known": len(view.members),
             "health": view.health,
-            "back": view.back, "incarnation": view.me.incarnation,
+            "back": view.yielded, "incarnation": view.me.incarnation,
             "tasks": len(self._tasks) + len(self._incoming), **self.counters,
             "refused": view.counters.rejected, "deaths": view.counters.deaths,
             "refuted": view.counters.refutations,
--- a/sorrelfront/fleet/copier.py
+++ b/sorrelfront/fleet/copier.py
@@ -18,23 +18,23 @@
 from sorrelfront.decisions.fleet import servers
 from sorrelfront.decisions.fleet.copies import (
     Action,
+    CaughtUp,
     Change,
     Changed,
-    Copies,
+    Durable,
     Forked,
-    Kept,
-    Levelled,
-    Say,
+    ReplicaStore,
+    Send,
     Settings,
     Write,
-    pack,
-    unpack,
+    decode,
+    encode,
 )
 from sorrelfront.decisions.fleet.servers import DRAIN_PREFIX, ConservativeView, ReplicatedServer
-from sorrelfront.decisions.fleet.words import Unreadable
+from sorrelfront.decisions.fleet.words import MalformedMessage
 from sorrelfront.decisions.interface import Backend, State
 from sorrelfront.fleet.carrier import now_us
-from sorrelfront.lists import Malformed, parse_address
+from sorrelfront.lists import MalformedList, parse_address
 from sorrelfront.messages import Address, Update
 
 log = logging.getLogger("sorrelfront.fleet")
@@ -49,7 +49,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def changes(payloads: list[bytes]) -> list[Change]:
+def decode_changes(payloads: list[bytes]) -> list[Change]:
     """Decode the payloads of a replica log, up to the first one that cannot be read."""
     found = []
     for payload in payloads:
@@ -61,17 +61,17 @@
     return found
 
 
-def settings(table: dict[str, Any]) -> Settings:
+def replication_settings(table: dict[str, Any]) -> Settings:
     """Derive the replication settings from the file's [fleet] table, with one comparison for each probe."""
     probe_us = int(table["probe_ms"] * 1_000)
     return Settings(
         compare_us=probe_us,
         push_us=int(min(table["gossip_ms"] * 250, 50_000)),
         fetch_us=max(500_000, 2 * probe_us),
-        lone_us=3 * probe_us,
+        alone_us=3 * probe_us,
         keep_us=int(table["keep_ms"] * 1_000),
-        give_bytes_s=int(table["copies_kb_s"] * 1_000),
-        trust_us=30 * probe_us,
+        send_bytes_s=int(table["copies_kb_s"] * 1_000),
+        list_trust_us=30 * probe_us,
     )
 
 
@@ -79,16 +79,16 @@
 class Ports:
     """What a replicator uses of its surroundings."""
 
-    say: Callable[[str, bytes], None]
-    members: Callable[[], list[str]]  # the living ones, according to the view
-    known: Callable[[], set[str]]  # all that the view knows, dead ones included
+    send: Callable[[str, bytes], None]
+    live_members: Callable[[], list[str]]  # the living ones, according to the view
+    known_members: Callable[[], set[str]]  # all that the view knows, dead ones included
     write: Callable[[list[bytes]], Awaitable[None]]  # durable once it returns; raises OSError
     snapshot: Callable[[list[bytes]], Awaitable[None]]  # the same, replacing all that was written
-    wants_snapshot: Callable[[], bool]
-    update: Callable[[Update], None]  # to the agent
+    needs_snapshot: Callable[[], bool]
+    update_agent: Callable[[Update], None]  # to the agent
 
 
-class Copier:
+class Replicator:
     """Replicates state with the other members of the fleet.
 
     Call `start`, hand over messages and updates of the list service, and `close` it at the end.
@@ -103,7 +103,7 @@
         be compared between members.
         """
         random = Random()  # no two members act alike
-        self.copies = Copies(name, settings, random, now_us(), disk, list_name, servers.merge)
+        self.store = ReplicaStore(name, settings, random, now_us(), disk, list_name, servers.merge)
         self.conservative_view = ConservativeView()
         self.serving_from_replica = False  # its own service has sent nothing in this incarnation
         self._list_replicated = bool(list_name)
@@ -128,7 +128,7 @@
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._write_loop())]
         self._tasks[0].add_done_callback(_log_failure)
-        self._perform(self.copies.hold(2, now_us()))
+        self._perform(self.store.require_hosts(2, now_us()))
 
     def close(self) -> None:
         """Stop the timer and the tasks."""
@@ -143,7 +143,7 @@
     def watch(self, prefix: str, changed: Callable[[str], None]) -> None:
         """Call `changed` for each key of this prefix that may have changed, and now for all present ones."""
         self._watchers[prefix] = changed
-        keys = {key for replica in self.copies.books.values() for key in replica.entries}
+        keys = {key for replica in self.store.replicas.values() for key in replica.entries}
         for key in sorted(keys):
             if key.startswith(prefix):
                 changed(key)
@@ -152,33 +152,33 @@
         """Put an entry into this member's own map; None deletes it. An entry without room is logged."""
         try:
             if value is None:
-                self.copies.delete(key, now_us())
+                self.store.delete(key, now_us())
             else:
-                self.copies.put(key, value, now_us())
+                self.store.put(key, value, now_us())
         except ValueError as fault:
             log.warning("an entry is not replicated: %s", fault)
-        self._perform(self.copies._take())
+        self._perform(self.store._take_actions())
 
     # Messages and time
 
-    def hear(self, sender: str, data: bytes) -> None:
+    def on_message(self, sender: str, data: bytes) -> None:
         """Handle an encoded message from a member."""
         try:
-            message = unpack(data)
-        except Unreadable:
+            message = decode(data)
+        except MalformedMessage:
             self.counters["unreadable"] += 1
             return
         self.counters["heard"] += 1
-        self._perform(self.copies.on_word(sender, message, now_us()))
+        self._perform(self.store.on_message(sender, message, now_us()))
 
     def _on_time(self) -> None:
         self._timer = None
-        self._perform(self.copies.on_time(now_us(), self._ports.members()))
+        self._perform(self.store.on_time(now_us(), self._ports.live_members()))
 
     def _schedule(self) -> None:
         if self._closed:
             return
-        due = self.copies.next_us()
+        due = self.store.next_us()
         if self._timer is not None:
             if due == self._due_us:
                 return
@@ -190,12 +190,12 @@
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Say(to, message):
-                    self._ports.say(to, pack(message))
+                case Send(to, message):
+                    self._ports.send(to, encode(message))
                 case Write():
                     self._enqueue(action)
                 case Changed(owner, keys):
-                    if owner == self.copies.list_owner or any(key.startswith(DRAIN_PREFIX) for key in keys):
+                    if owner == self.store.list_owner or any(key.startswith(DRAIN_PREFIX) for key in keys):
                         self._agent_outdated = True
                     self._notify_watchers(keys)
                 case Forked(owner, epoch, seq):
@@ -205,10 +205,10 @@
                         epoch,
                         seq,
                     )
-                case Levelled():
+                case CaughtUp():
                     self._agent_outdated = True
                     log.info("the replicas have caught up with the peers")
-                case Kept():
+                case Durable():
                     pass
         if self._agent_outdated:
             self._agent_outdated = False
@@ -240,9 +240,9 @@
             if not queue:
                 continue
             try:
-                if self._snapshot_needed or self._ports.wants_snapshot():
+                if self._snapshot_needed or self._ports.needs_snapshot():
                     # The snapshot includes the queued changes.
-                    await self._ports.snapshot([_encode(change) for change in self.copies.snapshot()])
+                    await self._ports.snapshot([_encode(change) for change in self.store.snapshot()])
                     self._snapshot_needed = False
                 else:
                     await self._ports.write([_encode(write.change) for write in queue])
@@ -258,11 +258,11 @@
                 continue
             self.write_error = ""
             self.counters["written"] += len(queue)
-            self._perform(self.copies.on_written(queue[-1].number, now_us()))
+            self._perform(self.store.on_written(queue[-1].number, now_us()))
 
     # The list
 
-    def heard(self, update: Update) -> Update:
+    def on_list(self, update: Update) -> Update:
         """Handle an update from this member's own list service; return the update for the agent."""
         self.serving_from_replica = False
         if not self._list_replicated:
@@ -280,7 +280,7 @@
             )
             for backend in update.backends
         }  # fmt: skip
-        actions = self.copies.heard(seq, update.complete, values, now)
+        actions = self.store.on_list(seq, update.complete, values, now)
         # The agent's update has the servers of this one and those whose replicated state has changed.
         updated = {
             backend.id: backend for backend in self.conservative_view.changes(self._replicated_servers())
@@ -297,10 +297,10 @@
         key = DRAIN_PREFIX + backend.id
         try:
             if backend.state is State.READY:
-                if self.copies.mine is not None and key in self.copies.mine.entries:
-                    self.copies.delete(key, now)
+                if self.store.own_replica is not None and key in self.store.own_replica.entries:
+                    self.store.delete(key, now)
             else:
-                self.copies.put(key, servers.encode_drain(seq, backend), now)
+                self.store.put(key, servers.encode_drain(seq, backend), now)
         except ValueError as fault:
             log.warning("a drain is not replicated: %s", fault)
 
@@ -311,23 +311,23 @@
             if backend.state is not State.GONE and backend.id in self._addresses
         }
 
-    def current(self) -> None:
+    def on_list_unchanged(self) -> None:
         """Note that this member's own list service is reachable and has no further changes."""
         if self._list_replicated and self.conservative_view.seq:
-            self._perform(self.copies.current(now_us()))
+            self._perform(self.store.on_list_unchanged(now_us()))
 
     def _replicated_servers(self) -> dict[str, ReplicatedServer]:
         """Return each listed server as the replicas have it.
 
         The replicated list is left out if no member's service has confirmed it lately.
         """
-        replica = self.copies.listed()
-        age_us = self.copies.list_age_us()
-        confirmed = replica is not None and age_us is not None and age_us <= self.copies.settings.trust_us
+        replica = self.store.list_replica()
+        age_us = self.store.list_age_us()
+        confirmed = replica is not None and age_us is not None and age_us <= self.store.settings.list_trust_us
         found: dict[str, ReplicatedServer] = {}
         for name in self.conservative_view.own_list:
             drains = []
-            for _, value in self.copies.values(DRAIN_PREFIX + name):
+            for _, value in self.store.values(DRAIN_PREFIX + name):
                 drain = servers.decode_drain(value)
                 if drain is not None:
                     drains.append(drain)
@@ -348,13 +348,13 @@
                 held_back = sum(backend.state is not State.READY for backend in changed)
                 self.counters["held_back"] += held_back
                 log.info("%d servers changed state by what other members were told", len(changed))
-                self._ports.update(
+                self._ports.update_agent(
                     Update(self.conservative_view.seq, False, changed, self._addresses_of(changed))
                 )
             return
-        replica = self.copies.listed()
+        replica = self.store.list_replica()
         # A replica older than the peers' could send requests to servers that were told to drain since.
-        if not self._list_replicated or replica is None or not self.copies.level:
+        if not self._list_replicated or replica is None or not self.store.caught_up:
             return
         backends, addresses = [], {}
         for name, entry in sorted(replica.entries.items()):
@@ -362,7 +362,7 @@
             address = _decode_hint(entry.hint)
             if backend is None or address is None:
                 continue
-            drains = [servers.decode_drain(value) for _, value in self.copies.values(DRAIN_PREFIX + name)]
+            drains = [servers.decode_drain(value) for _, value in self.store.values(DRAIN_PREFIX + name)]
             if any(
                 drain is not None and drain.seq > replica.seq and drain.started_us >= backend.started_us
                 for drain in drains
@@ -371,48 +371,48 @@
             backends.append(backend)
             addresses[name] = address
         if not self.serving_from_replica:
-            age_us = self.copies.list_age_us()
+            age_us = self.store.list_age_us()
             age = "of unknown age" if age_us is None else f"confirmed {age_us / 1e6:.1f} s ago"
             log.warning(
                 "serving by the fleet's copy of the list, %s: the list service has sent nothing; %d servers",
                 age, len(backends),
             )  # fmt: skip
         self.serving_from_replica = True
-        self._ports.update(Update(replica.seq - 1, True, tuple(backends), addresses))
+        self._ports.update_agent(Update(replica.seq - 1, True, tuple(backends), addresses))
 
     # Periodic work
 
-    def beat(self) -> None:
+    def maintain(self) -> None:
         """Retire the maps of members unknown to the view, and delete obsolete entries on drains."""
         now = now_us()
-        known = self._ports.known()
-        for owner in self.copies.owners():
-            if owner in known or owner == self.copies.list_owner:
+        known = self._ports.known_members()
+        for owner in self.store.owners():
+            if owner in known or owner == self.store.list_owner:
                 self._unknown_since.pop(owner, None)
-            elif now - self._unknown_since.setdefault(owner, now) > self.copies.settings.keep_us:
+            elif now - self._unknown_since.setdefault(owner, now) > self.store.settings.keep_us:
                 del self._unknown_since[owner]
-                self._perform(self.copies.retire(owner, now))
-        mine = self.copies.mine
+                self._perform(self.store.retire(owner, now))
+        mine = self.store.own_replica
         for key in [] if mine is None else [key for key in mine.entries if key.startswith(DRAIN_PREFIX)]:
             name = key[len(DRAIN_PREFIX) :]
             if name in self.conservative_view.own_list:
                 self._unlisted_since.pop(name, None)
             elif now - self._unlisted_since.setdefault(name, now) > DRAIN_RETENTION_US:
                 del self._unlisted_since[name]
-                self.copies.delete(key, now)
+                self.store.delete(key, now)
         self._agent_outdated = bool(self.conservative_view.seq)
-        self._perform(self.copies._take())
+        self._perform(self.store._take_actions())
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the state and the counters for `ctl status`."""
-        copies = self.copies
+        copies = self.store
         age_us = copies.list_age_us()
-        replica = copies.listed()
+        replica = copies.list_replica()
         return {
-            "level": copies.level, "behind": copies.behind, "digest": copies.digest(),
-            "books": len(copies.books),
-            "entries": sum(len(replica.entries) for replica in copies.books.values()),
-            "forked": {owner: list(at) for owner, at in copies.forks.items()}, "era": copies.era,
+            "level": copies.caught_up, "behind": copies.behind, "digest": copies.digest(),
+            "books": len(copies.replicas),
+            "entries": sum(len(replica.entries) for replica in copies.replicas.values()),
+            "forked": {owner: list(at) for owner, at in copies.forks.items()}, "era": copies.gc_epoch,
             "list": None if replica is None else [replica.id.epoch, replica.seq - 1],
             "list_age_ms": None if age_us is None else age_us // 1_000, "by_copy": self.serving_from_replica,
             "waiting_for_disk": len(self._queue), "fault": self.write_error,
@@ -432,5 +432,5 @@
 def _decode_hint(hint: bytes) -> Address | None:
     try:
         return parse_address(hint.decode())
-    except (Malformed, UnicodeDecodeError):
+    except (MalformedList, UnicodeDecodeError):
         return None
--- a/sorrelfront/fleet/council.py
+++ b/sorrelfront/fleet/council.py
@@ -21,32 +21,37 @@
 from sorrelfront.decisions.fleet.change import Change, Outcome
 from sorrelfront.decisions.fleet.policy import (
     Accepted,
-    Blank,
-    Check,
-    Checked,
     Chosen,
     Current,
-    Found,
     Grant,
-    Holder,
-    Keep,
-    Look,
-    Need,
+    Initialize,
+    LearnRequest,
+    LeaseHolder,
+    Persist,
+    PolicyMessage,
     Promise,
     Record,
     Reject,
     Release,
     Renew,
     Send,
-    Shown,
+    StateQuery,
+    Uninitialized,
+    ValidationReply,
+    ValidationRequest,
     Value,
     Voter,
-    Word,
+    VoterState,
     digest_of,
-    started,
+    start_voter,
 )
-from sorrelfront.decisions.fleet.said import pack_held, pack_record, unpack_held, unpack_record
-from sorrelfront.decisions.fleet.words import Unreadable
+from sorrelfront.decisions.fleet.said import (
+    decode_record,
+    decode_remembered,
+    encode_record,
+    encode_remembered,
+)
+from sorrelfront.decisions.fleet.words import MalformedMessage
 from sorrelfront.fleet.carrier import now_us
 
 log = logging.getLogger("sorrelfront.fleet")
@@ -61,7 +66,7 @@
 FORCED_SLOT_GAP = 100  # slots that a forced policy skips, so that no slot that was voted in is used again
 
 
-class Standing(Enum):
+class LeaseStatus(Enum):
     """Whether a request that arrives now may be admitted."""
 
     LEASED = "leased"  # served under a version that a majority has granted
@@ -74,17 +79,21 @@
 class Ports:
     """The operations that a policy member needs from its surroundings."""
 
-    say: Callable[[str, Word], None]  # send a message to the member of this name
-    keep: Callable[[bytes], Awaitable[None]]  # persist the vote; durable once it returns; raises OSError
-    remember: Callable[[bytes], None]  # store the served version in the background
-    members: Callable[[], list[str]]  # the live members
-    check: Callable[[bytes], str]  # the reason why this member would reject a policy; empty if it accepts
-    take: Callable[[int, bytes], str]  # apply a version; returns a fault if that is not possible
-    finished: Callable[[], bool]  # whether no request is in flight under the previous version
-    opened: Callable[[], None]  # a lease was granted: requests that wait for one may be admitted
-
-
-class Council:
+    send: Callable[[str, PolicyMessage], None]  # send a message to the member of this name
+    persist_vote: Callable[
+        [bytes], Awaitable[None]
+    ]  # persist the vote; durable once it returns; raises OSError
+    store_served: Callable[[bytes], None]  # store the served version in the background
+    live_members: Callable[[], list[str]]  # the live members
+    rejection_reason: Callable[
+        [bytes], str
+    ]  # the reason why this member would reject a policy; empty if it accepts
+    apply: Callable[[int, bytes], str]  # apply a version; returns a fault if that is not possible
+    none_in_flight: Callable[[], bool]  # whether no request is in flight under the previous version
+    on_lease_granted: Callable[[], None]  # a lease was granted: requests that wait for one may be admitted
+
+
+class PolicyMember:
     """This member's part in the agreement. `start` it, pass messages to `receive`, and `close` it."""
 
     def __init__(
@@ -97,9 +106,9 @@
         self._ports = ports
         self.voter: Voter | None = None
         if name in voters:
-            self.voter = started(name, voters, _decode_record(vote), lease_us, now, fresh=False)
+            self.voter = start_voter(name, voters, _decode_record(vote), lease_us, now, new_fleet=False)
         version, document = _decode_held(held)
-        self.holder = Holder(name, voters, lease_us, version, document)
+        self.holder = LeaseHolder(name, voters, lease_us, version, document)
         self._founded = held is not None
         self._stored_version = version if held is not None else -1
         self.applied_version = 0  # the version that is applied, and that requests are decided under
@@ -110,10 +119,10 @@
         self._uninitialized: set[str] = set()
         self.fault = ""
         self.change: Change | None = None
-        self._states: dict[str, Shown] = {}
+        self._states: dict[str, VoterState] = {}
         self._query_id = 0
         self._random = Random()  # seeded differently in each member, so that their timers spread
-        self._inbox: deque[tuple[str, Word]] = deque()
+        self._inbox: deque[tuple[str, PolicyMessage]] = deque()
         self._inbox_filled = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._next_renewal = 0
@@ -139,20 +148,20 @@
 
     # Requests
 
-    def standing(self) -> Standing:
+    def lease_status(self) -> LeaseStatus:
         """Whether a request that arrives now may be admitted.
 
         Checked for each request: a process that was suspended notices an expired lease only by checking.
         """
         now = now_us()
-        if not self._switching and not self.fault and self.holder.serves(now) is not None:
-            return Standing.LEASED
+        if not self._switching and not self.fault and self.holder.serving_version(now) is not None:
+            return LeaseStatus.LEASED
         if self.free:
-            return Standing.FREE
+            return LeaseStatus.FREE
         if not self._without_lease and not self._switching:
             self._without_lease = True  # it has expired, after several attempts to renew it
             log.warning("the lease on version %d has expired and was not renewed", self.applied_version)
-        return Standing.WAIT if now < self._wait_until else Standing.CUT_OFF
+        return LeaseStatus.WAIT if now < self._wait_until else LeaseStatus.CUT_OFF
 
     @property
     def _grant_timeout_us(self) -> int:
@@ -164,16 +173,16 @@
         """Whether a majority of the voters is uninitialized, and this member has never seen a policy."""
         return not self._founded and len(self._uninitialized) > len(self.voters) // 2
 
-    def may_go_on(self, version: int) -> bool:
+    def may_attempt(self, version: int) -> bool:
         """Whether a request that was admitted under a lease on this version may start an attempt now."""
         now = now_us()
         if self._switching:
             return version == self.applied_version and now < self._previous_lease_until
-        return version == self.applied_version and self.holder.serves(now) == version
+        return version == self.applied_version and self.holder.serving_version(now) == version
 
     # Messages
 
-    def hear(self, sender: str, message: Word) -> None:
+    def receive(self, sender: str, message: PolicyMessage) -> None:
         """Handle a message from another member, or from this one."""
         self.counts["heard"] += 1
         now = now_us()
@@ -183,32 +192,35 @@
             case Current():
                 self._on_current(message)
                 self._to_voter(sender, message)
-            case Blank():
+            case Uninitialized():
                 self._uninitialized.add(message.voter)
-            case Check():
+            case ValidationRequest():
                 self._send(
-                    message.who, Checked(message.number, self.name, self._ports.check(message.document)[:400])
+                    message.requester,
+                    ValidationReply(
+                        message.number, self.name, self._ports.rejection_reason(message.document)[:400]
+                    ),
                 )
-            case Shown():
+            case VoterState():
                 if message.number == self._query_id:
                     self._states[message.voter] = message
                 self._to_change(message, now)
-            case Promise() | Accepted() | Reject() | Checked():
+            case Promise() | Accepted() | Reject() | ValidationReply():
                 self._to_change(message, now)
-            case Renew() | Release() | Look():
+            case Renew() | Release() | StateQuery():
                 self._step_leases(sender, message)
-            case Need() | Chosen():
+            case LearnRequest() | Chosen():
                 self._to_voter(sender, message)
                 self._to_change(message, now)
             case _:
                 self._to_voter(sender, message)
 
-    def _to_change(self, message: Word, now: int) -> None:
+    def _to_change(self, message: PolicyMessage, now: int) -> None:
         if self.change is not None:
-            for send in self.change.on_word(message, now):
-                self._send(send.to, send.word)
+            for send in self.change.on_message(message, now):
+                self._send(send.to, send.message)
 
-    def _to_voter(self, sender: str, message: Word) -> None:
+    def _to_voter(self, sender: str, message: PolicyMessage) -> None:
         if self.voter is None:
             return
         if len(self._inbox) >= MAX_INBOX_MESSAGES:
@@ -217,12 +229,12 @@
         self._inbox.append((sender, message))
         self._inbox_filled.set()
 
-    def _send(self, to: str, message: Word) -> None:
+    def _send(self, to: str, message: PolicyMessage) -> None:
         self.counts["said"] += 1
         if to == self.name:
-            asyncio.get_running_loop().call_soon(self.hear, self.name, message)
+            asyncio.get_running_loop().call_soon(self.receive, self.name, message)
         else:
-            self._ports.say(to, message)
+            self._ports.send(to, message)
 
     # Voting
 
@@ -236,7 +248,7 @@
             self._inbox_filled.clear()
             assert self.voter is not None
             before = after = self.voter
-            actions: list[Keep | Send] = []
+            actions: list[Persist | Send] = []
             while self._inbox:
                 sender, message = self._inbox.popleft()
                 after, more = after.step(message, sender, now_us())
@@ -245,18 +257,20 @@
                 continue  # as if the messages had been lost
             # Keep leases that were granted during the write, from the state on disk.
             self.voter = self.voter._replace(
-                record=after.record, told=after.told, no_grants_until_us=after.no_grants_until_us
+                record=after.record,
+                recovery_replies=after.recovery_replies,
+                no_grants_until_us=after.no_grants_until_us,
             )
             for action in actions:
                 if isinstance(action, Send):
-                    self._send(action.to, action.word)
+                    self._send(action.to, action.message)
             self._follow_voter(before.record, after.record)
 
     async def _persist(self, before: Record | None, after: Record | None) -> bool:
         if after is None or after == before:
             return True
         try:
-            await self._ports.keep(pack_record(after))
+            await self._ports.persist_vote(encode_record(after))
         except OSError as fault:
             self.counts["unkept"] += 1
             log.warning(
@@ -265,13 +279,13 @@
             return False
         return True
 
-    def _step_leases(self, sender: str, message: Word) -> None:
+    def _step_leases(self, sender: str, message: PolicyMessage) -> None:
         """Handle messages that do not change the record, at once: leases must not wait for a slow disk."""
         if self.voter is not None:
             self.voter, actions = self.voter.step(message, sender, now_us())
             for action in actions:
                 if isinstance(action, Send):
-                    self._send(action.to, action.word)
+                    self._send(action.to, action.message)
 
     def _follow_voter(self, before: Record | None, after: Record | None) -> None:
         """Pass a newer version that this process's voter has learned to its member."""
@@ -285,17 +299,17 @@
     def _on_grant(self, message: Grant, now: int) -> None:
         self._uninitialized.discard(message.voter)
         self.holder = self.holder.on_grant(message, now)
-        if self._switching or self.fault or self.holder.serves(now) is None:
+        if self._switching or self.fault or self.holder.serving_version(now) is None:
             return
         self._founded = True
         self._wait_until = 0
         if self._without_lease:
             self._without_lease = False
             log.info("version %d is in force on this member", self.holder.version)
-            self._ports.opened()
+            self._ports.on_lease_granted()
         if self._stored_version != self.holder.version:
             self._stored_version = self.holder.version
-            self._ports.remember(pack_held(self.holder.version, self.holder.document))
+            self._ports.store_served(encode_remembered(self.holder.version, self.holder.document))
 
     def _on_current(self, message: Current) -> None:
         now = now_us()
@@ -316,23 +330,25 @@
 
     def _finish_switch(self) -> None:
         """Apply the newer version once no request is in flight under the previous one, or its lease ended."""
-        if not self._switching or not (self._ports.finished() or now_us() >= self._previous_lease_until):
+        if not self._switching or not (
+            self._ports.none_in_flight() or now_us() >= self._previous_lease_until
+        ):
             return
         self._switching = False
         self._apply()
-        for send in self.holder.released():
-            self._send(send.to, send.word)
+        for send in self.holder.release_messages():
+            self._send(send.to, send.message)
         self._request_interval_us = MIN_REQUEST_INTERVAL_US
         self._renew(now_us())
 
     def _apply(self) -> None:
         self.applied_version = self.holder.version
-        self.fault = self._ports.take(self.holder.version, self.holder.document)
+        self.fault = self._ports.apply(self.holder.version, self.holder.document)
         if self.fault:
             log.error("version %d cannot be applied: %s", self.holder.version, self.fault)
 
     def _renew(self, now: int) -> None:
-        leased = self.holder.serves(now) is not None
+        leased = self.holder.serving_version(now) is not None
         self._next_renewal = now + (
             self.lease_us // RENEWALS_PER_LEASE if leased else self._request_interval_us
         )
@@ -342,7 +358,7 @@
         if self._switching or self.fault:
             return  # a request for the newer version would imply that no older one is served any more
         for send in self.holder.renew(now):
-            self._send(send.to, send.word)
+            self._send(send.to, send.message)
 
     # Timers
 
@@ -356,28 +372,28 @@
                 self._next_catch_up = now + self.lease_us // 2
                 self._catch_up(self.voter)
             if self.change is not None and not self.change.done:
-                for send in self.change.on_time(now):
-                    self._send(send.to, send.word)
+                for send in self.change.on_timer(now):
+                    self._send(send.to, send.message)
             await asyncio.sleep(self._pause_us(now) / 1e6)
 
     def _pause_us(self, now: int) -> int:
         shortest, longest = TICK_RANGE_US
         due = self._next_renewal
         if self.change is not None and not self.change.done:
-            due = min(due, self.change.next_us())
+            due = min(due, self.change.next_due_us())
         return shortest if self._switching else min(longest, max(shortest, due - now))
 
     def _catch_up(self, voter: Voter) -> None:
         """Ask the other voters for newer values; a voter without a record asks for their latest slots."""
-        for send in voter.begin():
+        for send in voter.recovery_actions():
             if isinstance(send, Send):
-                self._send(send.to, send.word)
+                self._send(send.to, send.message)
         if voter.record is not None:
             for other in self.voters:
                 if other != self.name:
-                    self._send(other, Need(voter.record.slot + 1, self.name))
+                    self._send(other, LearnRequest(voter.record.slot + 1, self.name))
 
-    def again(self) -> None:
+    def reapply(self) -> None:
         """Apply the version again after this host's file has changed.
 
         A policy that could not be applied may be applicable now; one in force has to overlay the new file.
@@ -397,30 +413,30 @@
             value,
             base_version,
             self.lease_us,
-            self._ports.members(),
+            self._ports.live_members(),
             self._random,
             now_us(),
         )
-        for send in self.change.on_time(now_us()):
-            self._send(send.to, send.word)
+        for send in self.change.on_timer(now_us()):
+            self._send(send.to, send.message)
         return True
 
     def latest_proposal(self) -> tuple[str, Outcome] | None:
         """The id and the outcome so far of the change that this member proposed last."""
         return None if self.change is None else (self.change.value.change, self.change.outcome)
 
-    async def query_voters(self, history: bool) -> dict[str, Shown]:
+    async def query_voters(self, history: bool) -> dict[str, VoterState]:
         """Query the voters' states; returns those that arrive within a second."""
         self._query_id = self._random.getrandbits(52)
         self._states = {}
         for voter in self.voters:
-            self._send(voter, Look(self._query_id, self.name, history))
+            self._send(voter, StateQuery(self._query_id, self.name, history))
         until = now_us() + int(QUERY_TIMEOUT_S * 1e6)
         while len(self._states) < len(self.voters) and now_us() < until:
             await asyncio.sleep(0.01)
         return dict(self._states)
 
-    async def found_fleet(self, forced: Value | None) -> tuple[dict[str, Shown], str]:
+    async def found_fleet(self, forced: Value | None) -> tuple[dict[str, VoterState], str]:
         """Initialize all voters for a new fleet or, with `forced`, continue from this value.
 
         Returns the voters' states afterwards, and a fault, empty if there is none.
@@ -434,7 +450,7 @@
             return known, f"a new fleet takes all voters; silent: {missing}"
         slot = 0 if forced is None else max(latest, self.holder.version) + FORCED_SLOT_GAP
         for voter in self.voters:
-            self._send(voter, Found(slot, forced, self.name))
+            self._send(voter, Initialize(slot, forced, self.name))
         await asyncio.sleep(MAX_REQUEST_INTERVAL_US / 1e6)
         return await self.query_voters(False), ""
 
@@ -446,7 +462,7 @@
         return {
             "version": self.applied_version,
             "digest": digest_of(self.holder.document) if not self._switching else "",
-            "standing": self.standing().value, "fault": self.fault,
+            "standing": self.lease_status().value, "fault": self.fault,
             "lease_left_s": round(max(0, self.holder.lease_until_us() - now) / 1e6, 3),
             "inbox": len(self._inbox),
             **self.counts,
@@ -457,8 +473,8 @@
     if data is None:
         return None
     try:
-        return unpack_record(data)
-    except Unreadable as fault:
+        return decode_record(data)
+    except MalformedMessage as fault:
         log.warning("this voter's record cannot be decoded: %s", fault)
         return None
 
@@ -467,8 +483,8 @@
     if data is None:
         return 0, b""
     try:
-        return unpack_held(data)
-    except Unreadable as fault:
+        return decode_remembered(data)
+    except MalformedMessage as fault:
         log.warning("the stored policy cannot be decoded: %s", fault)
         return 0, b""
 
--- a/sorrelfront/fleet/envelope.py
+++ b/sorrelfront/fleet/envelope.py
@@ -27,7 +27,7 @@
 HASH_PERSONALIZATION = b"sorrelfront-view"
 
 
-class BadKey(SorrelfrontError):
+class InvalidKeyFile(SorrelfrontError):
     """A key file that cannot be used; the text says why in one line."""
 
     remedy = (
@@ -83,19 +83,21 @@
                 or status.st_uid not in (0, os.geteuid())
                 or status.st_mode & 0o077
             ):
-                raise BadKey(
+                raise InvalidKeyFile(
                     f"{path}: must be a regular file of this user that nobody else may read (mode 0600)"
                 )
             lines = [line.strip() for line in file.read(4_096).split(b"\n")]
     except OSError as error:
-        raise BadKey(f"{path}: {error.strerror}") from None
+        raise InvalidKeyFile(f"{path}: {error.strerror}") from None
     file_keys = tuple(line for line in lines if line)
     if (
         not file_keys
         or len(file_keys) > MAX_KEYS
         or any(not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in file_keys)
     ):
-        raise BadKey(f"{path}: must hold one or two lines of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+        raise InvalidKeyFile(
+            f"{path}: must hold one or two lines of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes"
+        )
     return file_keys
 
 
@@ -103,6 +105,6 @@
     """Return what is wrong with a key file, or None if it is valid."""
     try:
         read_keys(str(path))
-    except BadKey as error:
+    except InvalidKeyFile as error:
         return str(error)
     return None
--- a/sorrelfront/fleet/member.py
+++ b/sorrelfront/fleet/member.py
@@ -10,19 +10,19 @@
 from random import Random, SystemRandom
 from typing import Any
 
-from sorrelfront.decisions.fleet.policy import Word
-from sorrelfront.decisions.fleet.said import pack, unpack
+from sorrelfront.decisions.fleet.policy import PolicyMessage
+from sorrelfront.decisions.fleet.said import decode_message, encode_message
 from sorrelfront.decisions.fleet.view import Settings, View
 from sorrelfront.decisions.fleet.words import (
     Address,
-    News,
+    MalformedMessage,
+    MemberUpdate,
     PolicyFrame,
     ReplicationFrame,
     State,
-    Unreadable,
 )
 from sorrelfront.fleet.carrier import MembershipTransport, now_us
-from sorrelfront.fleet.council import Council
+from sorrelfront.fleet.council import PolicyMember
 from sorrelfront.fleet.envelope import EnvelopeCodec, read_keys
 from sorrelfront.lists import parse_address
 
@@ -35,12 +35,12 @@
     """Convert the times of the configuration's [fleet] table."""
     return replace(
         Settings(),
-        interval_us=int(table["probe_ms"] * 1_000),
-        timeout_us=int(table["answer_ms"] * 1_000),
-        gossip_us=int(table["gossip_ms"] * 1_000),
-        exchange_us=int(table["exchange_ms"] * 1_000),
-        recall_us=int(table["recall_ms"] * 1_000),
-        keep_us=int(table["keep_ms"] * 1_000),
+        probe_interval_us=int(table["probe_ms"] * 1_000),
+        probe_timeout_us=int(table["answer_ms"] * 1_000),
+        gossip_interval_us=int(table["gossip_ms"] * 1_000),
+        push_pull_interval_us=int(table["exchange_ms"] * 1_000),
+        reconnect_interval_us=int(table["recall_ms"] * 1_000),
+        dead_retention_us=int(table["keep_ms"] * 1_000),
     )
 
 
@@ -62,45 +62,45 @@
         self.table = table
         envelope = EnvelopeCodec(table["name"], read_keys(table["key_file"]))
         ip, port = parse_address(table["advertise"])
-        me = News(
+        me = MemberUpdate(
             table["member"], ip, port, State.ALIVE, incarnation + 1, SystemRandom().getrandbits(63),
             version=version[:32],
         )  # fmt: skip
         random = Random(int.from_bytes(os.urandom(8), "big"))  # so that members do not act in step
         view = View(me, view_settings(table), random, now_us(), join_addresses(table))
-        self.carrier = MembershipTransport(view, envelope, parse_address(table["listen"]), persist)
+        self.transport = MembershipTransport(view, envelope, parse_address(table["listen"]), persist)
 
     def start(self) -> None:
         """Start the transport in the background."""
-        self.carrier.spawn(self.carrier.start())
+        self.transport.spawn(self.transport.start())
 
-    def change(self, table: dict[str, Any]) -> None:
+    def reconfigure(self, table: dict[str, Any]) -> None:
         """Apply other keys, times and join addresses; raises envelope.InvalidKeyFile."""
         envelope = EnvelopeCodec(table["name"], read_keys(table["key_file"]))
-        self.carrier.envelope = envelope
-        self.carrier.view.reconfigure(view_settings(table), join_addresses(table))
+        self.transport.envelope = envelope
+        self.transport.view.reconfigure(view_settings(table), join_addresses(table))
         self.table = table
 
     # Replication
 
-    def keep(self, receive: Callable[[str, bytes], None]) -> Callable[[str, bytes], None]:
+    def attach_replication(self, receive: Callable[[str, bytes], None]) -> Callable[[str, bytes], None]:
         """Register the handler of replication messages; return the function that sends them."""
-        self.carrier.on_replication_message = lambda message: receive(message.sender, message.payload)
-        return lambda to, data: self.carrier.send(ReplicationFrame(self.carrier.view.me.name, to, data))
+        self.transport.on_replication_message = lambda message: receive(message.sender, message.payload)
+        return lambda to, data: self.transport.send(ReplicationFrame(self.transport.view.me.name, to, data))
 
     # Policy
 
-    def sit(self, council: Council) -> None:
+    def attach_policy(self, council: PolicyMember) -> None:
         """Connect this member with the fleet's policy."""
         self._terms_digest = terms_digest(council.voters, council.lease_us)
         self._council = council
         self.mismatches = 0
-        self.carrier.on_policy_message = self._on_policy_message
+        self.transport.on_policy_message = self._on_policy_message
 
-    def say(self, to: str, message: Word) -> None:
+    def send_policy_message(self, to: str, message: PolicyMessage) -> None:
         """Send a policy message to a member; it may be lost."""
-        kind, data = pack(message)
-        self.carrier.send(PolicyFrame(self.carrier.view.me.name, to, self._terms_digest, kind, data))
+        kind, data = encode_message(message)
+        self.transport.send(PolicyFrame(self.transport.view.me.name, to, self._terms_digest, kind, data))
 
     def _on_policy_message(self, message: PolicyFrame) -> None:
         if message.terms_digest != self._terms_digest:
@@ -111,11 +111,11 @@
                 )
             return
         try:
-            decoded = unpack(message.kind, message.payload)
-        except Unreadable:
-            self.carrier.counters["unreadable"] += 1
+            decoded = decode_message(message.kind, message.payload)
+        except MalformedMessage:
+            self.transport.counters["unreadable"] += 1
             return
-        self._council.hear(message.sender, decoded)
+        self._council.receive(message.sender, decoded)
 
 
 def terms_digest(voters: tuple[str, ...], lease_us: int) -> int:
--- a/sorrelfront/fronts/http1.py
+++ b/sorrelfront/fronts/http1.py
@@ -21,14 +21,21 @@
 
 import h11
 
-from sorrelfront.agent import UPLOAD_RATE_LEAST, Held, close
+from sorrelfront.agent import MIN_UPLOAD_RATE, PendingRequest, discard_answer
 from sorrelfront.decisions.interface import Effect, RequestClass
 from sorrelfront.events import Event, EventCounter
-from sorrelfront.messages import Address, Answer, Call, Final, Headers, Refused, Stream
+from sorrelfront.messages import Address, Answer, Call, FinalAnswer, Headers, Refused, Stream
 from sorrelfront.net.bodies import Upload
-from sorrelfront.net.budget import BODY_MOST, STREAM_MOST, BodyBudget, BodyShare, Descriptors
-from sorrelfront.net.heads import HEAD_END, HEAD_MOST, RequestHead, framed, request_head
-from sorrelfront.net.http import KERNEL_BUFFER, PIECES_IN_A_ROW, Payload, Wire, end_to_end, frame
+from sorrelfront.net.budget import MAX_BUFFERED_BODY, MAX_STREAMED_BODY, BodyBudget, BodyShare, Descriptors
+from sorrelfront.net.heads import HEAD_END, MAX_HEAD_BYTES, RequestHead, frame_message, request_head
+from sorrelfront.net.http import (
+    MAX_CHUNKS_PER_TURN,
+    SOCKET_BUFFER_BYTES,
+    Payload,
+    Wire,
+    end_to_end,
+    frame_events,
+)
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +51,7 @@
 MAX_PIPELINED = 16  # requests in flight per connection; one more is answered with 429
 # From the start of the connection, or the first byte of a request, to its last byte. Clients that only open
 # connections may be closed after 2 s, and those that send no complete request must be closed within 3 s.
-WHOLE_S = 2.4
+REQUEST_TIMEOUT_S = 2.4
 # A body that arrives at UPLOAD_RATE_LEAST or faster may take longer if no pause in it exceeds this.
 MAX_BODY_PAUSE_S = 1.0
 # Idle timeout between requests. Without it, clients that send one request and stay would hold a descriptor
@@ -60,9 +67,9 @@
 DISCARD_PAUSE_S = 0.02  # between reads after that, while answers are pending: 3 MB/s at most
 LINGER_S = 1.0  # lingering close: time to read the last answer, which a reset would destroy
 RETRY_AFTER_S = b"1"  # Retry-After of refusals by the front itself: a surge is over by then
-GOING_AWAY_S = 0.5  # after SIGTERM new connections still arrive for up to 0.4 s
+SHUTDOWN_GRACE_S = 0.5  # after SIGTERM new connections still arrive for up to 0.4 s
 # A shutdown may take this much past the longest deadline. SIGKILL comes 0.7 s past it at the soonest.
-GOING_AWAY_MORE_S = 0.55
+SHUTDOWN_MARGIN_S = 0.55
 LAST_ANSWERS_S = 0.08  # of the time left before SIGKILL, for clients to read the final answers
 
 TOKEN = re.compile(rb"[!-~]{1,128}")
@@ -139,19 +146,19 @@
         """Return whether a request with this id is in flight."""
         ...
 
-    def take(self, call: Call) -> Held:
+    def submit(self, call: Call) -> PendingRequest:
         """Accept a call; its answer follows in what is returned."""
         ...
 
-    def whole(self, held: Held) -> None:
+    def body_received(self, held: PendingRequest) -> None:
         """Report that the streamed body of the request is complete."""
         ...
 
-    def abandon(self, held: Held) -> None:
+    def abandon(self, held: PendingRequest) -> None:
         """Report that the client no longer wants the answer."""
         ...
 
-    def fail(self, held: Held) -> None:
+    def fail(self, held: PendingRequest) -> None:
         """Answer the request as failed, at once."""
         ...
 
@@ -165,9 +172,9 @@
     """A request whose answer is not yet sent, in the order of the requests."""
 
     parser: h11.Connection | None  # None for a plain request, whose answer is framed directly
-    answer: asyncio.Future[Final]
+    answer: asyncio.Future[FinalAnswer]
     share: BodyShare | None = None
-    held: Held | None = None
+    held: PendingRequest | None = None
     last: bool = False  # no request after this one is read
 
 
@@ -190,9 +197,9 @@
         self.closing = False
         self._drained_at: float | None = None  # when operators started to drain clients from here
         self._retired = False  # another process accepts the new connections
-        self.taken = 0  # accepted requests whose answers are not yet written
+        self.in_flight = 0  # accepted requests whose answers are not yet written
         self._max_clients = descriptors.clients
-        self._max_active = descriptors.asking
+        self._max_active = descriptors.max_active
         self._clients: set[_Client] = set()
         # Connections without a pending answer, longest idle first. Those that have sent nothing yet are kept
         # apart and evicted first, or a surge of silent connections would displace the clients that send.
@@ -212,7 +219,7 @@
             self._sock = socket.create_server(address, backlog=BACKLOG, reuse_port=True)
         self._sock.setblocking(False)
         # Inherited by accepted sockets.
-        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER)
+        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
         self._accepting = False
         self._accepted = 0  # connections accepted so far
         self._resume()
@@ -274,14 +281,14 @@
     def resize(self, descriptors: Descriptors, memory_bytes: int) -> None:
         """Apply new limits. Connections over a lower limit are closed as they become idle."""
         clients = self._max_clients = descriptors.clients
-        self._max_active = descriptors.asking
+        self._max_active = descriptors.max_active
         self.bodies.resize(memory_bytes)
         for _ in range(len(self._clients) - clients):
             if not self._evict():
                 break
         self._notify_change()
 
-    async def close(self, others: bool = False) -> None:
+    async def close(self, queue_shared: bool = False) -> None:
         """Shut down: finish requests in flight, and serve those that still arrive for a while.
 
         Idle connections are kept for GOING_AWAY_S, and the next answer on each announces the close. If all
@@ -292,11 +299,11 @@
         Args:
             others: Other processes share the queue and go on, so this one accepts nothing further.
         """
-        until = time.monotonic() + self.agent.longest_deadline_us / 1e6 + GOING_AWAY_MORE_S
+        until = time.monotonic() + self.agent.longest_deadline_us / 1e6 + SHUTDOWN_MARGIN_S
         self.closing = True
-        if others:
+        if queue_shared:
             self.hand_over()
-        await asyncio.sleep(GOING_AWAY_S)
+        await asyncio.sleep(SHUTDOWN_GRACE_S)
         await self._stop_accepting(until)
         while self._clients and time.monotonic() < until:
             self._close_idle()
@@ -370,7 +377,7 @@
                     client.extend_deadline(stalled_s)
                 client.check_timeout(now)
             if self._drained_at is not None and not self.closing:
-                self._close_drained(now - GOING_AWAY_S)
+                self._close_drained(now - SHUTDOWN_GRACE_S)
             self._shed_idle()
             self.agent.events.report()
 
@@ -547,7 +554,9 @@
         self._discarding = False  # input is read and discarded from now on
         self._upload: Upload | None = None  # the body that is being streamed
         self._body_started = 0.0  # when the body that is being read started
-        self._deadline = time.monotonic() + WHOLE_S  # for a whole request, or if idle, for the next to start
+        self._deadline = (
+            time.monotonic() + REQUEST_TIMEOUT_S
+        )  # for a whole request, or if idle, for the next to start
         self._idle_since = time.monotonic()  # when the last pending answer was sent
         self._writer: asyncio.Task[None] | None = None
         self._linger: asyncio.TimerHandle | None = None
@@ -585,14 +594,14 @@
         the connection, so that the client knows, and retries elsewhere.
         """
         owed = bool(self._pending) or (self._partial and not self._answered_last)
-        if owed or not self.wire.quiet():
+        if owed or not self.wire.nothing_unread():
             return False
         unread = False
         if self._listener.closes_after_answer:
             # Check again with the sending side shut (half-close): a request sent before the client could know
             # of the close stays unread, and the connection is reset, so that the client retries.
             self.wire.shutdown(socket.SHUT_WR)
-            unread = not self.wire.quiet()
+            unread = not self.wire.nothing_unread()
         self.wire.close(abort=unread)
         self._agent.events.add(Event.CLOSED, reason)
         self.cancel()
@@ -678,11 +687,11 @@
         if pending.share is not None:
             pending.share.release()
         if pending.held is not None:
-            self._listener.taken -= 1
+            self._listener.in_flight -= 1
             self._agent.abandon(pending.held)
         # A task that is cancelled before its first step, or while it writes, does not close its stream.
         if pending.answer.done() and not pending.answer.cancelled():
-            close(pending.answer.result())
+            discard_answer(pending.answer.result())
 
     # Requests
 
@@ -698,7 +707,7 @@
                 else:
                     # Each request has its own parser: h11 does not parse the next request while an answer is
                     # pending.
-                    parser = h11.Connection(h11.SERVER, HEAD_MOST)
+                    parser = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
                     last = await self._read_with_h11(parser, data)
                     rest = parser.trailing_data[0]
             except BadRequest as bad:
@@ -724,7 +733,7 @@
                 found = HEAD_END.search(data, searched)
                 if found is not None:
                     return data, found.end()
-                if data[0] < 0x21 or len(data) > HEAD_MOST:
+                if data[0] < 0x21 or len(data) > MAX_HEAD_BYTES:
                     return data, 0
                 searched = max(0, len(data) - 2)
             received = await self._receive()
@@ -746,7 +755,7 @@
         if len(self._pending) >= MAX_PIPELINED:
             raise BadRequest(429, "too many requests at once on one connection")
         call = None if _path(head) == READY_PATH else parse_call(head, self._agent)
-        if head.length > STREAM_MOST or (call is None and head.length > BODY_MOST):
+        if head.length > MAX_STREAMED_BODY or (call is None and head.length > MAX_BUFFERED_BODY):
             raise BadRequest(413, "the body is too long")
         body = call.payload.body if call else bytearray()
         share = self._share = self._listener.bodies.share()
@@ -755,7 +764,7 @@
         share.add(len(body))
         rest = data[end:]
         self._body_started = time.monotonic()
-        while len(body) < min(head.length, BODY_MOST):
+        while len(body) < min(head.length, MAX_BUFFERED_BODY):
             await self._wait_for_room(share)
             received = await self._receive()
             missing = head.length - len(body)
@@ -792,7 +801,7 @@
         counted, one that sends a byte now and then would keep its place forever.
         """
         now = time.monotonic()
-        if received >= UPLOAD_RATE_LEAST * (now - self._body_started):
+        if received >= MIN_UPLOAD_RATE * (now - self._body_started):
             self._deadline = max(self._deadline, now + MAX_BODY_PAUSE_S)
 
     async def _wait_for_upload(self, upload: Upload) -> None:
@@ -816,7 +825,7 @@
         upload.end()
         for pending in self._pending:
             if pending.held is not None and pending.held.call.upload is upload:
-                self._agent.whole(pending.held)
+                self._agent.body_received(pending.held)
         self._deadline = time.monotonic() + IDLE_S
 
     def _take_complete(self, data: bytes) -> bool:
@@ -831,7 +840,7 @@
         head = request_head(data[: found.end()]) if found is not None else None
         if found is None or head is None or head.last or found.end() + head.length != len(data):
             return False
-        if head.length > BODY_MOST or _path(head) == READY_PATH:
+        if head.length > MAX_BUFFERED_BODY or _path(head) == READY_PATH:
             return False
         try:
             call = parse_call(head, self._agent)
@@ -864,7 +873,7 @@
             body = call.payload.body if call else bytearray()
             share = self._share = self._listener.bodies.share()
             lengths = [int(value) for name, value in head.headers if name == b"content-length"]
-            if any(length > (STREAM_MOST if call else BODY_MOST) for length in lengths):
+            if any(length > (MAX_STREAMED_BODY if call else MAX_BUFFERED_BODY) for length in lengths):
                 raise BadRequest(413, "the body is too long")
             whole = await self._read_body(parser, body, share, call is not None)
         except h11.RemoteProtocolError as error:
@@ -899,10 +908,10 @@
                     await self._wait_for_upload(upload)
                     upload.feed(bytes(event.data))
                     self._note_progress(upload.received)
-                    if upload.received > STREAM_MOST:
+                    if upload.received > MAX_STREAMED_BODY:
                         break
                     chunks += 1
-                    if chunks % PIECES_IN_A_ROW == 0:
+                    if chunks % MAX_CHUNKS_PER_TURN == 0:
                         await asyncio.sleep(0)
                 elif event is h11.NEED_DATA:
                     parser.receive_data(await self._receive())
@@ -955,14 +964,14 @@
                 # The client left while its request waited to be accepted or parsed: nothing is sent for it.
                 share.release()
                 raise _Disconnected
-            call.left = self.wire.hung_up
+            call.client_gone = self.wire.hung_up
             if length != -1:
                 call.upload = self._upload = Upload(call.payload.body, length)
                 call.payload.body = bytearray()
                 self._partial = True  # until the rest has arrived
                 self._listener.uploading.add(self)
             call.budget_us -= waited_us
-            held = self._agent.take(call)
+            held = self._agent.submit(call)
             self._enqueue(_PendingAnswer(parser, held.answer, share, held, last))
         return self._upload
 
@@ -984,7 +993,7 @@
         self._partial = True
         self._blank_bytes = 0
         if self._had_request:
-            self._deadline = time.monotonic() + WHOLE_S
+            self._deadline = time.monotonic() + REQUEST_TIMEOUT_S
         self._had_request = True
 
     async def _read_body(
@@ -1007,12 +1016,12 @@
                 body += event.data
                 share.add(len(event.data))
                 self._note_progress(len(body))
-                if len(body) > BODY_MOST:
+                if len(body) > MAX_BUFFERED_BODY:
                     if may_stream:
                         return False
                     raise BadRequest(413, "the body is too long")
                 chunks += 1
-                if chunks % PIECES_IN_A_ROW == 0:
+                if chunks % MAX_CHUNKS_PER_TURN == 0:
                     await asyncio.sleep(0)
             elif event is h11.NEED_DATA:
                 await self._wait_for_room(share)
@@ -1053,10 +1062,10 @@
             self._listener.became_active(self)
         self._pending.append(pending)
         if pending.held is not None:
-            pending.held.told = self._flush
-            self._listener.taken += 1
+            pending.held.on_answered = self._flush
+            self._listener.in_flight += 1
             if self._upload is not None:
-                pending.held.told = partial(self._answered_early, self._upload)
+                pending.held.on_answered = partial(self._answered_early, self._upload)
                 if pending.held.answer.done():  # no attempt will read the body, and the client would wait
                     self._upload.discard()
         self._flush()
@@ -1064,7 +1073,7 @@
     def _enqueue_text(
         self, parser: h11.Connection | None, status: int, text: str, last: bool | None = None
     ) -> None:
-        answer: asyncio.Future[Final] = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[FinalAnswer] = asyncio.get_running_loop().create_future()
         headers = [(b"Retry-After", RETRY_AFTER_S)] if status in (429, 503) else []
         answer.set_result(Answer(status, headers, text.encode("latin-1", "replace") + b"\n"))
         self._enqueue(_PendingAnswer(parser, answer, last=status not in (200, 503) if last is None else last))
@@ -1162,10 +1171,10 @@
         if pending.share is not None:
             pending.share.release()
         if pending.held is not None:
-            self._listener.taken -= 1
+            self._listener.in_flight -= 1
         if not self._pending:
             self._idle_since = time.monotonic()
-            self._deadline = self._idle_since + (WHOLE_S if self._partial else IDLE_S)
+            self._deadline = self._idle_since + (REQUEST_TIMEOUT_S if self._partial else IDLE_S)
             self._listener.became_idle(self)
 
     def _encode(self, pending: _PendingAnswer) -> tuple[bytes, bool, Stream | None]:
@@ -1178,28 +1187,28 @@
         if pending.share is not None:
             pending.share.release()
         pending.share = self._listener.bodies.share()
-        pending.share.add(len(answer.body) if answer.stream is None else BODY_MOST)
+        pending.share.add(len(answer.body) if answer.stream is None else MAX_BUFFERED_BODY)
         # While draining or shutting down, an answer announces the close only if no input follows its request:
         # a request that has arrived but is not yet parsed would be discarded after such an answer.
         close = pending.last or (
             self._listener.closes_after_answer
             and len(self._pending) == 1
             and not self._partial
-            and self.wire.quiet()
+            and self.wire.nothing_unread()
         )
         headers = _answer_headers(answer, close, pending.parser is None)
         stream = answer.stream
         if pending.parser is None:
             start = b"HTTP/1.1 %d \r\n" % answer.status
-            return framed(start, headers, answer.body), close, stream
+            return frame_message(start, headers, answer.body), close, stream
         if stream is not None:
             response = h11.Response(status_code=answer.status, headers=headers)
-            return frame(pending.parser, response), close, stream
+            return frame_events(pending.parser, response), close, stream
         whole = _encode_with_h11(pending.parser, answer, headers)
         return whole, pending.parser.our_state is not h11.DONE, None
 
 
-def _to_answer(final: Final) -> Answer:
+def _to_answer(final: FinalAnswer) -> Answer:
     """Convert a final result to an HTTP answer."""
     if isinstance(final, Answer):
         return final
@@ -1210,7 +1219,7 @@
 
 def _encode_with_h11(parser: h11.Connection, answer: Answer, headers: Headers) -> bytes:
     response = h11.Response(status_code=answer.status, headers=headers)
-    return frame(parser, response, h11.Data(data=bytes(answer.body)), h11.EndOfMessage())
+    return frame_events(parser, response, h11.Data(data=bytes(answer.body)), h11.EndOfMessage())
 
 
 def _answer_headers(answer: Answer, close: bool, plain: bool) -> Headers:
--- a/sorrelfront/lab/crowd.py
+++ b/sorrelfront/lab/crowd.py
@@ -7,7 +7,7 @@
 import time
 from collections import Counter
 
-from sorrelfront.lab.http1 import PATIENCE_S, request
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, request
 
 RESET = b"reset"
 LOST = b"lost"
@@ -15,7 +15,7 @@
 CLASSES = ("look", "pay", "book")
 
 
-class Peer:
+class SocketClient:
     """A client on a plain socket: the data is in the kernel of the agent's host when `send` returns."""
 
     def __init__(self, address: tuple[str, int], sock: socket.socket | None = None) -> None:
@@ -24,8 +24,8 @@
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # sends a second segment at once
         self._read = bytearray()
         self.head = b""  # of the latest answer
-        self.told_to_close = False
-        self.left = False
+        self.close_requested = False
+        self.abandoned = False
         self.port = int(self.sock.getsockname()[1])
 
     def send(self, data: bytes) -> None:
@@ -35,7 +35,7 @@
     async def answer(self) -> bytes:
         """Return the next answer's status line, RESET if the agent never read some sent bytes, or LOST."""
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while b"\r\n\r\n" not in self._read:
                 if not await self._receive(loop):
                     return b"reset" if await self.was_reset() else b"lost"
@@ -47,7 +47,7 @@
                 rest = bytes(self._read).partition(b"\r\n\r\n")[2]
             del self._read[: len(head) + 4 + length]
             self.head = head
-            self.told_to_close = b"connection: close" in head.lower()
+            self.close_requested = b"connection: close" in head.lower()
             return head.split(b"\r\n")[0]
 
     async def _receive(self, loop: asyncio.AbstractEventLoop) -> bool:
@@ -70,9 +70,9 @@
             await asyncio.sleep(0.005)
         return False
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Close the connection without waiting for outstanding answers."""
-        self.left = True
+        self.abandoned = True
         self.close()
 
     def close(self) -> None:
@@ -80,7 +80,7 @@
         self.sock.close()
 
 
-class Crowd:
+class LoadGenerator:
     """Generates load from a number of clients, each on its own connection; they never retry."""
 
     def __init__(
@@ -92,16 +92,16 @@
         name: str = "c",
     ) -> None:
         self.address = address
-        self.book: Counter[bytes] = Counter()  # by status line, RESET, LOST, LEFT or "unsent"
+        self.outcomes: Counter[bytes] = Counter()  # by status line, RESET, LOST, LEFT or "unsent"
         self.by_class: Counter[tuple[str, bytes]] = Counter()
         self.lost: list[str] = []  # names of requests
         self.served: set[str] = set()
         self.answered = 0
         self.latencies: list[float] = []  # seconds, of served requests
-        self.gap_s = 0.0  # the longest time without an answer to any client
+        self.longest_gap_s = 0.0  # the longest time without an answer to any client
         self.longest_wait_s = 0.0  # of one client for an answer, including its connects
         self.refused_connects = 0
-        self.cut_ports: list[int] = []  # local ports of connections that ended without an answer
+        self.aborted_ports: list[int] = []  # local ports of connections that ended without an answer
         self.recovery_s: list[float] = []  # from such an end to that client's next answer
         self._last_answer_at = time.monotonic()
         self._pause_s = pause_s
@@ -111,18 +111,18 @@
         self.head = b""  # of the answer that `heard` is called with
         self._tasks = [asyncio.create_task(self._run_client(number)) for number in range(clients)]
 
-    def asks(self, name: str, cls: str) -> None:
+    def on_request_sent(self, name: str, cls: str) -> None:
         """Handle a sent request; a hook for subclasses that keep their own records."""
 
-    def heard(self, name: str, cls: str, got: bytes, seconds: float) -> None:
+    def on_outcome(self, name: str, cls: str, outcome: bytes, seconds: float) -> None:
         """Handle the outcome of a request, as of `await_answer`, and its duration; a hook for subclasses."""
 
-    async def await_answer(self, peer: Peer, name: str) -> bytes:
+    async def await_answer(self, peer: SocketClient, name: str) -> bytes:
         """Return the status line, RESET or LOST, or LEFT if the client has closed its connection itself."""
         return await peer.answer()
 
     async def _run_client(self, number: int) -> None:
-        peer: Peer | None = None
+        peer: SocketClient | None = None
         asked = 0
         cut_at: float | None = None
         waiting_since: float | None = None
@@ -143,7 +143,7 @@
                     self.longest_wait_s = max(self.longest_wait_s, time.monotonic() - waiting_since)
                     waiting_since = None
                 if not reusable:
-                    if not peer.told_to_close and not peer.left and cut_at is None:
+                    if not peer.close_requested and not peer.abandoned and cut_at is None:
                         cut_at = time.monotonic()
                     peer.close()
                     peer = None
@@ -156,37 +156,37 @@
             if peer is not None:
                 peer.close()
 
-    async def _send_request(self, peer: Peer, name: str, asked: int) -> bool:
+    async def _send_request(self, peer: SocketClient, name: str, asked: int) -> bool:
         """Send one request and return whether the connection can be reused."""
         cls = self._classes[asked % len(self._classes)]
         began = time.monotonic()
         try:
             peer.send(request(name, cls))
         except ConnectionError:
-            self.book[b"unsent"] += 1
+            self.outcomes[b"unsent"] += 1
             return False
-        self.asks(name, cls)
+        self.on_request_sent(name, cls)
         got = await self.await_answer(peer, name)
         self.head = peer.head
-        self.heard(name, cls, got, time.monotonic() - began)
-        self.book[got] += 1
+        self.on_outcome(name, cls, got, time.monotonic() - began)
+        self.outcomes[got] += 1
         self.by_class[cls, got[:12]] += 1
         if got == LOST:
             self.lost.append(name)
         if got in (LOST, RESET):
-            self.cut_ports.append(peer.port)
+            self.aborted_ports.append(peer.port)
         if not got.startswith(b"HTTP/1.1 "):
             return False
         now = time.monotonic()
-        self.gap_s = max(self.gap_s, now - self._last_answer_at)
+        self.longest_gap_s = max(self.longest_gap_s, now - self._last_answer_at)
         self._last_answer_at = now
         self.answered += 1
         if got.startswith(b"HTTP/1.1 200"):
             self.served.add(name)
             self.latencies.append(now - began)
-        return not peer.told_to_close
+        return not peer.close_requested
 
-    async def _connect(self) -> Peer:
+    async def _connect(self) -> SocketClient:
         sock = socket.socket()
         sock.setblocking(False)
         try:
@@ -194,12 +194,12 @@
         except BaseException:
             sock.close()
             raise
-        return Peer(self.address, sock)
+        return SocketClient(self.address, sock)
 
-    async def more(self, count: int) -> None:
+    async def wait_for_answers(self, count: int) -> None:
         """Wait until `count` more requests have been answered; raises TimeoutError after WAIT_TIMEOUT_S."""
         wanted = self.answered + count
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while self.answered < wanted:
                 self._raise_client_errors()
                 await asyncio.sleep(0.01)
@@ -212,7 +212,7 @@
     async def finish(self) -> None:
         """Send no new requests, wait for outstanding answers, and stop."""
         self._running = False
-        await asyncio.wait(self._tasks, timeout=PATIENCE_S)
+        await asyncio.wait(self._tasks, timeout=WAIT_TIMEOUT_S)
         await self.stop()
 
     async def stop(self) -> None:
--- a/sorrelfront/lab/demo.py
+++ b/sorrelfront/lab/demo.py
@@ -26,9 +26,9 @@
 
 from sorrelfront.daemon import control
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.lab.crowd import CLASSES, LOST, Crowd
+from sorrelfront.lab.crowd import CLASSES, LOST, LoadGenerator
 from sorrelfront.lab.listing import EphemeralListing, Listing, RegistryListing
-from sorrelfront.lab.shop import Book, Mode, Server
+from sorrelfront.lab.shop import Ledger, Mode, Server
 
 CLIENTS = 24
 PAUSE_S = 0.05  # between a client's answer and its next request
@@ -98,7 +98,7 @@
         self.path = folder / "demo.toml"
         self.log = folder / "daemon.log"
         self.servers: dict[str, Server] = {}
-        self.book = Book(WINDOW_S)
+        self.ledger = Ledger(WINDOW_S)
         self.events: list[str] = []
         self.reloads = 0
         self._tasks: set[asyncio.Task[None]] = set()
@@ -117,9 +117,9 @@
             )
         try:
             await self._ready(process)
-            self.crowd = Crowd(("127.0.0.1", self.port), CLIENTS, PAUSE_S)
+            self.load = LoadGenerator(("127.0.0.1", self.port), CLIENTS, PAUSE_S)
             await self._run_steps(show)
-            await self.crowd.finish()
+            await self.load.finish()
             with contextlib.suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGTERM)
             async with asyncio.timeout(END_WITHIN_S):
@@ -138,7 +138,7 @@
     async def _ready(self, process: asyncio.subprocess.Process) -> None:
         until = time.monotonic() + READY_WITHIN_S
         while time.monotonic() < until and process.returncode is None:
-            with contextlib.suppress(control.Unavailable):
+            with contextlib.suppress(control.DaemonUnavailable):
                 status = await control.ask(self.folder / "control.sock", {"op": "status"}, 1.0)
                 if all(item.get("ready_servers") == SERVERS for item in status["instances"]):
                     return
@@ -174,7 +174,7 @@
 
     async def add(self, name: str) -> Server:
         """Start a server, without listing it."""
-        server = self.servers[name] = Server(name, self.book)
+        server = self.servers[name] = Server(name, self.ledger)
         await server.start()
         return server
 
@@ -185,25 +185,25 @@
     async def drain(self, name: str) -> None:
         """List a server as draining, and count its late requests from then on."""
         await self.listing.drain(name)
-        self.servers[name].drain()
+        self.servers[name].mark_draining()
 
     async def start_cold_server(self, name: str) -> None:
         """Start a cold server and list it."""
         server = await self.add(name)
-        server.begin()
+        server.mark_started()
         await self.listing.add(name, server.address, cold=True)
 
     def expire_all(self) -> None:
         """Expire the sessions of all servers, which then register again."""
         assert isinstance(self.listing, EphemeralListing)
-        self.listing.crowd()
+        self.listing.expire_all()
 
     async def stall(self, seconds: float) -> None:
         """Make the coordination service answer no requests for `seconds`."""
         assert isinstance(self.listing, EphemeralListing)
         self.listing.ensemble.stall()
         await asyncio.sleep(seconds)
-        self.listing.ensemble.go_on()
+        self.listing.ensemble.resume()
 
     def stop_member(self, at: int) -> None:
         """Stop the ensemble member with index `at`."""
@@ -221,7 +221,7 @@
     def counts(self, cls: str | None = None) -> dict[str, int]:
         """Count the outcomes that clients saw, of one class or of all."""
         found = {"offered": 0, "served": 0, "refused": 0, "failed": 0}
-        for (name, got), count in self.crowd.by_class.items():
+        for (name, got), count in self.load.by_class.items():
             if cls is not None and name != cls:
                 continue
             found["offered"] += count
@@ -235,20 +235,20 @@
 
     def figures(self, code: int) -> dict[str, Any]:
         """Return the figures; `code` is the daemon's exit code."""
-        ms = sorted(1000 * latency for latency in self.crowd.latencies)
+        ms = sorted(1000 * latency for latency in self.load.latencies)
         cuts = statistics.quantiles(ms, n=100) if len(ms) > 1 else [0.0] * 99
         servers = self.servers.values()
         return {
             **self.counts(),
-            "lost": self.crowd.book[LOST],
-            "doubled": len(self.book.doubled),
+            "lost": self.load.outcomes[LOST],
+            "doubled": len(self.ledger.duplicates),
             "late_drains": sum(server.late_drains for server in servers),
             "cold_overruns": sum(
                 server.cold_overruns(COLD_S, COLD_FROM, COLD_MULTIPLE, COLD_SPAN_S) for server in servers
             ),
             "p50_ms": round(cuts[49], 3),
             "p99_ms": round(cuts[98], 3),
-            "longest_gap_ms": round(self.crowd.gap_s * 1000, 3),
+            "longest_gap_ms": round(self.load.longest_gap_s * 1000, 3),
             "reloads": self.reloads,
             "daemon_exit": code,
             "classes": {cls: self.counts(cls) for cls in CLASSES},
@@ -259,14 +259,14 @@
 
 STEPS = (
     Step(0.15, "b0 takes ten times as long", lambda demo: demo.set_mode("b0", Mode.SLOW)),
-    Step(0.30, "b0 is well again", lambda demo: demo.set_mode("b0", Mode.WELL)),
+    Step(0.30, "b0 is well again", lambda demo: demo.set_mode("b0", Mode.HEALTHY)),
     Step(0.32, "b1 drains", lambda demo: demo.drain("b1")),
     Step(0.40, "the file is changed and reloaded", lambda demo: demo.reload()),
     Step(0.50, "b2 hangs", lambda demo: demo.set_mode("b2", Mode.HUNG)),
-    Step(0.65, "b2 is well again", lambda demo: demo.set_mode("b2", Mode.WELL)),
+    Step(0.65, "b2 is well again", lambda demo: demo.set_mode("b2", Mode.HEALTHY)),
     Step(0.67, "b5 is started, cold", lambda demo: demo.start_cold_server("b5")),
     Step(0.80, "b3 fails everything", lambda demo: demo.set_mode("b3", Mode.FAILING)),
-    Step(0.90, "b3 is well again", lambda demo: demo.set_mode("b3", Mode.WELL)),
+    Step(0.90, "b3 is well again", lambda demo: demo.set_mode("b3", Mode.HEALTHY)),
 )
 
 
@@ -277,7 +277,7 @@
 )
 
 
-def broken(figures: dict[str, Any]) -> list[str]:
+def broken_rules(figures: dict[str, Any]) -> list[str]:
     """Return the names of the figures that show a broken rule."""
     return [name for name in ("lost", "doubled", "late_drains", "cold_overruns") if figures[name]]
 
@@ -299,7 +299,7 @@
     return Group(classes, servers, "\n".join(demo.events))
 
 
-def play(
+def run_demo(
     seconds: float, instances: int, seed: int, quiet: bool, membership: str = "registry"
 ) -> dict[str, Any]:
     """Run the demo; unless `quiet`, with a live table. Raises CannotRun."""
--- a/sorrelfront/lab/fleet/copies.py
+++ b/sorrelfront/lab/fleet/copies.py
@@ -21,34 +21,34 @@
 from random import Random
 
 from sorrelfront.decisions.fleet.copies import (
-    COVERS,
-    FETCH_TRIES,
-    LIST,
+    LIST_PREFIX,
+    MAX_FETCH_TRIES,
+    SUPERSEDED_PREFIX,
     Action,
-    Book,
+    CaughtUp,
     Change,
-    Copies,
+    Durable,
     Forked,
-    Kept,
-    Levelled,
-    Row,
-    Say,
+    Message,
+    Replica,
+    ReplicaStore,
+    Send,
     Settings,
-    Word,
+    Version,
     Write,
+    decode,
+    encode,
     host_of,
-    pack,
-    unpack,
 )
 
 SECOND = 1_000_000
 FAST = Settings(
-    compare_us=200_000, push_us=20_000, fetch_us=300_000, lone_us=500_000, keep_us=20 * SECOND,
-    give_bytes_s=512 * 1024, trust_us=8 * SECOND,
+    compare_us=200_000, push_us=20_000, fetch_us=300_000, alone_us=500_000, keep_us=20 * SECOND,
+    send_bytes_s=512 * 1024, list_trust_us=8 * SECOND,
 )  # fmt: skip
 REPLICA_HOSTS = 2  # number of hosts that hold an entry before it is confirmed as kept
 
-CopiesFactory = Callable[..., Copies]
+CopiesFactory = Callable[..., ReplicaStore]
 
 
 def bound_us(settings: Settings, members: int) -> int:
@@ -61,7 +61,7 @@
     """
     rounds = 2 * math.ceil(math.log2(max(2, members))) + 15
     return (
-        4 * settings.lone_us + FETCH_TRIES * settings.fetch_us
+        4 * settings.alone_us + MAX_FETCH_TRIES * settings.fetch_us
         + rounds * (3 * settings.compare_us // 2 + 2 * settings.push_us)
     )  # fmt: skip
 
@@ -80,12 +80,12 @@
 
     key: str  # identifies the process; two processes may have the same name
     name: str
-    copies: Copies
+    copies: ReplicaStore
     disk: Disk
     up: bool = True
     timer: int = 0
     frozen: bool = False
-    inbox: list[tuple[str, Word]] = field(default_factory=list)
+    inbox: list[tuple[str, Message]] = field(default_factory=list)
     in_sync: bool = False
     disk_at: int = 0  # when the last queued write is durable
 
@@ -121,7 +121,7 @@
     """Members by name on a virtual network, with the faults in effect and the events still to come."""
 
     def __init__(
-        self, count: int, seed: int, settings: Settings = FAST, make: CopiesFactory = Copies
+        self, count: int, seed: int, settings: Settings = FAST, make: CopiesFactory = ReplicaStore
     ) -> None:
         self.random = Random(seed)
         self.settings = settings
@@ -134,7 +134,7 @@
         self.loss = 0.0
         self.disk_us = (200, 30_000)
         self.partition: dict[str, int] = {}  # side of the partition, by host
-        self.unheard: set[str] = set()  # hosts that cannot reach their list service
+        self.registry_down: set[str] = set()  # hosts that cannot reach their list service
         self.confirmed: dict[str, Confirmed] = {}
         self.damaged: set[str] = set()  # hosts whose disks lost data
         self.removed: set[str] = set()  # members that were removed for good
@@ -156,8 +156,8 @@
         random = Random(self.random.getrandbits(64))
         copies = self.make(name, self.settings, random, self.now, list(disk.durable), "reg", merge=max)
         node = self.nodes[key or name] = Node(key or name, name, copies, disk)
-        self.do(node, copies._take())
-        self.do(node, copies.hold(REPLICA_HOSTS, self.now))
+        self.perform(node, copies._take_actions())
+        self.perform(node, copies.require_hosts(REPLICA_HOSTS, self.now))
         self.arm(node)
         self.at(self.now + self.random.randrange(100_000), lambda: self.poll_registry(node))
 
@@ -167,7 +167,7 @@
         node.up = False
         node.timer += 1
 
-    def back(self, key: str, disk: str = "kept") -> None:
+    def restart(self, key: str, disk: str = "kept") -> None:
         """Restart the process.
 
         `disk` is its disk's state: "kept", "none" (empty), "older" (rolled back) or "torn" (the latest
@@ -217,24 +217,24 @@
         def due() -> None:
             if node.timer == number and node.up and not node.frozen:
                 peers = [other.name for other in self.up() if self.reaches(node, other)]
-                self.do(node, node.copies.on_time(self.now, peers))
+                self.perform(node, node.copies.on_time(self.now, peers))
                 self.arm(node)
 
         self.at(max(node.copies.next_us(), self.now + 1), due)
 
-    def do(self, node: Node, actions: list[Action]) -> None:
+    def perform(self, node: Node, actions: list[Action]) -> None:
         """Carry out the actions that the node's decisions returned."""
         for action in actions:
             match action:
-                case Say(to, message):
+                case Send(to, message):
                     self.send(node, to, message)
                 case Write(number, change):
                     # Writes complete one after the other, as the program's own writer does them.
                     node.disk_at = max(self.now, node.disk_at) + self.random.randint(*self.disk_us)
                     self.at(node.disk_at, partial(self.complete_write, node, number, change))
-                case Kept(seq, _):
+                case Durable(seq, _):
                     self.record_kept(node, seq)
-                case Levelled():
+                case CaughtUp():
                     node.in_sync = True
                 case Forked():
                     pass
@@ -246,12 +246,12 @@
         node.disk.durable.append(change)
         if node.frozen:
             return
-        self.do(node, node.copies.on_written(number, self.now))
+        self.perform(node, node.copies.on_written(number, self.now))
         self.arm(node)
 
-    def send(self, node: Node, to: str, message: Word) -> None:
+    def send(self, node: Node, to: str, message: Message) -> None:
         """Send the message to all other processes of this name, each time with loss and latency."""
-        data = pack(message)
+        data = encode(message)
         self.sent[node.name, to] += len(data)
         for other in self.up():
             if other.name == to and other is not node and self.random.random() >= self.loss:
@@ -262,11 +262,11 @@
         """Deliver a message, or queue it if the node is frozen; drop it across a partition."""
         if not node.up or not self.reaches(src, node):
             return
-        message = unpack(data)
+        message = decode(data)
         if node.frozen:
             node.inbox.append((src.name, message))
             return
-        self.do(node, node.copies.on_word(src.name, message, self.now))
+        self.perform(node, node.copies.on_message(src.name, message, self.now))
         self.arm(node)
 
     def freeze(self, key: str, on: bool) -> None:
@@ -276,21 +276,21 @@
         if not on and node.up:
             waiting, node.inbox = node.inbox, []
             for sender, message in waiting[:64]:
-                self.do(node, node.copies.on_word(sender, message, self.now))
+                self.perform(node, node.copies.on_message(sender, message, self.now))
             self.arm(node)
 
     def poll_registry(self, node: Node) -> None:
         """Report the list service's state to the node if it is reachable, and schedule the next poll."""
         if not node.up or self.nodes.get(node.key) is not node:
             return
-        if host_of(node.name) not in self.unheard and not node.frozen:
+        if host_of(node.name) not in self.registry_down and not node.frozen:
             copies = node.copies
             registry = self.forked_registry if host_of(node.name) in self.forked_hosts else self.registry
-            if copies._heard_seq != registry.seq or self.forked_hosts:
-                actions = copies.heard(registry.seq, True, registry.servers, self.now)
+            if copies._own_list_seq != registry.seq or self.forked_hosts:
+                actions = copies.on_list(registry.seq, True, registry.servers, self.now)
             else:
-                actions = copies.current(self.now)
-            self.do(node, actions)
+                actions = copies.on_list_unchanged(self.now)
+            self.perform(node, actions)
             self.arm(node)
         self.at(self.now + self.random.randint(50_000, 400_000), lambda: self.poll_registry(node))
 
@@ -308,12 +308,12 @@
             node.copies.delete(key, self.now)
         else:
             node.copies.put(key, value, self.now)
-        self.do(node, node.copies._take())
+        self.perform(node, node.copies._take_actions())
         self.arm(node)
 
     def record_kept(self, node: Node, seq: int) -> None:
         """Record the entries up to this sequence number as confirmed to their owner."""
-        mine = node.copies.mine
+        mine = node.copies.own_replica
         if mine is None or node.key != node.name:
             return  # what a clone confirms is not the owner's latest state
         confirmed = self.confirmed.setdefault(node.name, Confirmed())
@@ -322,25 +322,25 @@
             item = mine.entries.get(key)
             if item is not None and item.seq <= seq:
                 confirmed.values[key] = item.value
-            elif item is None and key in mine.deleted and mine.deleted[key].seq <= seq:
+            elif item is None and key in mine.tombstones and mine.tombstones[key].seq <= seq:
                 confirmed.values[key] = None
 
     # Verdict
 
-    def differing(self) -> str:
+    def unsettled_reason(self) -> str:
         """Return why the fleet has not settled; empty if it has."""
         nodes = self.up()
         digests = {node.copies.digest() for node in nodes}
         if len(digests) > 1:
             return f"{len(digests)} digests at {len(nodes)} members"
-        unlevel = [node.key for node in nodes if not node.copies.level]
+        unlevel = [node.key for node in nodes if not node.copies.caught_up]
         return f"{unlevel[0]} is not in sync" if unlevel and len(nodes) > 1 else ""
 
     def settle(self) -> int | None:
         """Run until all share one digest and are in sync; return the microseconds, or None past the bound."""
         began = self.now
         bound = bound_us(self.settings, len(self.nodes))
-        while self.differing():
+        while self.unsettled_reason():
             if self.now - began > bound:
                 return None
             self.run(self.now + 50_000)
@@ -364,17 +364,17 @@
             for node in self.up():
                 if owner in node.copies.owners():
                     violations.append(f"{node.key} has a book of {owner}, which was removed for good")
-        connected = [node for node in self.up() if host_of(node.name) not in self.unheard]
+        connected = [node for node in self.up() if host_of(node.name) not in self.registry_down]
         for node in self.up() if connected else []:
-            book = node.copies.listed()
+            book = node.copies.list_replica()
             listed = {} if book is None else {key: item.value for key, item in book.entries.items()}
             if listed != {key: value for key, (value, _) in self.registry.servers.items()}:
                 violations.append(f"{node.key} has a list that differs from the service's")
         return violations
 
 
-def play(
-    seed: int, members: int = 0, make: CopiesFactory = Copies, settings: Settings = FAST
+def run_seed(
+    seed: int, members: int = 0, make: CopiesFactory = ReplicaStore, settings: Settings = FAST
 ) -> tuple[list[str], Fleet]:
     """Run a fleet through six to twelve faults from the seed; return the violations and the fleet."""
     random = Random(seed ^ 0xC0)
@@ -401,10 +401,10 @@
         return violations, fleet
     settle_us = fleet.settle()
     if settle_us is None:
-        return [f"not settled: {fleet.differing()}", *fleet.check()], fleet
+        return [f"not settled: {fleet.unsettled_reason()}", *fleet.check()], fleet
     fleet.run(fleet.now + 2 * SECOND)
     if fleet.settle() is None:
-        return [f"settled and then diverged: {fleet.differing()}"], fleet
+        return [f"settled and then diverged: {fleet.unsettled_reason()}"], fleet
     return fleet.check(), fleet
 
 
@@ -424,12 +424,12 @@
     fleet.forked_registry.servers.pop("s3", None)
     fleet.run(fleet.now + 2 * SECOND)
     if fleet.settle() is None:
-        return [f"fork: {fleet.differing()}"]
+        return [f"fork: {fleet.unsettled_reason()}"]
     before = {node.copies.digest() for node in fleet.up()}
     fleet.run(fleet.now + 2 * SECOND)
     if {node.copies.digest() for node in fleet.up()} != before:
         return ["fork: settled and then diverged"]
-    stored = [node.copies.listed() for node in fleet.up()]
+    stored = [node.copies.list_replica() for node in fleet.up()]
     wrongly_ready = [
         name
         for book in stored
@@ -457,11 +457,11 @@
     fleet.removed.add(removed)
     fleet.run(fleet.now + 3 * SECOND)
     for node in fleet.up():
-        fleet.do(node, node.copies.retire(removed, fleet.now))
+        fleet.perform(node, node.copies.retire(removed, fleet.now))
         fleet.arm(node)
     longer = random.random() < 0.5
     fleet.run(fleet.now + (3 * fleet.settings.keep_us if longer else fleet.settings.keep_us // 2))
-    fleet.back(away)
+    fleet.restart(away)
     return []
 
 
@@ -485,7 +485,7 @@
         case 2 | 3 if down:
             node = random.choice(down)
             loses_data = node.key == victim and random.random() < 0.7
-            fleet.back(node.key, random.choice(("none", "older", "torn")) if loses_data else "kept")
+            fleet.restart(node.key, random.choice(("none", "older", "torn")) if loses_data else "kept")
         case 4:
             hosts = [host_of(name) for name in fleet.nodes]
             fleet.partition = {host: random.randrange(2) for host in hosts}
@@ -497,19 +497,19 @@
             node = random.choice(up)
             fleet.freeze(node.key, not node.frozen)
         case 8:
-            fleet.unheard = {host_of(name) for name in fleet.nodes if random.random() < 0.5}
+            fleet.registry_down = {host_of(name) for name in fleet.nodes if random.random() < 0.5}
         case 10 if up and up[0].key == up[0].name:
             toggle_clone(fleet, up[0])
         case 9 if len(fleet.damaged) == 0 or victim in fleet.damaged:
             for node in up:  # power failure: all stop at once and restart
                 fleet.kill(node.key)
             for node in up:
-                fleet.back(node.key)
+                fleet.restart(node.key)
 
 
 def heal(fleet: Fleet) -> None:
     """End all faults: remove clones, resume frozen members and restart dead ones."""
-    fleet.partition, fleet.loss, fleet.unheard = {}, 0.0, set()
+    fleet.partition, fleet.loss, fleet.registry_down = {}, 0.0, set()
     for node in list(fleet.nodes.values()):
         if node.key != node.name:  # the membership view makes a clone step back
             fleet.kill(node.key)
@@ -518,35 +518,35 @@
         if node.frozen:
             fleet.freeze(node.key, False)
         if not node.up and node.name not in fleet.removed:
-            fleet.back(node.key)
+            fleet.restart(node.key)
 
 
-class _ForgetsDeletions(Copies):
+class _ForgetsDeletions(ReplicaStore):
     """Plant a defect: the end of a book leaves no tombstone."""
 
     def _retire(self, owner: str, epoch: int) -> None:
         super()._retire(owner, epoch)
-        self.marks.pop(owner, None)
+        self.owner_tombstones.pop(owner, None)
 
 
-class _LastArrivalWins(Copies):
+class _LastArrivalWins(ReplicaStore):
     """Plant a defect: of two contents under one state the last to arrive wins."""
 
-    def _settle(self, known: Book, other: Book) -> Book:
+    def _merge_contents(self, known: Replica, other: Replica) -> Replica:
         return other
 
 
-class _ConfirmsTooSoon(Copies):
+class _ConfirmsTooSoon(ReplicaStore):
     """Plant a defect: confirm other members' entries before they are on disk."""
 
-    def _on_hold(self, sender: str, row: Row) -> None:
+    def _on_persist_request(self, sender: str, row: Version) -> None:
         self._unwritten.pop(row.id, None)
-        super()._on_hold(sender, row)
+        super()._on_persist_request(sender, row)
 
 
-PLANTS: dict[str, CopiesFactory] = {
-    "": Copies, "forgets-deletions": _ForgetsDeletions, "last-comer": _LastArrivalWins,
+DEFECTS: dict[str, CopiesFactory] = {
+    "": ReplicaStore, "forgets-deletions": _ForgetsDeletions, "last-comer": _LastArrivalWins,
     "too-soon": _ConfirmsTooSoon,
 }  # fmt: skip
 
-__all__ = ["COVERS", "FAST", "LIST", "PLANTS", "Fleet", "bound_us", "play"]
+__all__ = ["DEFECTS", "FAST", "LIST_PREFIX", "SUPERSEDED_PREFIX", "Fleet", "bound_us", "run_seed"]
--- a/sorrelfront/lab/fleet/copies_explorer.py
+++ b/sorrelfront/lab/fleet/copies_explorer.py
@@ -15,13 +15,21 @@
 from random import Random
 from typing import NamedTuple
 
-from sorrelfront.decisions.fleet.copies import COVERS, Action, Change, Copies, Say, Settings, Write
+from sorrelfront.decisions.fleet.copies import (
+    SUPERSEDED_PREFIX,
+    Action,
+    Change,
+    ReplicaStore,
+    Send,
+    Settings,
+    Write,
+)
 from sorrelfront.lab.fleet.copies import CopiesFactory
 
 MEMBERS = ("a/i", "b/i", "c/i")
 OWNERS = MEMBERS[:2]
 KEYS = ("x", "y")
-SETTINGS = Settings(lone_us=1)
+SETTINGS = Settings(alone_us=1)
 STEP_US = 1_000
 MAX_ROUNDS = 6  # of comparisons of all pairs, within which a state has to settle
 
@@ -31,17 +39,17 @@
 
     states: int
     depth: int  # to which all states were visited
-    broken: str  # the violation found; empty if none
+    violation: str  # the violation found; empty if none
 
 
 class Model:
     """One state of the whole system: members, disks and what the owners wrote."""
 
-    def __init__(self, make: CopiesFactory = Copies) -> None:
+    def __init__(self, make: CopiesFactory = ReplicaStore) -> None:
         self.make = make
         self.now = 0
         self.disks: dict[str, list[Change]] = {name: [] for name in MEMBERS}
-        self.members: dict[str, Copies] = {}
+        self.members: dict[str, ReplicaStore] = {}
         self.written: dict[tuple[str, str], bytes | None] = {}
         self.replicated: dict[tuple[str, str], bytes | None] = {}  # what another member has too
         self.disk_losses = 0
@@ -57,7 +65,7 @@
             # It has no peers at first, so its book begins at once.
             self.do(name, one.on_time(self.now + 1, []))
 
-    def do(self, name: str, actions: Sequence[Action], other: str = "") -> list[Say]:
+    def do(self, name: str, actions: Sequence[Action], other: str = "") -> list[Send]:
         """Complete the writes among the actions at once; return the messages to `other`."""
         sends = []
         one = self.members[name]
@@ -65,7 +73,7 @@
             if isinstance(action, Write):
                 self.disks[name].append(action.change)
                 sends += self.do(name, list(one.on_written(action.number, self.now)), other)
-            elif isinstance(action, Say) and action.to == other:
+            elif isinstance(action, Send) and action.to == other:
                 sends.append(action)
         return sends
 
@@ -76,37 +84,39 @@
         for name, peer in ((one, other), (other, one)):
             member = self.members[name]
             member.peers = [peer]
-            sends = self.do(name, list(member.on_word(peer, self.members[peer]._beat(), self.now)), peer)
-            messages += [(name, peer, item.word) for item in sends]
+            sends = self.do(
+                name, list(member.on_message(peer, self.members[peer]._digest_message(), self.now)), peer
+            )
+            messages += [(name, peer, item.message) for item in sends]
         for _ in range(200):
             if not messages:
                 break
             src, dst, message = messages.pop(0)
-            sends = self.do(dst, list(self.members[dst].on_word(src, message, self.now)), src)
-            messages += [(dst, src, item.word) for item in sends]
+            sends = self.do(dst, list(self.members[dst].on_message(src, message, self.now)), src)
+            messages += [(dst, src, item.message) for item in sends]
         for name in (one, other):
             member = self.members[name]
             member._fetches.clear()
-            if member.mine is None:
-                member._begin()
-                self.do(name, list(member._take()))
+            if member.own_replica is None:
+                member._start_incarnation()
+                self.do(name, list(member._take_actions()))
             if name in OWNERS:
                 self.replicated.update({at: value for at, value in self.written.items() if at[0] == name})
 
     def write(self, name: str, key: str) -> bool:
         """Put the key, or delete it if it exists; return False before the book has begun."""
         one = self.members[name]
-        if one.mine is None:
+        if one.own_replica is None:
             return False
         self.now += STEP_US
         self.writes += 1
-        if key in one.mine.entries:
+        if key in one.own_replica.entries:
             one.delete(key, self.now)
             self.written[name, key] = None
         else:
             one.put(key, b"%d" % self.writes, self.now)
             self.written[name, key] = b"%d" % self.writes
-        self.do(name, list(one._take()))
+        self.do(name, list(one._take_actions()))
         return True
 
     def restart(self, name: str, loses_disk: bool) -> None:
@@ -127,12 +137,12 @@
                 (
                     id.owner, id.epoch, book.seq,
                     tuple(sorted((key, item.seq, item.value is None) for key, item in book.entries.items()
-                                 if not key.startswith(COVERS))),
-                    tuple(book.deleted),
+                                 if not key.startswith(SUPERSEDED_PREFIX))),
+                    tuple(book.tombstones),
                 )
-                for id, book in one.books.items()
+                for id, book in one.replicas.items()
             )  # fmt: skip
-            members.append((tuple(books), one.mine is None, one.era))
+            members.append((tuple(books), one.own_replica is None, one.gc_epoch))
         written = tuple(sorted((at, value is None) for at, value in self.written.items()))
         replicated = tuple(
             sorted((at, value == self.written.get(at)) for at, value in self.replicated.items())
@@ -180,7 +190,7 @@
     return models
 
 
-def explore(depth: int, make: CopiesFactory = Copies) -> Result:
+def explore(depth: int, make: CopiesFactory = ReplicaStore) -> Result:
     """Visit every state within `depth` events of the start; stop at the first violation."""
     first = Model(make)
     seen = {first.signature()}
--- a/sorrelfront/lab/fleet/explorer.py
+++ b/sorrelfront/lab/fleet/explorer.py
@@ -12,11 +12,12 @@
 from typing import NamedTuple
 
 from sorrelfront.decisions.fleet.policy import (
-    FIRST,
+    EMPTY_RECORD,
     Accept,
     Accepted,
     Ballot,
-    Keep,
+    Persist,
+    PolicyMessage,
     Prepare,
     Promise,
     Proposer,
@@ -25,7 +26,6 @@
     Send,
     Value,
     Voter,
-    Word,
 )
 
 VOTERS = ("a", "b", "c")
@@ -39,7 +39,7 @@
     voters: tuple[Voter, ...]
     disks: tuple[Record | None, ...]
     proposers: tuple[Proposer, ...]
-    sent: frozenset[tuple[str, str, Word]]
+    sent: frozenset[tuple[str, str, PolicyMessage]]
     votes: frozenset[tuple[str, Ballot, Value]]
     crashes: int
 
@@ -50,35 +50,35 @@
     states: int
     depth: int  # to which all states were visited
     complete: bool  # no state was left to visit
-    broken: str  # the violation found; empty if none
+    violation: str  # the violation found; empty if none
 
 
-DiskModel = Callable[[Voter, list[Keep | Send], Record | None], Record | None]
+DiskModel = Callable[[Voter, list[Persist | Send], Record | None], Record | None]
 
 
-def durable(voter: Voter, actions: list[Keep | Send], disk: Record | None) -> Record | None:
+def durable(voter: Voter, actions: list[Persist | Send], disk: Record | None) -> Record | None:
     """Return what is on disk after a step: the last record that was written."""
     for action in actions:
-        if isinstance(action, Keep):
+        if isinstance(action, Persist):
             disk = action.record
     return disk
 
 
-def never_durable(voter: Voter, actions: list[Keep | Send], disk: Record | None) -> Record | None:
+def never_durable(voter: Voter, actions: list[Persist | Send], disk: Record | None) -> Record | None:
     """Plant a defect: promises are sent before they are durable, and a crash comes in between."""
     return disk
 
 
 def initial_model() -> Model:
     """Return the state in which both proposers have sent their first messages."""
-    voters = tuple(Voter(name, VOTERS, FIRST, 1_000, 0) for name in VOTERS)
+    voters = tuple(Voter(name, VOTERS, EMPTY_RECORD, 1_000, 0) for name in VOTERS)
     proposers = tuple(
         Proposer(name, VOTERS, 1, value, (1, name)) for name, value in zip(PROPOSERS, VALUES, strict=True)
     )
     sent = frozenset(
-        (proposer.name, send.to, send.word) for proposer in proposers for send in proposer.begin()
+        (proposer.name, send.to, send.message) for proposer in proposers for send in proposer.begin()
     )
-    return Model(voters, (FIRST,) * len(VOTERS), proposers, sent, frozenset(), 0)
+    return Model(voters, (EMPTY_RECORD,) * len(VOTERS), proposers, sent, frozenset(), 0)
 
 
 def chosen(model: Model) -> set[Value]:
@@ -101,23 +101,23 @@
         models += _deliver_to_voter(model, VOTERS.index(to), sender, message, rounds, disk_model)
     if model.crashes < crashes:
         for at, voter in enumerate(model.voters):
-            back = voter._replace(record=model.disks[at], leases=(), told=())
+            back = voter._replace(record=model.disks[at], leases=(), recovery_replies=())
             voters = (*model.voters[:at], back, *model.voters[at + 1 :])
             models.append(model._replace(voters=voters, crashes=model.crashes + 1))
     return models
 
 
 def _deliver_to_voter(
-    model: Model, at: int, sender: str, message: Word, rounds: int, disk_model: DiskModel
+    model: Model, at: int, sender: str, message: PolicyMessage, rounds: int, disk_model: DiskModel
 ) -> list[Model]:
     voter, actions = model.voters[at].step(message, sender, 0)
     disk = disk_model(voter, actions, model.disks[at])
     votes = set(model.votes)
-    answers: list[tuple[str, Word]] = []
+    answers: list[tuple[str, PolicyMessage]] = []
     for action in actions:
         if isinstance(action, Send):
-            answers.append((action.to, action.word))
-            if isinstance(action.word, Accepted) and isinstance(message, Accept):
+            answers.append((action.to, action.message))
+            if isinstance(action.message, Accepted) and isinstance(message, Accept):
                 votes.add((voter.name, message.ballot, message.value))
     unanswered = model._replace(
         voters=(*model.voters[:at], voter, *model.voters[at + 1 :]),
@@ -131,16 +131,16 @@
     return [unanswered] if answered == unanswered else [unanswered, answered]
 
 
-def _deliver_to_proposer(model: Model, at: int, message: Word, rounds: int) -> Model:
+def _deliver_to_proposer(model: Model, at: int, message: PolicyMessage, rounds: int) -> Model:
     proposer = model.proposers[at]
     if isinstance(message, Reject):
         # Only a rejection of the current round counts, or each old one would begin another round.
         if proposer.ballot[0] >= rounds or message.ballot <= proposer.ballot:
             return model
-        proposer, sends = proposer.again(message.ballot)
+        proposer, sends = proposer.next_round(message.ballot)
     else:
         proposer, sends = proposer.step(message)
-    sent = set(model.sent) | {(proposer.name, send.to, send.word) for send in sends}
+    sent = set(model.sent) | {(proposer.name, send.to, send.message) for send in sends}
     proposers = (*model.proposers[:at], proposer, *model.proposers[at + 1 :])
     return model._replace(proposers=proposers, sent=frozenset(sent))
 
--- a/sorrelfront/lab/fleet/storms.py
+++ b/sorrelfront/lab/fleet/storms.py
@@ -12,14 +12,18 @@
 from functools import partial
 from random import Random
 
-from sorrelfront.decisions.fleet.view import Settings, bound_us
+from sorrelfront.decisions.fleet.view import Settings, convergence_bound_us
 from sorrelfront.decisions.fleet.words import State
 from sorrelfront.lab.fleet.virtual import SECOND, Node, ViewFactory, VirtualFleet, make_view
 
 FAST = Settings(
-    interval_us=200_000, timeout_us=100_000, gossip_us=50_000, exchange_us=5_000_000, recall_us=500_000,
-    keep_us=600_000_000,
-)  # fmt: skip
+    probe_interval_us=200_000,
+    probe_timeout_us=100_000,
+    gossip_interval_us=50_000,
+    push_pull_interval_us=5_000_000,
+    reconnect_interval_us=500_000,
+    dead_retention_us=600_000_000,
+)
 JOIN_MEMBERS = 3  # number of members that all others join by
 CHECK_INTERVAL_US = SECOND // 2  # between two runs of the checker
 
@@ -107,7 +111,7 @@
     """Drop what one half sends to the other; the opposite direction works."""
     muted = set(_groups(fleet, random, 2)[0])
     fleet.cut = lambda src, dst: src in muted and dst not in muted
-    fleet.fault()
+    fleet.note_fault()
     return lambda: fleet.partition()
 
 
@@ -115,7 +119,7 @@
     """Drop all that one member sends; it still receives."""
     one = random.choice(list(fleet.nodes))
     fleet.cut = lambda src, dst: src == one
-    fleet.fault()
+    fleet.note_fault()
     return lambda: fleet.partition()
 
 
@@ -124,7 +128,7 @@
     place = {name: number for number, name in enumerate(fleet.nodes)}
     count = len(place)
     fleet.cut = lambda src, dst: (place.get(src, 0) - place.get(dst, 0)) % count not in (0, 1, count - 1)
-    fleet.fault()
+    fleet.note_fault()
     return lambda: fleet.partition()
 
 
@@ -170,12 +174,12 @@
     """Starve a fifth of the members: 5% of a core, where a step takes 2 ms of a full one."""
     names = _sample(fleet, random, 0.2)
     for name in names:
-        fleet.nodes[name].slow = 400.0
+        fleet.nodes[name].slowdown = 400.0
 
     def undo() -> None:
         for node in fleet.nodes.values():
-            node.slow = 1.0
-        fleet.fault()
+            node.slowdown = 1.0
+        fleet.note_fault()
 
     return undo
 
@@ -184,17 +188,17 @@
     """Start a second process under a live member's name, at another address, with no disk."""
     name = random.choice(fleet.living() or list(fleet.nodes))
     place = (f"10.99.{random.randrange(256)}.{random.randrange(256)}", 7_946)
-    fleet.start(name, place, fleet.joins(), 0, key=f"{name}~{fleet.now}")
-    fleet.fault()
+    fleet.start(name, place, fleet.join_addresses(), 0, key=f"{name}~{fleet.now}")
+    fleet.note_fault()
 
 
 def lossy(fleet: VirtualFleet, random: Random) -> Callable[[], None]:
     """Lose 30% of the datagrams and duplicate 10%."""
-    fleet.loss, fleet.double = 0.3, 0.1
+    fleet.loss, fleet.duplicate_rate = 0.3, 0.1
 
     def undo() -> None:
-        fleet.loss = fleet.double = 0.0
-        fleet.fault()
+        fleet.loss = fleet.duplicate_rate = 0.0
+        fleet.note_fault()
 
     return undo
 
@@ -221,7 +225,7 @@
 
     def __init__(self, fleet: VirtualFleet, members: int) -> None:
         self._fleet = fleet
-        self._bound = bound_us(fleet.settings, members, awake=False)
+        self._bound = convergence_bound_us(fleet.settings, members, healthy=False)
         self._since: dict[tuple[str, str], int] = {}
         self.why = ""
 
@@ -231,13 +235,15 @@
         if fleet.loss:
             self._since.clear()
             return
-        healthy = [node for node in fleet.nodes.values() if node.up and not node.frozen and node.slow == 1.0]
+        healthy = [
+            node for node in fleet.nodes.values() if node.up and not node.frozen and node.slowdown == 1.0
+        ]
         seen: dict[tuple[str, str], int] = {}
         for viewer in healthy:
-            if viewer.view.back:
+            if viewer.view.yielded:
                 continue
             for other in healthy:
-                if other is not viewer and not other.view.back and self._considers_dead(viewer, other):
+                if other is not viewer and not other.view.yielded and self._considers_dead(viewer, other):
                     key = (viewer.name, other.name)
                     seen[key] = self._since.get(key, fleet.now)
                     if fleet.now - max(seen[key], fleet.last_fault) > self._bound and not self.why:
@@ -252,7 +258,7 @@
         return not cut(viewer.name, other.name) and not cut(other.name, viewer.name)
 
 
-def play(
+def run_seed(
     seed: int, view_factory: ViewFactory = make_view, settings: Settings = FAST, max_members: int = 24
 ) -> Result:
     """Run one seed and return its result.
@@ -288,12 +294,12 @@
     settle_us = fleet.settle()
     why = checker.why
     if settle_us is None:
-        wrong = fleet.wrong()[0]
+        wrong = fleet.wrong_views()[0]
         why = f"{wrong}: the view is not the {len(fleet.living())} live members after the bound"
     return Result(seed, count, tuple(names), settle_us or 0, why)
 
 
-def sick(
+def false_deaths(
     seed: int, view_factory: ViewFactory = make_view, settings: Settings = FAST, count: int = 12
 ) -> list[str]:
     """Return the healthy members that were declared dead in a fleet with two faulty ones.
@@ -304,10 +310,10 @@
     fleet = VirtualFleet(count, seed, settings, view_factory, settled=True)
     names = list(fleet.nodes)
     faulty = set(names[:2])
-    fleet.nodes[names[0]].slow = 400.0
+    fleet.nodes[names[0]].slowdown = 400.0
     fleet.freeze(names[1], True)
-    fleet.loss, fleet.double = 0.1, 0.1
+    fleet.loss, fleet.duplicate_rate = 0.1, 0.1
     fleet.run(10 * SECOND)
     fleet.freeze(names[1], False)
     fleet.run(20 * SECOND)
-    return sorted({line.name for line in fleet.lines if line.what == "died"} - faulty)
+    return sorted({line.name for line in fleet.events if line.what == "died"} - faulty)
