--- a/sorrelfront/lab/fleet/virtual.py
+++ b/sorrelfront/lab/fleet/virtual.py
@@ -14,12 +14,21 @@
 from functools import partial
 from random import Random
 
-from sorrelfront.decisions.fleet.view import Action, Exchange, Keep, Send, Settings, Told, View, bound_us
-from sorrelfront.decisions.fleet.words import Address, News, State, Whole, Word, encode
+from sorrelfront.decisions.fleet.view import (
+    Action,
+    MemberEvent,
+    PersistIncarnation,
+    PushPull,
+    Send,
+    Settings,
+    View,
+    convergence_bound_us,
+)
+from sorrelfront.decisions.fleet.words import Address, FullState, MemberUpdate, Message, State, encode
 
 MAX_INBOX = 512  # datagrams that the kernel queues for a process that does not read
 SECOND = 1_000_000
-ViewFactory = Callable[[News, Settings, Random, int, tuple[Address, ...]], View]
+ViewFactory = Callable[[MemberUpdate, Settings, Random, int, tuple[Address, ...]], View]
 
 
 @dataclass
@@ -31,13 +40,13 @@
     view: View
     up: bool = True
     frozen: bool = False
-    slow: float = 1.0  # factor on the time that a step takes: 20 for 5% of a core
+    slowdown: float = 1.0  # factor on the time that a step takes: 20 for 5% of a core
     busy: bool = False
     backlog: deque[Callable[[], list[Action]]] = field(default_factory=deque)
     stored_incarnation: int = 0
     timer: int = 0  # number of the latest timer; earlier ones are void
-    inbox: list[Word] = field(default_factory=list)
-    bytes: int = 0
+    inbox: list[Message] = field(default_factory=list)
+    sent_bytes: int = 0
     sent: int = 0
 
 
@@ -45,13 +54,15 @@
 class ViewEvent:
     """An event that a viewer's view reported about a member; `t` is in microseconds."""
 
-    t: int
+    at_us: int
     viewer: str
     what: str
     name: str
 
 
-def make_view(me: News, settings: Settings, random: Random, now: int, join: tuple[Address, ...]) -> View:
+def make_view(
+    me: MemberUpdate, settings: Settings, random: Random, now: int, join: tuple[Address, ...]
+) -> View:
     """Create the product's view, without a planted defect."""
     return View(me, settings, random, now, join)
 
@@ -66,7 +77,7 @@
         settings: Settings,
         view_factory: ViewFactory = make_view,
         settled: bool = False,
-        sizes: bool = False,
+        count_bytes: bool = False,
     ) -> None:
         """`settled`: all know each other from the start. `sizes`: count sent bytes, which is slow."""
         self.random = Random(seed)
@@ -74,14 +85,14 @@
         self.now = 0
         self.nodes: dict[str, Node] = {}
         self.nodes_by_address: dict[Address, Node] = {}
-        self.lines: list[ViewEvent] = []
+        self.events: list[ViewEvent] = []
         self.cut: Callable[[str, str], bool] = lambda src, dst: False
         self.loss = 0.0
-        self.double = 0.0
+        self.duplicate_rate = 0.0
         self.latency_us = (200, 2_000)
         self.step_us = 100  # processor time for a datagram or a timer
         self._view_factory = view_factory
-        self._sizes = sizes
+        self._sizes = count_bytes
         self._count = 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self.last_fault = 0
@@ -92,7 +103,7 @@
         if settled:
             all_members = [node.view.me for node in self.nodes.values()]
             for node in self.nodes.values():
-                node.view.seeded(all_members)
+                node.view.seed_members(all_members)
 
     @staticmethod
     def _address(number: int) -> Address:
@@ -106,13 +117,13 @@
         `disk` is the incarnation that its disk holds; 0 for none. `key` identifies the process if another one
         has the same name.
         """
-        me = News(name, *address, State.ALIVE, disk + 1, self.random.getrandbits(63))
+        me = MemberUpdate(name, *address, State.ALIVE, disk + 1, self.random.getrandbits(63))
         view = self._view_factory(me, self.settings, Random(self.random.getrandbits(64)), self.now, join)
         node = Node(name, address, view)
         node.stored_incarnation = disk
         self.nodes[key or name] = node
         self.nodes_by_address[address] = node
-        self._perform(node, view._take())
+        self._perform(node, view._take_actions())
         self._arm(node)
 
     def kill(self, name: str) -> None:
@@ -122,7 +133,7 @@
         node.timer += 1
         if self.nodes_by_address.get(node.address) is node:
             del self.nodes_by_address[node.address]
-        self.fault()
+        self.note_fault()
 
     def restart(self, name: str, disk: str = "kept", address: Address | None = None) -> None:
         """Restart the process; `disk` is "kept", "none" or "older" (rolled back)."""
@@ -134,10 +145,10 @@
         }[disk]
         if node.up:
             self.kill(name)
-        self.start(name, address or node.address, self.joins(name), kept)
-        self.fault()
+        self.start(name, address or node.address, self.join_addresses(name), kept)
+        self.note_fault()
 
-    def joins(self, exclude: str = "") -> tuple[Address, ...]:
+    def join_addresses(self, exclude: str = "") -> tuple[Address, ...]:
         """Return the addresses of up to three live processes that a new one may join by."""
         return tuple(item.address for item in self.nodes.values() if item.up and item.name != exclude)[:3]
 
@@ -145,7 +156,7 @@
         """Suspend or resume the process; on resuming it handles its queued datagrams."""
         node = self.nodes[name]
         node.frozen = frozen
-        self.fault()
+        self.note_fault()
         if not frozen and node.up:
             waiting, node.inbox = node.inbox, []
             for message in waiting:
@@ -158,7 +169,7 @@
         self._perform(node, node.view.leave(self.now))
         self.kill(name)
 
-    def fault(self) -> None:
+    def note_fault(self) -> None:
         """Note a fault now: the time within which the view has to settle starts anew."""
         self.last_fault = self.now
 
@@ -168,7 +179,7 @@
         self.cut = (
             (lambda src, dst: group_of.get(src) != group_of.get(dst)) if groups else (lambda src, dst: False)
         )
-        self.fault()
+        self.note_fault()
 
     # Events
 
@@ -195,18 +206,18 @@
 
         def due() -> None:
             if node.timer == number and node.up and not node.frozen:
-                self._handle(node, lambda: node.view.on_time(self.now))
+                self._handle(node, lambda: node.view.on_timer(self.now))
 
-        self.at(max(node.view.next_us(), self.now + 1), due)
+        self.at(max(node.view.next_timer_us(), self.now + 1), due)
 
     def _handle(self, node: Node, step: Callable[[], list[Action]]) -> None:
         """Have the process take a step, or queue it if the process is starved."""
-        if node.slow > 1.0 or node.backlog:
+        if node.slowdown > 1.0 or node.backlog:
             if len(node.backlog) < MAX_INBOX:  # the kernel drops what exceeds the queue
                 node.backlog.append(step)
             if not node.busy:
                 node.busy = True
-                self.at(self.now + int(self.step_us * node.slow), partial(self._process_backlog, node))
+                self.at(self.now + int(self.step_us * node.slowdown), partial(self._process_backlog, node))
             return
         self._perform(node, step())
         self._arm(node)
@@ -219,11 +230,11 @@
             if node.up and not node.frozen:
                 self._perform(node, step())
                 self._arm(node)
-            if node.slow > 1.0:
+            if node.slowdown > 1.0:
                 break
         if node.backlog and not node.busy:
             node.busy = True
-            self.at(self.now + int(self.step_us * node.slow), partial(self._process_backlog, node))
+            self.at(self.now + int(self.step_us * node.slowdown), partial(self._process_backlog, node))
 
     def _perform(self, node: Node, actions: list[Action]) -> None:
         for action in actions:
@@ -231,27 +242,29 @@
                 case Send(to, message):
                     if self._sizes:
                         # 28 and 19: headers of UDP and IPv4, and the transport's own.
-                        node.bytes += len(encode(message)) + 28 + 19
+                        node.sent_bytes += len(encode(message)) + 28 + 19
                     node.sent += 1
-                    for _ in range(2 if self.double and self.random.random() < self.double else 1):
+                    for _ in range(
+                        2 if self.duplicate_rate and self.random.random() < self.duplicate_rate else 1
+                    ):
                         if not self.loss or self.random.random() >= self.loss:
                             self.at(
                                 self.now + self._latency(), partial(self._deliver, node.name, to, message)
                             )
-                case Exchange(to):
+                case PushPull(to):
                     self.at(self.now + self._latency(), partial(self._exchange, node, to))
-                case Keep(incarnation):
+                case PersistIncarnation(incarnation):
                     node.stored_incarnation = incarnation
-                case Told(what, name, _, _, _):
-                    self.lines.append(ViewEvent(self.now, node.name, what, name))
+                case MemberEvent(what, name, _, _, _):
+                    self.events.append(ViewEvent(self.now, node.name, what, name))
 
-    def _receive(self, node: Node, message: Word) -> list[Action]:
-        return node.view.on_word(message, self.now)
+    def _receive(self, node: Node, message: Message) -> list[Action]:
+        return node.view.on_message(message, self.now)
 
     def _latency(self) -> int:
         return self.random.randint(*self.latency_us)
 
-    def _deliver(self, src: str, to: Address, message: Word) -> None:
+    def _deliver(self, src: str, to: Address, message: Message) -> None:
         node = self.nodes_by_address.get(to)
         if node is None or not node.up or self.cut(src, node.name):
             return
@@ -268,26 +281,26 @@
             return
         if self.cut(node.name, other.name) or self.cut(other.name, node.name):
             return
-        asked = node.view.whole()
-        self._handle(other, lambda: other.view.on_whole(asked, self.now))
-        answer: Whole = other.view.whole(reply=True)
+        asked = node.view.full_state()
+        self._handle(other, lambda: other.view.on_full_state(asked, self.now))
+        answer: FullState = other.view.full_state(reply=True)
 
         def deliver_answer() -> None:
             if node.up and not node.frozen:
-                self._handle(node, lambda: node.view.on_whole(answer, self.now))
+                self._handle(node, lambda: node.view.on_full_state(answer, self.now))
 
         self.at(self.now + self._latency(), deliver_answer)
 
     # Checks
 
     def _members(self) -> list[Node]:
-        return [node for node in self.nodes.values() if node.up and not node.view.back]
+        return [node for node in self.nodes.values() if node.up and not node.view.yielded]
 
     def living(self) -> list[str]:
         """Return the names of the live members, sorted."""
         return sorted({node.name for node in self._members()})
 
-    def wrong(self) -> list[str]:
+    def wrong_views(self) -> list[str]:
         """Return the live members whose view is not exactly the set of live members."""
         living = self.living()
         differing = [node.name for node in self._members() if node.view.alive() != living]
@@ -298,8 +311,8 @@
 
         Return the microseconds since the last fault, or None if the bound of the design note passes first.
         """
-        until = self.last_fault + bound_us(self.settings, len(self.nodes), awake)
-        while self.wrong():
+        until = self.last_fault + convergence_bound_us(self.settings, len(self.nodes), awake)
+        while self.wrong_views():
             if self.now >= until:
                 return None
             self.run(self.now + step_us)
--- a/sorrelfront/lab/http1.py
+++ b/sorrelfront/lab/http1.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-PATIENCE_S = 30.0  # only a failing test waits this long
+WAIT_TIMEOUT_S = 30.0  # only a failing test waits this long
 
 CLASSES = [
     {"name": "look", "repeat": "pure", "aimUs": 3_000_000, "giveUpUs": 5_000_000},
@@ -17,7 +17,7 @@
 ]
 
 
-def table(discovery: str, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
+def make_config(discovery: str, members: list[dict[str, Any]], **changes: Any) -> dict[str, Any]:
     """Return a configuration; `changes` override the limits of its settings."""
     return {
         "name": "n0",
@@ -68,7 +68,7 @@
 Script = Callable[[bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
-def gate(data: bytes) -> tuple[asyncio.Event, Script]:
+def gated_script(data: bytes) -> tuple[asyncio.Event, Script]:
     """Return an event and a script that answers with `data` once the event is set."""
     go = asyncio.Event()
 
@@ -84,7 +84,7 @@
 
     def __init__(self, script: Script | bytes) -> None:
         self.script = script
-        self.seen: list[bytes] = []  # whole requests, head and body
+        self.received: list[bytes] = []  # whole requests, head and body
         self.connections = 0
         self.arrived = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
@@ -104,7 +104,7 @@
                 for line in request.lower().split(b"\r\n"):
                     if line.startswith(b"content-length:"):
                         request += await reader.readexactly(int(line[15:]))
-                self.seen.append(request)
+                self.received.append(request)
                 self.arrived.set()
                 if isinstance(self.script, bytes):
                     writer.write(self.script)
@@ -124,8 +124,8 @@
 
     def __init__(self) -> None:
         self.watches = 0
-        self.asked = asyncio.Event()
-        self.known: list[dict[str, Any]] = []  # the complete list, sent first on each watch unless empty
+        self.watch_opened = asyncio.Event()
+        self.members: list[dict[str, Any]] = []  # the complete list, sent first on each watch unless empty
         self.revision = 1
         self._open: set[asyncio.StreamWriter] = set()
 
@@ -141,9 +141,9 @@
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.watches += 1
             self._open.add(writer)
-            if self.known:
-                self._line(writer, self.revision, True, self.known)
-            self.asked.set()
+            if self.members:
+                self._line(writer, self.revision, True, self.members)
+            self.watch_opened.set()
             while not writer.is_closing() and not reader.at_eof():
                 self._chunk(writer, b"\n")
                 with contextlib.suppress(TimeoutError):
@@ -154,19 +154,19 @@
     def _chunk(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def tell(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
+    def send_update(self, revision: int, *members: dict[str, Any], complete: bool = False) -> None:
         """Send an update to every open watch, without storing it."""
         for writer in self._open:
             self._line(writer, revision, complete, list(members))
 
-    def change(self, *members: dict[str, Any]) -> None:
+    def update(self, *members: dict[str, Any]) -> None:
         """Send these changed members to every watch, and store them for later watches."""
         self.revision += 1
         for changed in members:
-            self.known = [item for item in self.known if item["id"] != changed["id"]]
+            self.members = [item for item in self.members if item["id"] != changed["id"]]
             if changed["phase"] != "gone":
-                self.known.append(changed)
-        self.tell(self.revision, *members)
+                self.members.append(changed)
+        self.send_update(self.revision, *members)
 
     def _line(
         self, writer: asyncio.StreamWriter, revision: int, complete: bool, members: list[dict[str, Any]]
@@ -175,7 +175,7 @@
         self._chunk(writer, json.dumps(update).encode() + b"\n")
 
     @property
-    def open(self) -> int:
+    def open_watches(self) -> int:
         """The number of open watches."""
         return len(self._open)
 
@@ -199,20 +199,20 @@
 
     async def head(self) -> bytes:
         """Read the head of the next answer; raises TimeoutError after WAIT_TIMEOUT_S."""
-        return await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+        return await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
 
     async def answer(self) -> tuple[int, bytes, bytes]:
         """Return status, head and body of the next answer."""
         head = await self.head()
         lines = head.lower().split(b"\r\n")
         (length,) = (int(line[15:]) for line in lines if line.startswith(b"content-length:"))
-        body = await asyncio.wait_for(self.reader.readexactly(length), PATIENCE_S)
+        body = await asyncio.wait_for(self.reader.readexactly(length), WAIT_TIMEOUT_S)
         return int(head.split()[1]), head, body
 
-    async def ended(self) -> bool:
+    async def wait_closed(self) -> bool:
         """Wait until the agent closes the connection, discarding any data before that."""
         with contextlib.suppress(OSError):
-            while await asyncio.wait_for(self.reader.read(65_536), PATIENCE_S):
+            while await asyncio.wait_for(self.reader.read(65_536), WAIT_TIMEOUT_S):
                 pass
         return True
 
--- a/sorrelfront/lab/listing.py
+++ b/sorrelfront/lab/listing.py
@@ -56,11 +56,11 @@
         """Add a server; a cold one is listed as started just now."""
         self._addresses[name] = address
         started = {"up_since_ms": int(time.time() * 1000)} if cold else {}
-        self.registry.change({**member(name, address), **started})
+        self.registry.update({**member(name, address), **started})
 
     async def drain(self, name: str) -> None:
         """Change the server's phase to draining."""
-        self.registry.change(member(name, self._addresses[name], "draining"))
+        self.registry.update(member(name, self._addresses[name], "draining"))
 
     async def stop(self) -> None:
         """Stop the registry."""
@@ -78,7 +78,7 @@
         """Start the ensemble and create the path of the registrations."""
         await self.ensemble.start()
         self.registrar = Registrar(self.ensemble.hosts, PATH, self.session_s)
-        await self.registrar.make_path()
+        await self.registrar.create_path()
 
     def toml(self) -> str:
         """Return the keys of [membership] that point to the ensemble."""
@@ -97,7 +97,7 @@
         """Write the draining phase into the server's node."""
         await self.registrar.drain(name)
 
-    def crowd(self) -> None:
+    def expire_all(self) -> None:
         """Expire the sessions of all servers at once, as after a stall."""
         self.ensemble.expire_under(PATH)
 
--- a/sorrelfront/lab/shop.py
+++ b/sorrelfront/lab/shop.py
@@ -17,13 +17,13 @@
 class Mode(Enum):
     """How a server handles requests."""
 
-    WELL = "well"
+    HEALTHY = "well"
     SLOW = "slow"  # the service time is multiplied by `slower`
     HUNG = "hung"  # reads requests and answers none
     FAILING = "failing"  # answers 500 at once without running the request
 
 
-class Book:
+class Ledger:
     """A ledger of what ran on all servers; a key seen within `window_s` does not run again."""
 
     def __init__(self, window_s: float) -> None:
@@ -41,7 +41,7 @@
         self.ran[key or name] += 1
 
     @property
-    def doubled(self) -> list[str]:
+    def duplicates(self) -> list[str]:
         """The names or keys that ran more than once."""
         return [name for name, count in self.ran.items() if count > 1]
 
@@ -49,13 +49,13 @@
 class Server(Backend):
     """Runs up to `slots` requests at once, each for `service_s` seconds; the others wait in a queue."""
 
-    def __init__(self, name: str, book: Book, service_s: float = 0.01, slots: int = 8) -> None:
-        super().__init__(self._serve_one)
+    def __init__(self, name: str, ledger: Ledger, service_s: float = 0.01, slots: int = 8) -> None:
+        super().__init__(self._handle_request)
         self.name = name
-        self.book = book
-        self.mode = Mode.WELL
-        self.slower = 10.0  # factor on the service time in Mode.SLOW
-        self.gone = False  # killed: queued and running requests have no effect any more
+        self.ledger = ledger
+        self.mode = Mode.HEALTHY
+        self.slow_factor = 10.0  # factor on the service time in Mode.SLOW
+        self.killed = False  # killed: queued and running requests have no effect any more
         self.requests = 0
         self.late_drains = 0
         self.service_s = service_s
@@ -65,16 +65,16 @@
         self.arrivals: deque[float] = deque(maxlen=MAX_ARRIVALS)
         self._free_slots = asyncio.Semaphore(slots)
 
-    def drain(self) -> None:
+    def mark_draining(self) -> None:
         """Note that the list now shows this server as draining."""
         self.drained_at = time.monotonic()
 
-    def begin(self) -> None:
+    def mark_started(self) -> None:
         """Note that the server has just started and is cold."""
         self.started_at = time.monotonic()
 
-    async def _serve_one(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
-        self.seen.clear()  # the ledger holds what is checked
+    async def _handle_request(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
+        self.received.clear()  # the ledger holds what is checked
         now = time.monotonic()
         self.requests += 1
         self.arrivals.append(now)
@@ -90,12 +90,12 @@
             while self.mode is Mode.HUNG and not writer.is_closing():
                 await asyncio.sleep(0.02)
         async with self._free_slots:
-            await asyncio.sleep(self.service_s * (self.slower if self.mode is Mode.SLOW else 1))
-        if self.gone:
+            await asyncio.sleep(self.service_s * (self.slow_factor if self.mode is Mode.SLOW else 1))
+        if self.killed:
             return
         if whole.startswith(b"POST"):
             name, key = fields[b"x-call-id"].decode(), fields.get(b"idempotency-key", b"").decode()
-            self.book.run(name, key)
+            self.ledger.run(name, key)
         writer.write(answer(b"served"))
 
     def cold_overruns(self, cold_s: float, cold_from: float, multiple: float, span_s: float) -> int:
--- a/sorrelfront/lab/sites/explorer.py
+++ b/sorrelfront/lab/sites/explorer.py
@@ -17,8 +17,8 @@
 from typing import NamedTuple
 
 from sorrelfront.decisions.sites.offers import OfferId, Relation
-from sorrelfront.decisions.sites.passage import In, Passage
-from sorrelfront.decisions.sites.routes import Border, Lent, Partner, Settings, Tell
+from sorrelfront.decisions.sites.passage import Admission, Admitted
+from sorrelfront.decisions.sites.routes import Advertisement, Border, OfferConfig, Partner, Settings
 from sorrelfront.decisions.sites.terms import terms
 from sorrelfront.lab.sites.routes import BorderFactory, keys
 
@@ -35,14 +35,14 @@
 
     states: int
     depth: int  # to which all states were visited
-    broken: str  # the violation found, with the events that led to it; empty if none
+    violation: str  # the violation found, with the events that led to it; empty if none
 
 
-def _offers(state: int) -> list[Lent]:
+def _offers(state: int) -> list[OfferConfig]:
     if state == 0:
-        return [Lent("x", terms(["a", "b"], ["b"], ["look"], left_ms=LIFETIME_MS))]
+        return [OfferConfig("x", terms(["a", "b"], ["b"], ["look"], left_ms=LIFETIME_MS))]
     if state == 1:
-        return [Lent("x", terms(["b"], [], ["look"], left_ms=LIFETIME_MS))]
+        return [OfferConfig("x", terms(["b"], [], ["look"], left_ms=LIFETIME_MS))]
     return []
 
 
@@ -55,7 +55,7 @@
         self.state = 0
         self.changes: list[tuple[int, int]] = [(0, 0)]  # when, and to which state
         self.shown_by_c: dict[str, int] = {}  # site -> state that c's latest answer to it showed
-        self.last_answers: dict[tuple[str, str], Tell] = {}
+        self.last_answers: dict[tuple[str, str], Advertisement] = {}
         self.starts = 0
         self.borders: dict[str, Border] = {}
         for site in SITES:
@@ -83,18 +83,18 @@
         border.configure(rows, lent, self.now)
         for asker, asked in self.links():
             if asker == site:
-                border.peer(f"{asked}/i", asked)
+                border.add_peer(f"{asked}/i", asked)
         self.borders[site] = border
         self.shown_by_c.pop(site, None)
 
     def ask(self, asker: str, asked: str, replay: bool = False) -> None:
         """Have one site ask another; with `replay` it receives the previous answer again."""
         border, other = self.borders[asker], self.borders[asked]
-        ask = border.ask(f"{asked}/i", self.now)
-        remembered_epoch = other.outlived(ask)
+        ask = border.query(f"{asked}/i", self.now)
+        remembered_epoch = other.epoch_to_exceed(ask)
         if remembered_epoch is not None:
-            other.live((remembered_epoch + 1, other.life[1]), self.now)
-        tell = other.on_ask(asker, ask, b"", self.now)
+            other.set_incarnation((remembered_epoch + 1, other.incarnation[1]), self.now)
+        tell = other.on_query(asker, ask, b"", self.now)
         assert tell is not None
         before = self.last_answers.get((asker, asked))
         self.last_answers[asker, asked] = tell
@@ -102,11 +102,11 @@
             # The previous answer is replayed as the answer to this ask, as an intermediary that has the
             # sender's key could do.
             tell = copy.copy(before)
-            tell = Tell(
-                tell.site, tell.to, tell.gateway, tell.place, ask.number, tell.epoch, tell.birth,
-                tell.version, tell.have, tell.chains, tell.ages_ms, tell.role, tell.ticket, tell.providers,
+            tell = Advertisement(
+                tell.site, tell.to, tell.gateway, tell.address, ask.number, tell.epoch, tell.boot_id,
+                tell.version, tell.digest, tell.chains, tell.ages_ms, tell.role, tell.ticket, tell.providers,
             )  # fmt: skip
-        border.on_tell(f"{asked}/i", tell, self.now)
+        border.on_advertisement(f"{asked}/i", tell, self.now)
         if asked == "c" and not replay:
             self.shown_by_c[asker] = self.state
 
@@ -144,16 +144,16 @@
         ]
         parts += [recent, sorted(self.shown_by_c.items())]
         for site, border in self.borders.items():
-            parts.append((site, border.life[0], border._version, sorted(border.newest.items())))
+            parts.append((site, border.incarnation[0], border._version, sorted(border.newest.items())))
             for name, peer in border.peers.items():
                 held = [
-                    (id, item.chain.offer.age, item.chain.terms, item.expires_us - self.now)
+                    (id, item.chain.offer.state, item.chain.terms, item.expires_us - self.now)
                     for id, item in peer.held.items()
                 ]
-                parts.append((name, peer.life[0], held, sorted(peer.refused)))
-            parts.append([(self.now - at) for at in border._heard.values()][-2:])
+                parts.append((name, peer.incarnation[0], held, sorted(peer.refused)))
+            parts.append([(self.now - at) for at in border._first_seen.values()][-2:])
         parts += [
-            (pair, None if tell.chains is None else [chain.offer.age for chain in tell.chains])
+            (pair, None if tell.chains is None else [chain.offer.state for chain in tell.chains])
             for pair, tell in sorted(self.last_answers.items())
         ]
         return repr(parts)
@@ -161,7 +161,7 @@
     def violation(self) -> str:
         """Return what is violated in this state; empty if nothing."""
         for site in ("a", "b"):
-            routes = self.borders[site].ways("look", self.now)
+            routes = self.borders[site].best_routes("look", self.now)
             if not routes:
                 continue
             if not self._allowed_lately(site):
@@ -171,10 +171,10 @@
                 return f"{site} sends by what c's own answer showed to be forbidden"
         for path in (("a",), ("b",), ("a", "b")):
             border = self.borders["c"]
-            found = Passage("c").judge(
+            found = Admission("c").admit(
                 path[-1], path, "look", border.partners, border.offers(self.now), False, self.now
             )
-            if isinstance(found, In) != _admits(self.state, path):
+            if isinstance(found, Admitted) != _admits(self.state, path):
                 return f"c's gateway says {found} to {path} in state {self.state}"
         return self._check_settled()
 
@@ -197,7 +197,7 @@
             for asker, asked in other.links():
                 other.ask(asker, asked)
         for site in ("a", "b"):
-            got = bool(other.borders[site].ways("look", other.now))
+            got = bool(other.borders[site].best_routes("look", other.now))
             if got != _allows(other.state, site):
                 return (
                     f"{site} {'has' if got else 'has no'} route once all have asked, in state {other.state}"
--- a/sorrelfront/lab/sites/hostile.py
+++ b/sorrelfront/lab/sites/hostile.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from sorrelfront.decisions.sites.offers import CHAINS_MOST, Chain, Hop, Relation, Sign, passed_on, signed
-from sorrelfront.decisions.sites.routes import Border, Tell
+from sorrelfront.decisions.sites.offers import MAX_CHAINS, Chain, Hop, Relation, Sign, add_hop, sign_offer
+from sorrelfront.decisions.sites.routes import Advertisement, Border
 from sorrelfront.decisions.sites.terms import ANYTHING
 
 MAX_STORED_CHAINS = 64  # received chains that it may replay later
@@ -25,7 +25,7 @@
         self._sign, self._random, self._flood = sign, random, flood
         self._stored_chains: list[Chain] = []
 
-    def spoil(self, border: Border, tell: Tell) -> Tell:
+    def corrupt(self, border: Border, tell: Advertisement) -> Advertisement:
         """Return the answer with up to three forged chains, or a flood of them, and false ages."""
         random, partner = self._random, tell.to
         chains = list(tell.chains if tell.chains is not None else border._export(partner)[0])
@@ -41,9 +41,9 @@
                 )
         if self._flood and chains and random.random() < 0.1:
             chains += self._flood_chains(chains[0])
-        chains = chains[:CHAINS_MOST]
+        chains = chains[:MAX_CHAINS]
         ages = tuple(random.choice((0, 0, 500)) for _ in chains)
-        return msgspec.structs.replace(tell, chains=tuple(chains), ages_ms=ages, have=random.randbytes(16))
+        return msgspec.structs.replace(tell, chains=tuple(chains), ages_ms=ages, digest=random.randbytes(16))
 
     def _forged_chain(self, source: Chain, me: str, partner: str, relation: Relation) -> Chain:
         random = self._random
@@ -52,10 +52,10 @@
         kind = random.randrange(4)
         if kind == 0:  # as a newer state by the owner itself
             forged = msgspec.structs.replace(source.offer, version=source.offer.version + 1, terms=wider)
-            return Chain(signed(forged, self._sign))
+            return Chain(sign_offer(forged, self._sign))
         if kind == 1 and source.hops:  # by a path without the site that it came through
-            return passed_on(Chain(source.offer, source.hops[:-1]), hop, self._sign)
-        return passed_on(source, hop, self._sign)
+            return add_hop(Chain(source.offer, source.hops[:-1]), hop, self._sign)
+        return add_hop(source, hop, self._sign)
 
     def _flood_chains(self, sample: Chain) -> list[Chain]:
         """Return chains without a valid owner's signature, each of which the receiver has to check."""
--- a/sorrelfront/lab/sites/routes.py
+++ b/sorrelfront/lab/sites/routes.py
@@ -26,19 +26,19 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from sorrelfront.decisions.sites.offers import OfferId, Relation, Sign, Why, may_tell
-from sorrelfront.decisions.sites.passage import In, Passage
+from sorrelfront.decisions.sites.offers import OfferId, Relation, Sign, UnusedReason, may_export
+from sorrelfront.decisions.sites.passage import Admission, Admitted
 from sorrelfront.decisions.sites.routes import (
-    Ask,
+    Advertisement,
     Border,
-    Lent,
-    Newest,
-    News,
+    ChangeNotice,
+    OfferConfig,
+    OfferQuery,
+    OfferState,
     Partner,
     Settings,
-    Tell,
-    later,
-    settle,
+    build_table,
+    join_states,
 )
 from sorrelfront.decisions.sites.terms import Terms, terms
 from sorrelfront.lab.sites.hostile import Hostile
@@ -83,7 +83,7 @@
     """A site's file: the offers it lends, its partners and its gateways."""
 
     name: str
-    lent: dict[str, Lent]
+    lent: dict[str, OfferConfig]
     partners: dict[str, Partner]
     gateways: list[str] = field(default_factory=list)
 
@@ -95,7 +95,7 @@
     site: str
     name: str  # "hawassa/i0"
     border: Border
-    passage: Passage
+    passage: Admission
     rate: float  # of its clock
     epoch: int
     up: bool = True
@@ -132,7 +132,7 @@
     id: OfferId
 
 
-class World:
+class Simulation:
     """Sites by name, the faults in effect and the events to come; with `hostile`, one site is hostile."""
 
     def __init__(self, seed: int, make: BorderFactory = Border, hostile: bool | None = None) -> None:
@@ -158,11 +158,11 @@
         self.sent: list[Sent] = []
         self.served: list[Served] = []
         self.refused = 0
-        self.withheld = 0  # requests by what the sender received from a hostile site alone
+        self.sent_via_hostile = 0  # requests by what the sender received from a hostile site alone
         self.settled_us = 0  # time from the last fault until all had their routes, in steps of 1 s
         self.breaches: list[str] = []
         # What a site's members know of offers' newest states: replicated, so it outlives each member.
-        self.marks: dict[str, dict[OfferId, Newest]] = defaultdict(dict)
+        self.marks: dict[str, dict[OfferId, OfferState]] = defaultdict(dict)
         self.fault_intervals: list[tuple[int, int]] = []  # (start, end) of each fault
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
@@ -178,7 +178,7 @@
             for other in names[high + 1 :]:
                 linked = random.random() < 0.7 or other == names[high + 1]
                 relation = random.choice((Relation.CUSTOMER, Relation.PEER))
-                for site, partner, kind in ((one, other, relation), (other, one, relation.other_way)):
+                for site, partner, kind in ((one, other, relation), (other, one, relation.inverse)):
                     cost = random.randrange(1, 4)
                     self.sites[site].partners[partner] = Partner(partner, kind, cost, frozenset(), linked)
         for name, owner in self.sites.items():
@@ -191,7 +191,7 @@
                     self.terms_history[OfferId(name, gateway, item.name)].append((0, item.terms))
                 self.start(gateway, 1)
 
-    def draw_offer(self, name: str) -> Lent:
+    def draw_offer(self, name: str) -> OfferConfig:
         """Return an offer of this name with random terms."""
         random = self.random
         others = list(self.sites)
@@ -201,7 +201,7 @@
 
         classes = None if random.random() < 0.5 else random.sample(CLASSES, random.randrange(1, 3))
         found = terms(sample_sites(), sample_sites(), classes, 100_000, random.choice(LIFETIMES_MS))
-        return Lent(name, found, random.randrange(1, 5), random.randrange(5, 100))
+        return OfferConfig(name, found, random.randrange(1, 5), random.randrange(5, 100))
 
     def start(self, name: str, epoch: int) -> None:
         """Start a gateway's process with this epoch."""
@@ -214,17 +214,17 @@
             (epoch, random.getrandbits(48)), now, self.settings,
         )  # fmt: skip
         border.configure(site.partners.values(), site.lent.values(), now)
-        node = self.nodes[name] = Node(site.name, name, border, Passage(site.name), rate, epoch)
+        node = self.nodes[name] = Node(site.name, name, border, Admission(site.name), rate, epoch)
         has_sibling = any(
             self.nodes[sibling].up for sibling in site.gateways if sibling != name and sibling in self.nodes
         )
         if epoch > 1 or has_sibling:  # else it has neither its disk nor another member to ask
             for id, mark in self.marks[site.name].items():
-                border.on_mark(id, mark, now)
+                border.on_state(id, mark, now)
         for partner in site.partners.values():
             if partner.neighbour:
                 for peer in self.sites[partner.name].gateways:
-                    border.peer(peer, partner.name)
+                    border.add_peer(peer, partner.name)
         self.at(self.now + random.randrange(FAST.renew_us), lambda: self.tick(node))
 
     # Time and messages
@@ -263,18 +263,18 @@
             if number and self.now - since < FAST.renew_us:
                 continue
             if number:
-                node.border.silent(peer, self.clock(node))
+                node.border.on_silence(peer, self.clock(node))
             self.ask(node, peer)
         self.follow_up(node)
 
     def ask(self, node: Node, peer: str) -> None:
         """Send an ask to the peer and wait for its answer."""
-        ask = node.border.ask(peer, self.clock(node))
+        ask = node.border.query(peer, self.clock(node))
         node.awaited[peer] = (ask.number, self.now)
         node.ask_again.discard(peer)
         self.send(node, peer, ask)
 
-    def send(self, node: Node, to: str, message: Ask | Tell | News) -> None:
+    def send(self, node: Node, to: str, message: OfferQuery | Advertisement | ChangeNotice) -> None:
         """Send a message, subject to partitions, loss and delay."""
         pair = frozenset((node.site, to.partition("/")[0]))
         if pair in self.cut or self.random.random() < self.loss:
@@ -282,7 +282,9 @@
         delay = self.random.randrange(*DELAY_US)
         self.at(self.now + delay, lambda: self.deliver(node, to, message, pair))
 
-    def deliver(self, sender: Node, to: str, message: Ask | Tell | News, pair: frozenset[str]) -> None:
+    def deliver(
+        self, sender: Node, to: str, message: OfferQuery | Advertisement | ChangeNotice, pair: frozenset[str]
+    ) -> None:
         """Deliver a message, or queue it if the node is frozen."""
         node = self.nodes[to]
         if pair in self.cut or not node.up:
@@ -293,38 +295,38 @@
             return
         self.receive(node, sender.name, message)
 
-    def receive(self, node: Node, sender: str, message: Ask | Tell | News) -> None:
+    def receive(self, node: Node, sender: str, message: OfferQuery | Advertisement | ChangeNotice) -> None:
         """Handle a message: answer an ask, take in an answer, or ask again on news."""
         now = self.clock(node)
         match message:
-            case Ask():
-                remembered_epoch = node.border.outlived(message)
+            case OfferQuery():
+                remembered_epoch = node.border.epoch_to_exceed(message)
                 if remembered_epoch is not None:
                     node.epoch = remembered_epoch + 1
-                    node.border.live((node.epoch, node.border.life[1]), now)
-                tell = node.border.on_ask(message.site, message, b"", now)
+                    node.border.set_incarnation((node.epoch, node.border.incarnation[1]), now)
+                tell = node.border.on_query(message.site, message, b"", now)
                 if tell is not None:
                     node.askers.setdefault(sender, -NEWS_INTERVAL_US)
                     self.send(node, sender, self.corrupt_if_hostile(node, tell))
-            case Tell():
+            case Advertisement():
                 if node.awaited.get(sender, (0, 0))[0] == message.number:
                     del node.awaited[sender]
-                node.border.on_tell(sender, message, now)
+                node.border.on_advertisement(sender, message, now)
                 if sender in node.ask_again:
                     self.ask(node, sender)
-            case News():
+            case ChangeNotice():
                 if sender in node.awaited:
                     node.ask_again.add(sender)
                 elif sender in node.border.peers:
                     self.ask(node, sender)
         self.follow_up(node)
 
-    def receive_marks(self, name: str, marks: dict[OfferId, Newest]) -> None:
+    def receive_marks(self, name: str, marks: dict[OfferId, OfferState]) -> None:
         """Give a node the newest states that another member of its site learned."""
         node = self.nodes[name]
         if node.up and not node.frozen:
             for id, mark in marks.items():
-                node.border.on_mark(id, mark, self.clock(node))
+                node.border.on_state(id, mark, self.clock(node))
             self.follow_up(node)
 
     def on_timer(self, node: Node, due: int) -> None:
@@ -339,11 +341,11 @@
         Share the newest states it learned with the other members of its site, set its timer, and send news to
         the nodes that asked if its routes or answers changed.
         """
-        marks = node.border.take_marks()
+        marks = node.border.take_states()
         if marks:
             known = self.marks[node.site]
             for id, mark in marks.items():
-                known[id] = later(known[id], mark) if id in known else mark
+                known[id] = join_states(known[id], mark) if id in known else mark
             for sibling in self.sites[node.site].gateways:
                 if sibling != node.name:
                     self.at(
@@ -354,7 +356,7 @@
         if node.due <= self.now or due < node.due:
             node.due = due
             self.at(due, partial(self.on_timer, node, due))
-        state = (node.border.changed, node.border.told)
+        state = (node.border.table_version, node.border.offers_version)
         if state == node.last_state:
             return
         node.last_state = state
@@ -366,11 +368,11 @@
     def send_news(self, node: Node, to: str) -> None:
         """Tell a node that asked that there is a newer state."""
         if self.alive(node) and not node.frozen:
-            self.send(node, to, News(node.site))
+            self.send(node, to, ChangeNotice(node.site))
 
-    def corrupt_if_hostile(self, node: Node, tell: Tell) -> Tell:
+    def corrupt_if_hostile(self, node: Node, tell: Advertisement) -> Advertisement:
         """Return the answer, corrupted if the node's site is hostile."""
-        return self._hostile.spoil(node.border, tell) if node.site == HOSTILE else tell
+        return self._hostile.corrupt(node.border, tell) if node.site == HOSTILE else tell
 
     # Requests
 
@@ -384,12 +386,12 @@
         self._forward(node, (), random.choice(CLASSES), self._requests)
 
     def _forward(self, node: Node, path: tuple[str, ...], cls: str, number: int) -> None:
-        ways = node.border.ways(cls, self.clock(node), path)
+        ways = node.border.best_routes(cls, self.clock(node), path)
         if not ways:
             return
         route = self.random.choice(ways)
         way = (*path, node.site)
-        learned_directly = (route.id.owner, route.id.gateway) in node.border.heard_itself
+        learned_directly = (route.id.owner, route.id.gateway) in node.border.gateways_heard
         self.sent.append(Sent(self.now, number, way, cls, route.id, route.sites[0], learned_directly))
         to = route.peer
         pair = frozenset((node.site, route.sites[0]))
@@ -403,16 +405,16 @@
             return
         now = self.clock(node)
         border = node.border
-        ways = border.ways(cls, now, path)
-        found = node.passage.judge(path[-1], path, cls, border.partners, border.offers(now), bool(ways), now)
-        if not isinstance(found, In):
+        ways = border.best_routes(cls, now, path)
+        found = node.passage.admit(path[-1], path, cls, border.partners, border.offers(now), bool(ways), now)
+        if not isinstance(found, Admitted):
             self.refused += 1
             return
         if found.offer is not None:
             self.served.append(
                 Served(self.now, number, path, cls, OfferId(node.site, node.name, found.offer))
             )
-            node.passage.left(found.offer)
+            node.passage.finished(found.offer)
             return
         self._forward(node, path, cls, number)
 
@@ -434,7 +436,7 @@
         for gateway in site.gateways:
             self.at(self.now + random.randrange(50_000), partial(self._reload, gateway, name, item))
 
-    def _reload(self, gateway: str, name: str, item: Lent | None) -> None:
+    def _reload(self, gateway: str, name: str, item: OfferConfig | None) -> None:
         node, site = self.nodes[gateway], self.sites[gateway.partition("/")[0]]
         if not node.up:
             return
@@ -515,7 +517,7 @@
         for sender, message in inbox:
             self.receive(node, sender, message)
 
-    def play(self, seconds: float = 12.0, requests: int = 400) -> None:
+    def run_scenario(self, seconds: float = 12.0, requests: int = 400) -> None:
         """Run faults, then 4 s without new ones, with requests throughout; let all settle, then check."""
         random = self.random
         faults_end = int((seconds - 4) * SECOND)
@@ -555,7 +557,7 @@
             ended = history[at + 1][0] if at + 1 < len(history) else until + 1
             if found is None or began > until or ended < since:
                 continue
-            if found.lends(path[0], cls) and all(found.carries(site) for site in path[1:]):
+            if found.allows_use(path[0], cls) and all(found.allows_onward(site) for site in path[1:]):
                 return True
         return False
 
@@ -576,7 +578,7 @@
             if item.to == HOSTILE != id.owner and not item.learned_directly:
                 # A node that since its start has learned of an offer only through a hostile site may get
                 # it late: the sites share no clock. The owner's gateway refuses its requests.
-                self.withheld += 1
+                self.sent_via_hostile += 1
                 continue
             # Only the sites so far are checked here; the next ones check those further along the path.
             if not self._allowed(id, item.path, item.cls, since, item.t):
@@ -605,7 +607,7 @@
         """Yield each route in which a border differs from the routes that follow from the files."""
         expected_tables = oracle(self.sites)
         # With a hostile site that keeps changing, a neighbour's route may be damped, and is still used.
-        usable = (None, Why.NOT_LENT, *((Why.DAMPED,) if HOSTILE in self.sites else ()))
+        usable = (None, UnusedReason.NOT_LENT, *((UnusedReason.DAMPED,) if HOSTILE in self.sites else ()))
         # Where a node rightly routes through the hostile site, it passes on that path or none.
         excluded = {
             id
@@ -634,15 +636,15 @@
     def _prefers_hostile(self, id: OfferId, peer: str) -> bool:
         """Return whether this gateway routes through the hostile site, so it passes on that path or none."""
         table = self.nodes[peer].border.table
-        ways = [route for route in table if route.id == id and route.state in (None, Why.NOT_LENT)]
+        ways = [route for route in table if route.id == id and route.state in (None, UnusedReason.NOT_LENT)]
         return bool(ways) and HOSTILE in ways[0].sites
 
     def _order_independent(self) -> Iterator[str]:
         for node in self.nodes.values():
             held = [item for peer in node.border.peers.values() for item in peer.held.values()]
-            first = settle(held, node.border.partners, {})
+            first = build_table(held, node.border.partners, {})
             self.random.shuffle(held)
-            if settle(held, node.border.partners, {}) != first:
+            if build_table(held, node.border.partners, {}) != first:
                 yield f"{node.name}: the table depends on the order of its input"
 
 
@@ -682,13 +684,13 @@
                 for way in best.values():
                     learned_from = other.partners[way.path[0]].relation
                     if (
-                        may_tell(learned_from, recipient_relation)
-                        and way.terms.carries(other.name)
+                        may_export(learned_from, recipient_relation)
+                        and way.terms.allows_onward(other.name)
                         and name not in way.path
                     ):
                         exports.append((way.id, (other.name, *way.path), way.terms, way.cost, ""))
                 for id, path, lent, cost, offer in exports:
-                    if lent.empty or not (lent.to is None or name in lent.to or lent.carries(name)):
+                    if lent.empty or not (lent.to is None or name in lent.to or lent.allows_onward(name)):
                         continue
                     rank = (int(partner.relation), cost + partner.cost, len(path) - 1)
                     for gateway in other.gateways:
--- a/sorrelfront/lab/storm/checkers.py
+++ b/sorrelfront/lab/storm/checkers.py
@@ -530,6 +530,6 @@
 }
 
 
-def judge(events: list[Event]) -> dict[str, list[Breach]]:
+def run_checkers(events: list[Event]) -> dict[str, list[Breach]]:
     """Run all checkers; return the breaches of each rule by its name."""
     return {name: check(events) for name, check in CHECKERS.items()}
--- a/sorrelfront/lab/storm/disk.py
+++ b/sorrelfront/lab/storm/disk.py
@@ -25,7 +25,7 @@
 
 from sorrelfront.daemon.records import Disk
 
-LOG = "disk.log"
+LOG_FILE = "disk.log"
 FAULTS_FILE = "disk.json"
 MAX_LOG_BYTES = 64 * 1024 * 1024  # a storm whose programs log more is void
 
@@ -163,7 +163,7 @@
 
     All processes of the host must have ended.
     """
-    left = state_after_cut(read_log(folder / LOG), rng)
+    left = state_after_cut(read_log(folder / LOG_FILE), rng)
     for path in left.known:
         target = Path(path)
         with contextlib.suppress(OSError):
@@ -174,12 +174,12 @@
     lines = [
         msgspec.json.encode(Op("base", path=path, data=data)) + b"\n" for path, data in left.files.items()
     ]
-    (folder / LOG).write_bytes(b"".join(lines))
+    (folder / LOG_FILE).write_bytes(b"".join(lines))
     return left
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class DiskFaults:
     """The faults that a disk has for its writers."""
 
     full: bool = False
@@ -187,7 +187,7 @@
     sync_s: float = 0.0  # how long a sync takes
 
 
-def tell_trouble(folder: Path, faults: Trouble) -> None:
+def set_disk_faults(folder: Path, faults: DiskFaults) -> None:
     """Apply these faults to the programs of this host from their next operation on."""
     temporary = folder / f"{FAULTS_FILE}.new"
     temporary.write_bytes(msgspec.json.encode(faults))
@@ -204,7 +204,7 @@
     def __init__(self, folder: Path, skip_sync: bool = False) -> None:
         """Open the log in `folder`; `skip_sync` plants a defect, a program that leaves out its syncs."""
         self._folder = folder
-        self._log = os.open(folder / LOG, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        self._log = os.open(folder / LOG_FILE, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
         self._files: dict[int, str] = {}
         self._content: dict[str, bytes] = {}  # by file: its content
         self._paths: dict[str, str] = {}  # by path: the file there
@@ -217,13 +217,13 @@
         # A single write with O_APPEND, so that lines stay whole and in order.
         os.write(self._log, msgspec.json.encode(op) + b"\n")
 
-    def _read_faults(self) -> Trouble:
+    def _read_faults(self) -> DiskFaults:
         try:
-            return msgspec.json.decode((self._folder / FAULTS_FILE).read_bytes(), type=Trouble)
+            return msgspec.json.decode((self._folder / FAULTS_FILE).read_bytes(), type=DiskFaults)
         except FileNotFoundError:
-            return Trouble()
+            return DiskFaults()
 
-    def _require_writable(self) -> Trouble:
+    def _require_writable(self) -> DiskFaults:
         faults = self._read_faults()
         if faults.readonly:
             raise OSError(errno.EROFS, os.strerror(errno.EROFS))
--- a/sorrelfront/lab/storm/history.py
+++ b/sorrelfront/lab/storm/history.py
@@ -46,7 +46,7 @@
         """Start the clock of the history; without a `path` the events stay in memory only."""
         self.began = time.monotonic()
         self.events: list[Event] = []
-        self.left_out = 0
+        self.dropped_events = 0
         self._file = None if path is None else path.open("wb")
         self._written = 0
         self._encoder = msgspec.json.Encoder()
@@ -59,7 +59,7 @@
         """Append an event with the current time; beyond `MAX_EVENTS` it is only counted."""
         event = {"t": round(time.monotonic() - self.began, 6), "kind": kind, **what}
         if len(self.events) >= MAX_EVENTS:
-            self.left_out += 1
+            self.dropped_events += 1
         else:
             self.events.append(event)
         return event
--- a/sorrelfront/lab/storm/launch.py
+++ b/sorrelfront/lab/storm/launch.py
@@ -128,37 +128,41 @@
         Discovery.__init__ = init_recording_list  # type: ignore[method-assign,assignment]
         Discovery.subscribe = subscribe_to_first_list  # type: ignore[method-assign]
     elif name == "ignores-leases":
-        from sorrelfront.fleet.council import Council, Standing
+        from sorrelfront.fleet.council import LeaseStatus, PolicyMember
 
-        def standing(self: Any) -> Standing:
+        def standing(self: Any) -> LeaseStatus:
             """Keep serving by the current version, as if its lease never expired."""
-            return Standing.LEASED
+            return LeaseStatus.LEASED
 
-        Council.standing = standing  # type: ignore[method-assign]
-        Council.may_go_on = lambda self, version: True  # type: ignore[method-assign]
+        PolicyMember.lease_status = standing  # type: ignore[method-assign]
+        PolicyMember.may_attempt = lambda self, version: True  # type: ignore[method-assign]
     elif name == "trusts-old-copies":
-        from sorrelfront.decisions.fleet.copies import Copies, Levelled
+        from sorrelfront.decisions.fleet.copies import CaughtUp, ReplicaStore
 
-        original_init_copies = Copies.__init__
+        original_init_copies = ReplicaStore.__init__
 
         def init_and_trust(self: Any, *args: Any, **more: Any) -> None:
             """Act on the copies from its own disk before any peer was asked."""
             original_init_copies(self, *args, **more)
-            self.level = True
-            self._begin()
-            self._out.append(Levelled())
+            self.caught_up = True
+            self._start_incarnation()
+            self._actions.append(CaughtUp())
 
-        Copies.__init__ = init_and_trust  # type: ignore[method-assign]
+        ReplicaStore.__init__ = init_and_trust  # type: ignore[method-assign]
     elif name == "believes-widened":
         from sorrelfront.decisions.sites import offers, routes
-        from sorrelfront.decisions.sites.offers import Why
+        from sorrelfront.decisions.sites.offers import UnusedReason
 
         original_fault = offers.fault
 
         def fault(*args: Any) -> Any:
             """Accept the terms at the end of a chain as those that the owner gave."""
             why = original_fault(*args)
-            return None if why in (Why.WIDENED, Why.NOT_PASSED_ON, Why.VALLEY) else why
+            return (
+                None
+                if why in (UnusedReason.WIDENED, UnusedReason.NOT_PASSED_ON, UnusedReason.VALLEY)
+                else why
+            )
 
         vars(routes)["fault"] = fault
     elif name == "wall-lifetimes":
@@ -199,15 +203,15 @@
         from sorrelfront.decisions.sites.routes import Border
         from sorrelfront.lab.sites.hostile import Hostile
 
-        on_ask = Border.on_ask
+        on_ask = Border.on_query
 
         def on_ask_spoilt(self: Any, *args: Any) -> Any:
             reply = on_ask(self, *args)
             if not hasattr(self, "storm_hostile"):
                 self.storm_hostile = Hostile(self._sign, Random(), flood=True)
-            return None if reply is None else self.storm_hostile.spoil(self, reply)
+            return None if reply is None else self.storm_hostile.corrupt(self, reply)
 
-        Border.on_ask = on_ask_spoilt  # type: ignore[method-assign,assignment]
+        Border.on_query = on_ask_spoilt  # type: ignore[method-assign,assignment]
     elif name != "skips-sync":
         raise SystemExit(f"{PLANT}: no defect is called {name!r}; there are {', '.join(PLANTS)}")
 
@@ -222,7 +226,7 @@
 
     planted = os.environ.get(PLANT, "")
     records.disk = LoggedDisk(folder, skip_sync=planted == "skips-sync")
-    fleet.INSTANCE = [
+    fleet.INSTANCE_COMMAND = [
         sys.executable,
         "-m",
         "sorrelfront.lab.storm.launch",
--- a/sorrelfront/lab/storm/links.py
+++ b/sorrelfront/lab/storm/links.py
@@ -111,7 +111,7 @@
         wanted = set(pairs)
         return sum(relay.reset(wanted) for relay in self._tcp(wanted))
 
-    def forget(self, pairs: Iterable[tuple[str, str]]) -> int:
+    def leave_half_open(self, pairs: Iterable[tuple[str, str]]) -> int:
         """Leave every connection between these hosts half open for good; return how many.
 
         Each side takes the connection to be open, but nothing passes any more.
@@ -172,8 +172,8 @@
         received_at = time.monotonic()
         if self is connection.client_side:
             connection.sent_at = received_at
-            if connection.relay.sent is not None:
-                connection.relay.sent(connection.number, data)
+            if connection.relay.on_client_data is not None:
+                connection.relay.on_client_data(connection.number, data)
         due = self.link.due(received_at, len(data), connection.relay.network.rng)
         other = self.other
         if (
@@ -387,7 +387,7 @@
         self.target = target
         self.on_service_data = on_service_data
         # Called with the number of a connection and the bytes that `src` sends on it, as they arrive.
-        self.sent: Callable[[int, bytes], None] | None = None
+        self.on_client_data: Callable[[int, bytes], None] | None = None
         self.address: Address = address or (target[0], 0)
         self._hosts = hosts
         self.down = False  # the service behind it does not listen
@@ -467,7 +467,7 @@
         ):
             del self.network.connections[connection._local_address]
 
-    def serve(self, up: bool) -> None:
+    def set_service_listening(self, up: bool) -> None:
         """Set whether the service behind it listens; if not, new connections are refused as by its kernel."""
         self.down = not up
         self.apply_links()
--- a/sorrelfront/lab/storm/processes.py
+++ b/sorrelfront/lab/storm/processes.py
@@ -23,7 +23,7 @@
 CLEANUP_INTERVAL_S = 0.1
 
 
-def marked(mark: str) -> dict[int, int]:
+def find_marked(mark: str) -> dict[int, int]:
     """Return pid and start time of all processes whose mark is this one or is below it (`mark/...`)."""
     setting = f"{MARK}={mark}".encode()
     found = {}
@@ -40,10 +40,10 @@
     return found
 
 
-def signal_all(mark: str, number: signal.Signals) -> int:
+def signal_marked(mark: str, number: signal.Signals) -> int:
     """Send a signal to every process that carries this mark; return how many."""
     count = 0
-    for pid, ticks in marked(mark).items():
+    for pid, ticks in find_marked(mark).items():
         # The pid may pass to another program between the scan and the signal: the start time is checked.
         handle = open_process(pid, ticks)
         if handle is not None:
@@ -53,20 +53,20 @@
     return count
 
 
-def kill_all(mark: str, timeout_s: float = EXIT_TIMEOUT_S) -> bool:
+def kill_marked(mark: str, timeout_s: float = EXIT_TIMEOUT_S) -> bool:
     """Repeat SIGKILL until no process carries this mark; return whether that succeeded in time.
 
     One pass is not enough, since a process may be starting another one at that moment.
     """
     deadline = time.monotonic() + timeout_s
-    while signal_all(mark, signal.SIGKILL):
+    while signal_marked(mark, signal.SIGKILL):
         if time.monotonic() > deadline:
             return False
         time.sleep(0.005)
     return True
 
 
-class Owned:
+class ManagedProcess:
     """A process that the stage started, held by its pidfd.
 
     The event `ended` is set once the process has ended, whatever ended it.
@@ -85,7 +85,7 @@
         # Only this object reaps the process, so the pid is still its own, even if it has already ended.
         self.pidfd = os.pidfd_open(self.pid)
         self.code: int | None = None
-        self.asked = False  # it was told to stop, and nothing else has ended it
+        self.stop_requested = False  # it was told to stop, and nothing else has ended it
         self.ended = asyncio.Event()
         asyncio.get_running_loop().add_reader(self.pidfd, self._on_end)
 
@@ -113,7 +113,7 @@
         return self.code
 
 
-class Keeper:
+class CleanupProcess:
     """A process that cleans up after the harness, whatever ended the harness.
 
     It waits for the end of a pipe that only the harness holds, then kills all processes that the harness
@@ -143,7 +143,7 @@
         signal.signal(number, signal.SIG_IGN)
     while os.read(0, 64):  # nothing is ever written: the read returns when the harness is gone
         pass
-    killed = kill_all(mark)
+    killed = kill_marked(mark)
     shutil.rmtree(folder, ignore_errors=True)  # it is kept in memory
     return 0 if killed else 1
 
--- a/sorrelfront/lab/storm/report.py
+++ b/sorrelfront/lab/storm/report.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from sorrelfront.lab.storm.history import HISTORY, Event, read
-from sorrelfront.lab.storm.run import FILE, VERDICT, again
+from sorrelfront.lab.storm.run import SCENARIO_FILE, VERDICT, rerun_command
 
 LINES_AROUND = 6  # of the log, before and after a breach
 BREACHES_SHOWN = 10
@@ -69,7 +69,7 @@
 {_breaches(events, verdict)}
 <h2>Faults</h2><table>{plan}</table>
 <h2>Figures</h2><table>{figures}</table>
-<h2>Once more</h2><pre>{html.escape(again(folder / FILE, verdict["seed"]))}</pre></html>
+<h2>Once more</h2><pre>{html.escape(rerun_command(folder / SCENARIO_FILE, verdict["seed"]))}</pre></html>
 """
 
 
--- a/sorrelfront/lab/storm/run.py
+++ b/sorrelfront/lab/storm/run.py
@@ -17,21 +17,21 @@
 import msgspec
 import numpy as np
 
-from sorrelfront.lab.storm.checkers import Breach, judge
+from sorrelfront.lab.storm.checkers import Breach, run_checkers
 from sorrelfront.lab.storm.history import HISTORY, Event, History, read
 from sorrelfront.lab.storm.scenario import Scenario
 from sorrelfront.lab.storm.scenario import read as read_scenario
 from sorrelfront.lab.storm.stage import Stage
 
 HELD, BROKEN, VOID = 0, 1, 3  # exit codes; 2 is a usage error
-FILE = "storm.toml"
+SCENARIO_FILE = "storm.toml"
 VERDICT = "verdict.json"
 UNANSWERED = ("lost", "reset", "left")  # statuses of calls that got no answer
 MAX_LISTED_BREACHES = 20  # breaches of one rule that a verdict lists
 SCENARIOS = Path(__file__).parent / "scenarios"
 
 
-class Ended(Exception):
+class Interrupted(Exception):
     """Raised when a signal ended the harness."""
 
 
@@ -46,7 +46,7 @@
     """
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / FILE).write_bytes(scenario.text)
+        (folder / SCENARIO_FILE).write_bytes(scenario.text)
     history = History(None if folder is None else folder / HISTORY)
     try:
         asyncio.run(_play(Stage(scenario, seed, history), show))
@@ -74,13 +74,13 @@
         await stage.play(show)
     except asyncio.CancelledError:
         if received:
-            raise Ended(signal.Signals(received[0]).name) from None
+            raise Interrupted(signal.Signals(received[0]).name) from None
         raise
 
 
 def verdict_of(events: list[Event], scenario: Scenario, seed: int) -> dict[str, Any]:
     """Return the verdict on a history; its `result` is "held", "broken" or "void"."""
-    breaches = judge(events)
+    breaches = run_checkers(events)
     figures = figures_of(events)
     rig = next((event for event in events if event["kind"] == "rig"), None)
     void = _void_reasons(rig, scenario.void)
@@ -183,7 +183,7 @@
     return found
 
 
-def replayed(folder: Path) -> tuple[Scenario, int]:
+def load_kept(folder: Path) -> tuple[Scenario, int]:
     """Return the scenario and the seed of a kept storm.
 
     Raises:
@@ -194,10 +194,10 @@
     events = read(folder / HISTORY)
     if not events or events[0]["kind"] != "storm":
         raise ValueError(f"{folder / HISTORY}: does not begin as a storm's history does")
-    return read_scenario(folder / FILE), int(events[0]["seed"])
+    return read_scenario(folder / SCENARIO_FILE), int(events[0]["seed"])
 
 
-def again(path: Path, seed: int) -> str:
+def rerun_command(path: Path, seed: int) -> str:
     """Return the command that plays this storm again."""
     return f"sorrelfront storm run {path} --seed {seed}"
 
@@ -233,7 +233,7 @@
     return verdict
 
 
-def listed() -> list[Path]:
+def list_scenarios() -> list[Path]:
     """Return the scenario files that come with the program."""
     return sorted(SCENARIOS.glob("*.toml"))
 
--- a/sorrelfront/lab/storm/scenario.py
+++ b/sorrelfront/lab/storm/scenario.py
@@ -138,8 +138,16 @@
     hang_ms: Annotated[float, Meta(ge=1_000, le=600_000)] = 3_000.0  # hang_after_ms of each daemon
     isolation: Literal["go-on", "refuse"] = "refuse"  # `on_isolation` of all classes, in a storm with voters
     plant: Literal[
-        "", "repeats-unsafe", "forgets-drains", "skips-sync", "ignores-leases", "trusts-old-copies",
-        "believes-widened", "wall-lifetimes", "asks-late", "sends-for-gone",
+        "",
+        "repeats-unsafe",
+        "forgets-drains",
+        "skips-sync",
+        "ignores-leases",
+        "trusts-old-copies",
+        "believes-widened",
+        "wall-lifetimes",
+        "asks-late",
+        "sends-for-gone",
     ] = ""
 
 
@@ -201,7 +209,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedFault:
     """A fault of the schedule."""
 
     what: str
@@ -242,7 +250,7 @@
         forward = {(src, dst) for src in self.hosts for dst in self.to if src != dst}
         return forward if self.what == "one-way" else forward | {(dst, src) for src, dst in forward}
 
-    def words(self) -> str:
+    def describe(self) -> str:
         """Return a short description for the log and the report."""
         size = f" ({self.size:g})" if self.size else ""
         to = (
@@ -270,7 +278,7 @@
     load: dict[str, Any]
     expect: dict[str, Any]
     void: dict[str, Any]
-    faults: tuple[Planned, ...]
+    faults: tuple[PlannedFault, ...]
     draw: dict[str, Any] | None
     text: bytes = b""
 
@@ -284,7 +292,7 @@
         """Return the names of the servers: s1, s2 and so on."""
         return [f"s{number}" for number in range(1, self.storm["servers"] + 1)]
 
-    def schedule(self, seed: int) -> list[Planned]:
+    def schedule(self, seed: int) -> list[PlannedFault]:
         """Return all faults in order of time; the same file and seed always give the same schedule."""
         planned = list(self.faults)
         if self.draw is not None:
@@ -313,15 +321,15 @@
     tables = ("storm", "load", "expect", "void", "faults", "draw")
     for key in top:
         if key not in tables:
-            checker.unknown("", key, tables)
+            checker.add_unknown_key("", key, tables)
     scenario = Scenario(
         path=path,
-        storm=checker.table(top.get("storm", {}), "storm", Storm),
-        load=checker.table(top.get("load", {}), "load", Load),
-        expect=checker.table(top.get("expect", {}), "expect", Expect),
-        void=checker.table(top.get("void", {}), "void", Void),
+        storm=checker.check_table(top.get("storm", {}), "storm", Storm),
+        load=checker.check_table(top.get("load", {}), "load", Load),
+        expect=checker.check_table(top.get("expect", {}), "expect", Expect),
+        void=checker.check_table(top.get("void", {}), "void", Void),
         faults=(),
-        draw=checker.table(top["draw"], "draw", Draw) if "draw" in top else None,
+        draw=checker.check_table(top["draw"], "draw", Draw) if "draw" in top else None,
         text=data,
     )
     if checker.faults:
@@ -329,16 +337,16 @@
     if scenario.storm["voters"] and not (
         scenario.storm["fleet"] and scenario.storm["voters"] <= scenario.storm["hosts"]
     ):
-        checker.fault("storm", "voters", "needs fleet = true, and as many hosts")
+        checker.add_fault("storm", "voters", "needs fleet = true, and as many hosts")
     if scenario.storm["copies"] and not scenario.storm["fleet"]:
-        checker.fault("storm", "copies", "needs fleet = true")
+        checker.add_fault("storm", "copies", "needs fleet = true")
     sites = scenario.storm["sites"]
     if sites and not scenario.storm["fleet"]:
-        checker.fault("storm", "sites", "needs fleet = true")
+        checker.add_fault("storm", "sites", "needs fleet = true")
     if sites and (sites < 2 or scenario.storm["hosts"] % sites or scenario.storm["servers"] % sites):
-        checker.fault("storm", "sites", "must be two to four, and divide hosts and servers")
+        checker.add_fault("storm", "sites", "must be two to four, and divide hosts and servers")
     if scenario.storm["hostile"] > sites:
-        checker.fault("storm", "hostile", f"there are {sites} sites")
+        checker.add_fault("storm", "hostile", f"there are {sites} sites")
     faults = _faults(scenario, top.get("faults", []), checker)
     if scenario.draw is not None:
         _check_draw(scenario.draw, scenario, checker)
@@ -347,15 +355,15 @@
     return dataclasses.replace(scenario, faults=faults)
 
 
-def _faults(scenario: Scenario, rows: Any, checker: Checker) -> tuple[Planned, ...]:
+def _faults(scenario: Scenario, rows: Any, checker: Checker) -> tuple[PlannedFault, ...]:
     if not isinstance(rows, list) or len(rows) > MAX_FAULTS:
-        checker.fault("faults", "", f"is not a list of at most {MAX_FAULTS} tables")
+        checker.add_fault("faults", "", f"is not a list of at most {MAX_FAULTS} tables")
         return ()
-    planned: list[tuple[str, Planned]] = []
+    planned: list[tuple[str, PlannedFault]] = []
     for number, row in enumerate(rows, 1):
         name = f"faults.{number}"
         before = len(checker.faults)
-        values = checker.table(row, name, FaultEntry)
+        values = checker.check_table(row, name, FaultEntry)
         if len(checker.faults) == before:
             item = _plan_fault(scenario, name, values, checker)
             if item is not None:
@@ -363,16 +371,20 @@
     for at, (name, item) in enumerate(planned):
         for earlier, other in planned[:at]:
             if _overlap(item, other):
-                checker.fault(name, "at", f"overlaps with [{earlier}] on {min(item.targets & other.targets)}")
+                checker.add_fault(
+                    name, "at", f"overlaps with [{earlier}] on {min(item.targets & other.targets)}"
+                )
     return tuple(item for _, item in planned)
 
 
-def _plan_fault(scenario: Scenario, name: str, values: dict[str, Any], checker: Checker) -> Planned | None:
+def _plan_fault(
+    scenario: Scenario, name: str, values: dict[str, Any], checker: Checker
+) -> PlannedFault | None:
     """Return the planned fault of one entry, or report its errors and return None."""
     before = len(checker.faults)
     what = values["what"]
     if what not in KINDS:
-        checker.unknown(name, what, KINDS)
+        checker.add_unknown_key(name, what, KINDS)
         return None
     kind = KINDS[what]
     hosts = _names(
@@ -387,32 +399,32 @@
     if what == "island":
         to = tuple(item for item in (*scenario.hosts, *scenario.servers, "list") if item not in hosts)
     if kind.part == "link" and what not in ("ring", "island") and not to:
-        checker.fault(name, "to", 'is missing: hosts, servers, "servers" or "list"')
+        checker.add_fault(name, "to", 'is missing: hosts, servers, "servers" or "list"')
     if kind.part == "server" and (not to or any(item[0] != "s" for item in to)):
-        checker.fault(name, "to", "names no server")
+        checker.add_fault(name, "to", "names no server")
     if what == "server-new":
         to = to[:1]
     if values["lasts"] and not kind.lasts:
-        checker.fault(name, "lasts", f"does not go with {what!r}, which is done once")
+        checker.add_fault(name, "lasts", f"does not go with {what!r}, which is done once")
     if what == "late" and values["at"]:
-        checker.fault(name, "at", "must be 0: a host that starts late")
+        checker.add_fault(name, "at", "must be 0: a host that starts late")
     if values["at"] + values["lasts"] > scenario.storm["seconds"]:
-        checker.fault(name, "at", f"goes on after the end at {scenario.storm['seconds']:g} s")
+        checker.add_fault(name, "at", f"goes on after the end at {scenario.storm['seconds']:g} s")
     if what in ("kill-instance",) and values["part"] >= scenario.storm["instances"]:
-        checker.fault(name, "part", f"there are {scenario.storm['instances']} instances")
+        checker.add_fault(name, "part", f"there are {scenario.storm['instances']} instances")
     if kind.size is not None and not values["size"] and what != "terms":
-        checker.fault(name, "size", f"is missing: {what!r} has one, such as {kind.size[1]:g}")
+        checker.add_fault(name, "size", f"is missing: {what!r} has one, such as {kind.size[1]:g}")
     if values["given_up"] and not (what == "cut" and values["lasts"] and scenario.storm["fleet"]):
-        checker.fault(name, "given_up", "needs a cut that lasts, and [storm] fleet")
+        checker.add_fault(name, "given_up", "needs a cut that lasts, and [storm] fleet")
     if what in ("terms", "deaf") and not scenario.storm["sites"]:
-        checker.fault(name, "what", f"{what!r} needs [storm] sites")
+        checker.add_fault(name, "what", f"{what!r} needs [storm] sites")
     if what in ("propose", "abandon") and not scenario.storm["voters"]:
-        checker.fault(name, "what", f"{what!r} needs [storm] voters")
+        checker.add_fault(name, "what", f"{what!r} needs [storm] voters")
     if scenario.storm["platform"] and what in DAEMONS_ONLY:
-        checker.fault(name, "what", f"{what!r} needs daemons: [storm] platform is set")
+        checker.add_fault(name, "what", f"{what!r} needs daemons: [storm] platform is set")
     if len(checker.faults) > before:
         return None
-    return Planned(
+    return PlannedFault(
         what, values["at"], values["lasts"], hosts, to, values["size"], values["part"], values["given_up"]
     )
 
@@ -432,11 +444,11 @@
         elif name in allowed or ("server" in parts and name.startswith("sx") and name[2:].isdigit()):
             found.append(name)
         else:
-            checker.unknown(table, name, tuple(allowed))
+            checker.add_unknown_key(table, name, tuple(allowed))
     return tuple(dict.fromkeys(found))
 
 
-def _overlap(one: Planned, other: Planned) -> bool:
+def _overlap(one: PlannedFault, other: PlannedFault) -> bool:
     if not one.targets & other.targets:
         return False
     return one.at <= other.until and other.at <= one.until
@@ -446,28 +458,30 @@
     for key in ("count", "within_s", "lasts_s"):
         low, high = draw[key]
         if not 0 <= low <= high:
-            checker.fault("draw", key, f"is not a range from low to high: {draw[key]}")
+            checker.add_fault("draw", key, f"is not a range from low to high: {draw[key]}")
     if not draw["kinds"]:
-        checker.fault("draw", "kinds", "names no kind")
+        checker.add_fault("draw", "kinds", "names no kind")
     for name, weight in draw["kinds"].items():
         if name not in KINDS:
-            checker.unknown("draw.kinds", name, KINDS)
+            checker.add_unknown_key("draw.kinds", name, KINDS)
         elif not 0 < weight < 1e6:
-            checker.fault("draw.kinds", name, "is not a weight above 0")
+            checker.add_fault("draw.kinds", name, "is not a weight above 0")
     if draw["lasts_s"][0] <= 0:
-        checker.fault("draw", "lasts_s", "must begin above 0")
+        checker.add_fault("draw", "lasts_s", "must begin above 0")
     if draw["within_s"][1] + draw["lasts_s"][1] > scenario.storm["seconds"]:
-        checker.fault(
+        checker.add_fault(
             "draw", "within_s", f"with lasts_s goes on after the end at {scenario.storm['seconds']:g} s"
         )
 
 
-def _draw_faults(scenario: Scenario, rng: np.random.Generator, planned: list[Planned]) -> list[Planned]:
+def _draw_faults(
+    scenario: Scenario, rng: np.random.Generator, planned: list[PlannedFault]
+) -> list[PlannedFault]:
     draw = scenario.draw
     assert draw is not None
     names = sorted(draw["kinds"])
     weights = np.array([draw["kinds"][name] for name in names])
-    found: list[Planned] = []
+    found: list[PlannedFault] = []
     for _ in range(int(rng.integers(draw["count"][0], draw["count"][1] + 1))):
         for _ in range(MAX_DRAWS):
             item = _draw_one(scenario, rng, str(rng.choice(names, p=weights / weights.sum())))
@@ -477,7 +491,7 @@
     return found
 
 
-def _draw_one(scenario: Scenario, rng: np.random.Generator, what: str) -> Planned:
+def _draw_one(scenario: Scenario, rng: np.random.Generator, what: str) -> PlannedFault:
     draw = scenario.draw
     assert draw is not None
     kind = KINDS[what]
@@ -518,4 +532,4 @@
     elif kind.size is not None:
         size = round(float(np.exp(rng.uniform(*np.log(kind.size)))), 4)
     part = int(rng.integers(0, scenario.storm["instances"])) if what == "kill-instance" else 0
-    return Planned(what, at, lasts, hosts, to, size, part)
+    return PlannedFault(what, at, lasts, hosts, to, size, part)
--- a/sorrelfront/lab/storm/sites.py
+++ b/sorrelfront/lab/storm/sites.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from sorrelfront.lab.storm.history import Event
-from sorrelfront.sites.keys import make
+from sorrelfront.sites.keys import create_key_file
 
 MESSAGES_PORT, REQUESTS_PORT = 16_000, 16_100  # of a host's first instance
 MESSAGES_SUFFIX = "/words"  # suffix of a host's name: the links of messages to its gateway
@@ -86,13 +86,13 @@
 
     def __init__(self, folder: Path, sites: int) -> None:
         self.folder = folder
-        self.public = {site: make(folder / f"site{site}.key") for site in range(1, sites + 1)}
+        self.public = {site: create_key_file(folder / f"site{site}.key") for site in range(1, sites + 1)}
 
     def renew(self, site: int) -> str:
         """Replace a site's key pair and return the new public key; partners still have the old one."""
         path = self.folder / f"site{site}.key"
         path.unlink()
-        self.public[site] = make(path)
+        self.public[site] = create_key_file(path)
         return self.public[site]
 
 
--- a/sorrelfront/lab/storm/stage.py
+++ b/sorrelfront/lab/storm/stage.py
@@ -28,18 +28,25 @@
 from sorrelfront.daemon import control
 from sorrelfront.daemon.processes import open_process, send_signal
 from sorrelfront.decisions.fleet.view import Settings
-from sorrelfront.decisions.fleet.view import bound_us as view_bound_us
+from sorrelfront.decisions.fleet.view import convergence_bound_us as view_bound_us
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.fleet.copier import settings
-from sorrelfront.lab.crowd import LEFT, Crowd, Peer
+from sorrelfront.fleet.copier import replication_settings
+from sorrelfront.lab.crowd import LEFT, LoadGenerator, SocketClient
 from sorrelfront.lab.fleet.copies import bound_us
-from sorrelfront.lab.http1 import Registry, member, table
-from sorrelfront.lab.shop import Book, Mode, Server
+from sorrelfront.lab.http1 import Registry, make_config, member
+from sorrelfront.lab.shop import Ledger, Mode, Server
 from sorrelfront.lab.storm import disk, launch, sites
 from sorrelfront.lab.storm.history import History
 from sorrelfront.lab.storm.links import Network, TcpRelay, UdpRelay
-from sorrelfront.lab.storm.processes import MARK, Keeper, Owned, kill_all, marked, signal_all
-from sorrelfront.lab.storm.scenario import KINDS, Planned, Scenario
+from sorrelfront.lab.storm.processes import (
+    MARK,
+    CleanupProcess,
+    ManagedProcess,
+    find_marked,
+    kill_marked,
+    signal_marked,
+)
+from sorrelfront.lab.storm.scenario import KINDS, PlannedFault, Scenario
 
 CLAIM_PORT = 20_001
 BLOCKS = range(1, 250)  # N in 127.0.N.*: one block for each storm on this machine
@@ -116,7 +123,7 @@
 PORT_OFFSET = 1_000  # added to the ports of a second daemon on a host, and of moved members
 
 
-class CannotPlay(SorrelfrontError):
+class StormSetupError(SorrelfrontError):
     """Raised when a storm cannot be set up; the message is one line."""
 
     remedy = (
@@ -125,10 +132,10 @@
     )
 
 
-class _RecordingBook(Book):
+class _RecordingBook(Ledger):
     """One server's access to the book shared by all servers; records effects in the history."""
 
-    def __init__(self, server: str, whole: Book, history: History) -> None:
+    def __init__(self, server: str, whole: Ledger, history: History) -> None:
         super().__init__(whole.window_s)
         self.ran, self._keys = whole.ran, whole._keys
         self._server = server
@@ -156,7 +163,7 @@
         with contextlib.suppress(asyncio.CancelledError):  # the storm is being torn down
             await super()._serve(reader, writer)
 
-    async def _serve_one(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
+    async def _handle_request(self, whole: bytes, writer: asyncio.StreamWriter) -> None:
         stage = self._stage
         origin = stage.network.origin(writer.get_extra_info("peername"))
         sent = origin.sent_at - stage.history.began if origin else stage.history.now()
@@ -167,11 +174,11 @@
         if stage.scenario.storm["copies"]:
             host = call.partition("-")[0]  # an address from a copy leads through another host's relay
         stage.history.add("arrive", server=self.name, host=host, sent=round(sent, 6), call=call)
-        await super()._serve_one(whole, writer)
+        await super()._handle_request(whole, writer)
 
     def start_cold(self) -> None:
         """Start the cold period and record its limits in the history."""
-        self.begin()
+        self.mark_started()
         self._stage.history.add(
             "cold", server=self.name, capacity=self.slots / self.service_s, multiple=COLD_MULTIPLE,
             span_s=COLD_SPAN_S, cold_s=COLD_S, **{"from": COLD_FROM},
@@ -215,7 +222,7 @@
             self._history.add("told", host=self._host, server=server, phase=phase)
 
 
-class _Clients(Crowd):
+class _Clients(LoadGenerator):
     """The callers of one host's daemon."""
 
     def __init__(self, host: Host) -> None:
@@ -225,11 +232,11 @@
         self._rng = np.random.default_rng([host.stage.seed, 2, host.number])
         super().__init__(host.address, load["clients"], load["pause_ms"] / 1e3, name=f"{host.name}-c")
 
-    def asks(self, name: str, cls: str) -> None:
+    def on_request_sent(self, name: str, cls: str) -> None:
         """Record that a caller sends a request."""
         self._history.add("ask", host=self._host, call=name, **{"class": cls})
 
-    async def await_answer(self, peer: Peer, name: str) -> bytes:
+    async def await_answer(self, peer: SocketClient, name: str) -> bytes:
         """Wait for the answer; a random share of callers closes the connection after a random time.
 
         The share is the load's `leave`; the time is uniform up to `leave_ms`.
@@ -241,11 +248,11 @@
             async with asyncio.timeout(share * self._load["leave_ms"] / 1e3):
                 return await super().await_answer(peer, name)
         except TimeoutError:
-            peer.leave()
+            peer.abandon()
             self._history.add("left", host=self._host, call=name)
             return LEFT
 
-    def heard(self, name: str, cls: str, got: bytes, seconds: float) -> None:
+    def on_outcome(self, name: str, cls: str, got: bytes, seconds: float) -> None:
         """Record an answer with its status, latency and, if present, its policy version."""
         status = got.split(b" ")[1].decode() if got.startswith(b"HTTP/1.1 ") else got.decode()
         extra: dict[str, Any] = {"class": cls}
@@ -278,20 +285,20 @@
         self.registry = _HostRegistry(self.name, stage.history)
         # By server name, and "list"; in a storm with sites also "words HOST N" and "requests HOST N".
         self.relays: dict[str, TcpRelay] = {}
-        self.daemons: list[Owned] = []
+        self.daemons: list[ManagedProcess] = []
         self.clients: _Clients | None = None
-        self.there = True  # whether it is expected to be up
+        self.expected_up = True  # whether it is expected to be up
         self.ready = -1
         self.views: dict[str, list[str]] = {}
         self.policies: dict[str, tuple[int, str]] = {}  # by instance: version and standing
         # By instance: digest, whether it is level with the others, whether it serves by a copy of the list.
         self.copies: dict[str, tuple[str, bool, bool]] = {}
         self.phases: dict[str, str] = {}  # by instance, as last reported
-        self.twin: Owned | None = None
+        self.twin: ManagedProcess | None = None
         self.held = 1_000
         self.offers_state = 0  # which state of its site's offers its file contains
         self.moved = False  # whether its members use their second set of addresses
-        self._spinners: list[Owned] = []
+        self._spinners: list[ManagedProcess] = []
         self._pipes: list[asyncio.ReadTransport] = []
 
     @property
@@ -322,7 +329,7 @@
         """Write the configuration file of the daemon or of the platform's program."""
         scenario = self.stage.scenario
         if self.stage.platform:
-            config = table(self._relay_address("list"), [])
+            config = make_config(self._relay_address("list"), [])
             for cls in config["settings"]["grades"]:
                 cls["giveUpUs"] = int(scenario.load["deadline_ms"] * 1000)
             text = json.dumps(config)
@@ -366,7 +373,7 @@
     async def stop_twin(self) -> None:
         """Stop the second daemon with SIGTERM, if there is one."""
         if self.twin is not None:
-            self.twin.asked = True
+            self.twin.stop_requested = True
             self.twin.signal(signal.SIGTERM)
             await self.twin.reap(STOP_TIMEOUT_S)
 
@@ -443,7 +450,7 @@
                 self.relays[f"words {other.name} {at}"] = messages
                 target = (other.ip, sites.REQUESTS_PORT + at)
                 relay = TcpRelay(network, self.name, other.name, target)
-                relay.sent = sites.CrossingRecorder(self.name, other.name, add)
+                relay.on_client_data = sites.CrossingRecorder(self.name, other.name, add)
                 self.relays[f"requests {other.name} {at}"] = relay
 
     async def change_offers(self, state: int) -> None:
@@ -452,7 +459,7 @@
         self.write()
         written = self.stage.history.now()
         ok = False
-        with contextlib.suppress(control.Unavailable, OSError, TimeoutError):
+        with contextlib.suppress(control.DaemonUnavailable, OSError, TimeoutError):
             reply = await control.ask(self.folder / "c.sock", {"op": "reload"}, 10.0)
             ok = bool(reply.get("ok"))
         # A daemon that is down reads the file at its next start, so `ok` does not depend on the reload.
@@ -488,7 +495,7 @@
                 self.folder / "c.sock", {"op": "members", "instance": f"i{number}"}, 1.0
             )
             rows = reply["members"] if reply.get("ok") else None
-        except (control.Unavailable, OSError, TimeoutError, KeyError):
+        except (control.DaemonUnavailable, OSError, TimeoutError, KeyError):
             return None
         if rows is None:
             return None
@@ -497,7 +504,7 @@
     def _relay_address(self, name: str) -> str:
         return "{}:{}".format(*self.relays[name].address)
 
-    def start(self, *arguments: str, path: Path | None = None) -> Owned:
+    def start(self, *arguments: str, path: Path | None = None) -> ManagedProcess:
         """Start the program by its real command line, with `arguments` as further arguments.
 
         It goes through the lab's launcher if this storm replaces the clock or the disk or plants a defect.
@@ -520,7 +527,7 @@
                 environ[launch.PLANT] = launch.HOSTILE
         read, write = os.pipe()
         try:
-            owned = Owned([sys.executable, *command], environ, Path.cwd(), write)
+            owned = ManagedProcess([sys.executable, *command], environ, Path.cwd(), write)
         finally:
             os.close(write)
         self.stage.spawn(self._record_log(read))
@@ -529,11 +536,13 @@
         self.stage.spawn(self._await_end(owned))
         return owned
 
-    async def _await_end(self, owned: Owned) -> None:
+    async def _await_end(self, owned: ManagedProcess) -> None:
         await owned.ended.wait()
         if owned in self.daemons:
             self.daemons.remove(owned)
-        self.stage.history.add("end", host=self.name, pid=owned.pid, code=owned.code, asked=owned.asked)
+        self.stage.history.add(
+            "end", host=self.name, pid=owned.pid, code=owned.code, asked=owned.stop_requested
+        )
 
     async def _record_log(self, read: int) -> None:
         """Record its log line by line."""
@@ -580,7 +589,7 @@
             return sum(
                 item["phase"] == "ready" and item.get("ready_servers", 0) > 0 for item in status["instances"]
             )
-        except (control.Unavailable, OSError, TimeoutError, KeyError):
+        except (control.DaemonUnavailable, OSError, TimeoutError, KeyError):
             return 0
 
     def _record_policy(self, instance: str, section: dict[str, Any]) -> None:
@@ -609,7 +618,7 @@
         command = [*program, "policy", str(self.path), *arguments, "--json"]
         try:
             environ = {**os.environ, MARK: f"{self.stage.mark}/{self.name}-ctl"}
-            owned = Owned(command, environ, Path.cwd(), write)
+            owned = ManagedProcess(command, environ, Path.cwd(), write)
         finally:
             os.close(write)
         with os.fdopen(read, "rb") as pipe:
@@ -664,7 +673,7 @@
         """Stop all its daemons with SIGTERM and wait for their end."""
         daemons = list(self.daemons)
         for owned in daemons:
-            owned.asked = True
+            owned.stop_requested = True
             owned.signal(signal.SIGTERM)
         for owned in daemons:
             await owned.reap(within_s)
@@ -672,14 +681,14 @@
     async def kill(self) -> None:
         """Kill all its processes at once with SIGKILL."""
         for owned in self.daemons:
-            owned.asked = False  # an earlier request to stop no longer explains its end
-        await asyncio.to_thread(kill_all, self.mark)
+            owned.stop_requested = False  # an earlier request to stop no longer explains its end
+        await asyncio.to_thread(kill_marked, self.mark)
         for owned in list(self.daemons):
             await owned.reap()
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal to all its processes."""
-        signal_all(self.mark, number)
+        signal_marked(self.mark, number)
 
     async def status(self) -> list[dict[str, Any]]:
         """Return the status of its instances from the control socket."""
@@ -688,7 +697,7 @@
 
     def starve(self, core: int) -> None:
         """Pin all its threads to one core and run two busy loops there."""
-        for pid in marked(self.mark):
+        for pid in find_marked(self.mark):
             _pin(pid, {core})
         for _ in range(2):
             command = [
@@ -696,7 +705,9 @@
                 "-c",
                 "import time\nend = time.monotonic() + 600\nwhile time.monotonic() < end: pass",
             ]
-            spinner = Owned(command, {**os.environ, MARK: f"{self.stage.mark}/spinner"}, Path.cwd(), 2)
+            spinner = ManagedProcess(
+                command, {**os.environ, MARK: f"{self.stage.mark}/spinner"}, Path.cwd(), 2
+            )
             _pin(spinner.pid, {core})
             self._spinners.append(spinner)
 
@@ -706,7 +717,7 @@
             spinner.signal(signal.SIGKILL)
             await spinner.reap()
         self._spinners.clear()
-        for pid in marked(self.mark):
+        for pid in find_marked(self.mark):
             _pin(pid, set(range(os.cpu_count() or 1)))
 
 
@@ -728,7 +739,7 @@
         self.platform = bool(scenario.storm["platform"])
         self.rng = np.random.default_rng([seed, 2])
         self.network = Network(np.random.default_rng([seed, 3]))
-        self.book = Book(DEDUP_WINDOW_S)
+        self.book = Ledger(DEDUP_WINDOW_S)
         self.mark = uuid.uuid4().hex
         self.servers: dict[str, _RecordingServer] = {}
         self.hosts: dict[str, Host] = {}
@@ -738,7 +749,7 @@
         self.pending_commands = 0  # policy commands that have not returned
         self._phases: dict[str, dict[str, Any]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._active: dict[int, Planned] = {}
+        self._active: dict[int, PlannedFault] = {}
 
     def same_site(self, one: int, other: int) -> bool:
         """Return whether two hosts, by their numbers, belong to the same site."""
@@ -787,7 +798,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTOR_LIMIT, hard), hard))
         self.block, claim = claim_block(self.seed)
         self.folder = Path(tempfile.mkdtemp(prefix="storm-", dir=_scratch_directory()))
-        keeper = Keeper(self.mark, self.folder)
+        keeper = CleanupProcess(self.mark, self.folder)
         try:
             await self._set_up()
             await self._storm(show)
@@ -858,15 +869,15 @@
             if host.name not in late:
                 host.start()
             else:
-                host.there = False
+                host.expected_up = False
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
-                while any(host.there and host.ready < host.wanted for host in self.hosts.values()):
+                while any(host.expected_up and host.ready < host.wanted for host in self.hosts.values()):
                     self._raise_if_failed()
                     await asyncio.sleep(0.02)
         except TimeoutError:
             said = [event["line"] for event in self.history.events if event["kind"] == "said"][-3:]
-            raise CannotPlay(f"the daemons did not become ready: {' / '.join(said)}") from None
+            raise StormSetupError(f"the daemons did not become ready: {' / '.join(said)}") from None
         if storm["voters"]:
             await self._establish_policy()
         for host in self.hosts.values():
@@ -889,7 +900,7 @@
             return ""
         if self.pending_commands:
             return "a change is being proposed"
-        running = [host for host in hosts if host.there]
+        running = [host for host in hosts if host.expected_up]
         newest = max([least, *(version for host in running for version, _ in host.policies.values())])
         for host in running:
             for number in range(host.wanted):
@@ -921,14 +932,14 @@
             return 0.0
         probe_us = int(storm["probe_ms"] * 1_000)
         times = Settings(
-            interval_us=probe_us,
-            timeout_us=probe_us // 2,
-            gossip_us=50_000,
-            exchange_us=5_000_000,
-            recall_us=500_000,
+            probe_interval_us=probe_us,
+            probe_timeout_us=probe_us // 2,
+            gossip_interval_us=50_000,
+            push_pull_interval_us=5_000_000,
+            reconnect_interval_us=500_000,
         )
         impaired = any(item.what in ("freeze", "starve") for item in self.schedule)
-        return view_bound_us(times, storm["hosts"] * storm["instances"], awake=not impaired) / 1e6
+        return view_bound_us(times, storm["hosts"] * storm["instances"], healthy=not impaired) / 1e6
 
     def _copies_bound_s(self) -> float:
         """Return the time, by the design note, in which copies become equal once the view has settled."""
@@ -936,7 +947,7 @@
         if not storm["copies"]:
             return 0.0
         table = {"probe_ms": storm["probe_ms"], "gossip_ms": 50, "keep_ms": 3_600_000, "copies_kb_s": 512}
-        times = settings(table)
+        times = replication_settings(table)
         return bound_us(times, storm["hosts"] * storm["instances"]) / 1e6
 
     async def _add_server(self, name: str, cold: bool) -> None:
@@ -957,7 +968,7 @@
         site = self._site_of_server(name)
         for host in self.hosts.values():
             if host.site == site:
-                host.registry.change({**member(name, host._relay_address(name)), **known})
+                host.registry.update({**member(name, host._relay_address(name)), **known})
 
     async def _measure_lag(self) -> None:
         """Measure the event loop's delay: a busy harness would make the program look slow."""
@@ -971,7 +982,7 @@
 
     def _raise_if_failed(self) -> None:
         if self.failed:
-            raise CannotPlay(self.failed)
+            raise StormSetupError(self.failed)
 
     # The storm
 
@@ -998,13 +1009,15 @@
         self._raise_if_failed()
         self.history.add("rig", **self.figures())
 
-    async def _run_fault(self, number: int, item: Planned, began: float, show: Callable[[str], None]) -> None:
+    async def _run_fault(
+        self, number: int, item: PlannedFault, began: float, show: Callable[[str], None]
+    ) -> None:
         await asyncio.sleep(max(0.0, began + item.at - time.monotonic()))
         self.history.add(
             "fault", number=number, what=item.what, phase="begin", hosts=list(item.hosts), to=list(item.to),
-            size=item.size, words=item.words(),
+            size=item.size, words=item.describe(),
         )  # fmt: skip
-        show(f"{time.monotonic() - began:6.2f} s  {item.words()}")
+        show(f"{time.monotonic() - began:6.2f} s  {item.describe()}")
         self._active[number] = item
         await self._begin_fault(item)
         if not KINDS[item.what].lasts:
@@ -1014,9 +1027,9 @@
             if item.given_up:
                 await self._wait_until_given_up(item)
             await self._finish_fault(number)
-            show(f"{time.monotonic() - began:6.2f} s  over: {item.words()}")
+            show(f"{time.monotonic() - began:6.2f} s  over: {item.describe()}")
 
-    async def _wait_until_given_up(self, item: Planned) -> None:
+    async def _wait_until_given_up(self, item: PlannedFault) -> None:
         """Wait until the members on each side see exactly that side, for `settle_s` at most."""
         until = time.monotonic() + self.scenario.expect["settle_s"]
         names = item.hosts, item.to
@@ -1042,7 +1055,7 @@
         """Wait until every host that should be up is ready and serves again, and record the result."""
         expect = self.scenario.expect
         began = time.monotonic()
-        hosts = [host for host in self.hosts.values() if host.there]
+        hosts = [host for host in self.hosts.values() if host.expected_up]
         wanted = {
             host.name: len(host.clients.latencies) + expect["answers"]
             for host in hosts
@@ -1119,19 +1132,19 @@
         return {
             **self.network.figures(), "lag_p50_ms": round(float(np.percentile(lags, 50)), 2),
             "lag_p99_ms": round(float(np.percentile(lags, 99)), 2), "lag_max_ms": round(float(lags.max()), 2),
-            "left_out": self.history.left_out, "relay_refused": self.network.refused,
+            "left_out": self.history.dropped_events, "relay_refused": self.network.refused,
         }  # fmt: skip
 
     # Faults
 
-    def _hosts(self, item: Planned) -> list[Host]:
+    def _hosts(self, item: PlannedFault) -> list[Host]:
         return [self.hosts[name] for name in item.hosts if name in self.hosts]
 
-    async def _begin_fault(self, item: Planned) -> None:
+    async def _begin_fault(self, item: PlannedFault) -> None:
         match item.what:
             case "kill" | "move":
                 for host in self._hosts(item):
-                    host.there = False
+                    host.expected_up = False
                 await asyncio.gather(*(host.kill() for host in self._hosts(item)))
                 for host in self._hosts(item) if item.what == "move" else ():
                     host.move()
@@ -1162,7 +1175,7 @@
                 for host in self._hosts(item):
                     host.held += 1
                     host.write()
-                    with contextlib.suppress(control.Unavailable):
+                    with contextlib.suppress(control.DaemonUnavailable):
                         reply = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
                         self.history.add("reload", host=host.name, ok=bool(reply.get("ok")))
             case "twin":
@@ -1184,7 +1197,7 @@
             case "rekey":
                 for host in self._hosts(item):
                     host.rekey(int(item.size))
-                    with contextlib.suppress(control.Unavailable):
+                    with contextlib.suppress(control.DaemonUnavailable):
                         reply = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
                         self.history.add("reload", host=host.name, ok=bool(reply.get("ok")))
             case "clock-step":
@@ -1196,13 +1209,13 @@
                     host.clock = host.clock.at_rate(1 + item.size / 1e6, time.monotonic_ns())
                     host.clock.write(host.folder)
             case "disk-full" | "disk-readonly" | "disk-slow":
-                trouble = disk.Trouble(
+                trouble = disk.DiskFaults(
                     item.what == "disk-full",
                     item.what == "disk-readonly",
                     item.size / 1e3 if item.what == "disk-slow" else 0,
                 )
                 for host in self._hosts(item):
-                    disk.tell_trouble(host.folder, trouble)
+                    disk.set_disk_faults(host.folder, trouble)
             case "disk-torn" | "disk-back" | "disk-gone":
                 for host in self._hosts(item):
                     self._damage_disk(host, item.what)
@@ -1213,7 +1226,7 @@
             case "reset":
                 self.network.reset(_links(item))
             case "forget":
-                self.network.forget(_links(item))
+                self.network.leave_half_open(_links(item))
             case "delay":
                 self.network.change(_links(item), delay=item.size / 1e3, spread=item.size / 1e3)
             case "narrow":
@@ -1228,7 +1241,7 @@
                     item.what
                 ]
                 for name in item.to:
-                    self.servers[name].slower = item.size or 10.0
+                    self.servers[name].slow_factor = item.size or 10.0
                     self.servers[name].mode = mode
             case "server-drain":
                 for name in item.to:
@@ -1239,11 +1252,11 @@
             case "list-down":
                 self._list_down()
 
-    async def _revert_fault(self, item: Planned) -> None:
+    async def _revert_fault(self, item: PlannedFault) -> None:
         match item.what:
             case "kill" | "late" | "move" | "kill-supervisor":
                 for host in self._hosts(item):
-                    host.there = True
+                    host.expected_up = True
                     host.start()
             case "power":
                 await self._restore_power(item)
@@ -1262,7 +1275,7 @@
                     host.clock.write(host.folder)
             case "disk-full" | "disk-readonly" | "disk-slow":
                 for host in self._hosts(item):
-                    disk.tell_trouble(host.folder, disk.Trouble())
+                    disk.set_disk_faults(host.folder, disk.DiskFaults())
             case "cut" | "island" | "one-way" | "ring" | "deaf":
                 self.network.change(_links(item), cut=False)
             case "refuse":
@@ -1278,11 +1291,11 @@
                     await self._start_server(name)
             case "server-slow" | "server-hang" | "server-fail":
                 for name in item.to:
-                    self.servers[name].mode = Mode.WELL
+                    self.servers[name].mode = Mode.HEALTHY
             case "list-down":
                 await self._list_up()
 
-    async def _cut_power(self, item: Planned) -> None:
+    async def _cut_power(self, item: PlannedFault) -> None:
         """Kill everything at the same moment, then leave on the disks what survives a power cut."""
         hosts = self._hosts(item)
         for name in item.to:
@@ -1291,12 +1304,12 @@
         if "list" in item.to:
             self._list_down()
         for host in hosts:
-            host.there = False
+            host.expected_up = False
         every = len(hosts) == len(self.hosts)
         for owned in [owned for host in hosts for owned in host.daemons]:
-            owned.asked = False
+            owned.stop_requested = False
         for mark in [self.mark] if every else [host.mark for host in hosts]:
-            signal_all(mark, signal.SIGKILL)
+            signal_marked(mark, signal.SIGKILL)
         await asyncio.gather(*(host.kill() for host in hosts))
         for host in hosts:
             left = await asyncio.to_thread(disk.cut_power, host.folder, self.rng)
@@ -1305,18 +1318,18 @@
                 broken=[Path(path).name for path in left.broken],
             )  # fmt: skip
 
-    async def _restore_power(self, item: Planned) -> None:
+    async def _restore_power(self, item: PlannedFault) -> None:
         if "list" in item.to:
             await self._list_up()
         for name in item.to:
             if name in self.servers:
                 await self._start_server(name)
         for host in self._hosts(item):
-            host.there = True
+            host.expected_up = True
             host.start()
 
     async def _kill_instance(self, host: Host, part: int) -> None:
-        with contextlib.suppress(control.Unavailable, OSError):
+        with contextlib.suppress(control.DaemonUnavailable, OSError):
             instances = await host.status()
             pid = instances[part]["pid"] if part < len(instances) else None
             handle = open_process(pid) if pid else None
@@ -1328,7 +1341,7 @@
         """Start the next version with `--replace`; if it does not take over, the one before continues."""
         before = list(host.daemons)
         for owned in before:
-            owned.asked = True
+            owned.stop_requested = True
         fresh = host.start("--replace")
         ends = [asyncio.create_task(owned.ended.wait()) for owned in [*before, fresh]]
         await asyncio.wait(ends, timeout=STOP_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
@@ -1347,14 +1360,14 @@
                 with contextlib.suppress(FileNotFoundError):  # it was replaced in the meantime
                     data = path.read_bytes()
                     path.write_bytes(data[: int(share * len(data))])
-        (host.folder / disk.LOG).write_bytes(b"")
+        (host.folder / disk.LOG_FILE).write_bytes(b"")
 
     def _kill_server(self, name: str) -> None:
         server = self.servers[name]
-        server.gone = True
+        server.killed = True
         server.stop()
         for host in self.hosts.values():
-            host.relays[name].serve(False)
+            host.relays[name].set_service_listening(False)
 
     async def _start_server(self, name: str) -> None:
         before = self.servers[name]
@@ -1362,20 +1375,20 @@
         await server.start(before.address.partition(":")[0])
         for host in self.hosts.values():
             host.relays[name].target = _parse_address(server.address)
-            host.relays[name].serve(True)
+            host.relays[name].set_service_listening(True)
         server.start_cold()
         self._publish_phase(name, self._phases[name]["phase"], cold=True)
 
     def _list_down(self) -> None:
         for host in self.hosts.values():
-            host.relays["list"].serve(False)
+            host.relays["list"].set_service_listening(False)
             host.registry.stop()
 
     async def _list_up(self) -> None:
         for host in self.hosts.values():
             await host.registry.start(f"127.0.{self.block}.200")
             host.relays["list"].target = _parse_address(host.registry.address)
-            host.relays["list"].serve(True)
+            host.relays["list"].set_service_listening(True)
 
     # Teardown
 
@@ -1386,18 +1399,18 @@
             if host.clients is not None:
                 with contextlib.suppress(Exception):
                     await host.clients.stop()
-        if not await asyncio.to_thread(kill_all, self.mark):
+        if not await asyncio.to_thread(kill_marked, self.mark):
             self.failed = self.failed or "processes were left behind"
         self.network.close()
         for host in self.hosts.values():
             host.registry.stop()
         for server in self.servers.values():
-            server.gone = True
+            server.killed = True
             server.stop()
         self.history.flush()
 
 
-def _links(item: Planned) -> set[tuple[str, str]]:
+def _links(item: PlannedFault) -> set[tuple[str, str]]:
     """Return the directed links that a fault affects.
 
     Messages between sites have links separate from those of requests. `deaf` affects only the links of
@@ -1441,4 +1454,4 @@
             return block, sock
         except OSError:
             sock.close()
-    raise CannotPlay("no block of loopback addresses is free")
+    raise StormSetupError("no block of loopback addresses is free")
--- a/sorrelfront/lab/zookeeper/__main__.py
+++ b/sorrelfront/lab/zookeeper/__main__.py
@@ -21,7 +21,7 @@
 import click
 
 from sorrelfront.lab.zookeeper.ensemble import Ensemble, Member
-from sorrelfront.lists import Malformed, parse_address
+from sorrelfront.lists import MalformedList, parse_address
 
 
 async def execute(ensemble: Ensemble, command: dict[str, Any]) -> dict[str, Any]:
@@ -29,7 +29,7 @@
     members = ensemble.members if "member" not in command else [ensemble.members[int(command["member"])]]
     do = command["do"]
     if do == "asked":
-        return {"asked": dict(ensemble.asked), "open": ensemble.open, "watches": ensemble.watches}
+        return {"asked": dict(ensemble.request_counts), "open": ensemble.open, "watches": ensemble.watches}
     if do == "expire":
         ensemble.expire(int(command["session"]))
     elif do == "expire_under":
@@ -83,7 +83,7 @@
         host, _, port = item.rpartition(":")
         try:
             addresses.append((host, 0) if port == "0" else parse_address(item))
-        except Malformed as fault:
+        except MalformedList as fault:
             raise click.BadParameter(str(fault)) from None
     asyncio.run(serve(addresses, seed))
 
--- a/sorrelfront/lab/zookeeper/ensemble.py
+++ b/sorrelfront/lab/zookeeper/ensemble.py
@@ -31,9 +31,9 @@
     Perm,
     Reader,
     Writer,
-    checked_path,
     frame_length,
-    parent,
+    parent_path,
+    validated_path,
 )
 
 CONNECTED = 3  # the session state in watch events
@@ -78,7 +78,7 @@
         self.answer_delay_s = 0.0
         self.watch_delay_s = 0.0
         self.quorum = "kept"
-        self.asked: Counter[str] = Counter()  # requests by operation, since the start
+        self.request_counts: Counter[str] = Counter()  # requests by operation, since the start
         self.connections = 0  # so far
         self._resumed = asyncio.Event()
         self._resumed.set()
@@ -261,7 +261,7 @@
             raise Malformed("unsupported protocol version")
         last_zxid, timeout_ms, number = request.int64(), request.int32(), request.int64()
         password = request.buffer() or b""
-        asks_read_only = request.left > 0
+        asks_read_only = request.remaining_bytes > 0
         may_read_only = asks_read_only and request.flag()
         if self.quorum == "read-only" and not may_read_only:
             return None
@@ -298,7 +298,7 @@
         peer.session = tree.sessions[peer.session.id]
         peer.session.last_heard_ms = self.ensemble.now_ms()
         op = Op(number) if number in Op.__members__.values() else None
-        self.asked[op.name if op is not None else "unknown"] += 1
+        self.request_counts[op.name if op is not None else "unknown"] += 1
         body = Writer()
         err = Err.OK
         if op is Op.CLOSE:
@@ -355,7 +355,7 @@
     @staticmethod
     def _path(request: Reader) -> str:
         try:
-            return checked_path(request.text())
+            return validated_path(request.text())
         except Malformed:
             raise Refused(Err.BAD_ARGUMENTS) from None
 
@@ -437,9 +437,9 @@
     def _multi(self, request: Reader, peer: Peer) -> Writer:
         """Execute a transaction, all operations or none; watches fire only if all succeeded."""
         tree = self.ensemble.tree
-        before, listeners = tree.snapshot(), tree.changed
+        before, listeners = tree.snapshot(), tree.listeners
         events: list[tuple[Event, str]] = []
-        tree.changed = [lambda event, path, _: events.append((event, path))]
+        tree.listeners = [lambda event, path, _: events.append((event, path))]
         results: list[tuple[int, Writer]] = []
         failed: Err | None = None
         after_failure = 0  # operations after the one that failed
@@ -465,7 +465,7 @@
             tree.restore(before)
             raise
         finally:
-            tree.changed = listeners
+            tree.listeners = listeners
         answer = Writer()
         if failed is not None:
             tree.restore(before)
@@ -495,7 +495,7 @@
     def __init__(self, members: int = 1, seed: int = 1) -> None:
         self.tree = Tree(seed)
         self.members = [Member(self) for _ in range(members)]
-        self.tree.changed.append(self._fire)
+        self.tree.listeners.append(self._fire)
         self._expiry_task: asyncio.Task[None] | None = None
 
     async def start(self, addresses: Iterable[tuple[str, int]] = ()) -> Ensemble:
@@ -517,9 +517,9 @@
         return time.time_ns() // 1_000_000
 
     @property
-    def asked(self) -> Counter[str]:
+    def request_counts(self) -> Counter[str]:
         """Requests to all members, by operation."""
-        return sum((member.asked for member in self.members), Counter[str]())
+        return sum((member.request_counts for member in self.members), Counter[str]())
 
     @property
     def watches(self) -> int:
@@ -543,7 +543,7 @@
                 for session in self.tree.sessions.values():
                     session.last_heard_ms = self.now_ms()
                 continue
-            for number in self.tree.overdue(self.now_ms()):
+            for number in self.tree.expired_sessions(self.now_ms()):
                 self.expire(number)
 
     # Faults of the whole ensemble
@@ -558,7 +558,7 @@
 
     def expire_under(self, path: str) -> None:
         """Expire the sessions that own children of this node, as after a stall."""
-        below = (node.owner for at, node in self.tree.nodes.items() if parent(at) == path)
+        below = (node.owner for at, node in self.tree.nodes.items() if parent_path(at) == path)
         for number in {owner for owner in below if owner}:
             self.expire(number)
 
@@ -574,7 +574,7 @@
         for member in self.members:
             member.stall()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """End the stall of every member; each session gets its whole timeout again."""
         now = self.now_ms()
         for session in self.tree.sessions.values():
--- a/sorrelfront/lab/zookeeper/registrar.py
+++ b/sorrelfront/lab/zookeeper/registrar.py
@@ -23,7 +23,7 @@
     record: dict[str, Any]
     node: str
     session: net.Session
-    again: bool = True
+    reregister: bool = True
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
 
@@ -34,12 +34,14 @@
         self.hosts = tuple(parse_address(host) for host in hosts.split(","))
         self.path, self.timeout_s, self._seed = path, timeout_s, seed
         self.servers: dict[str, Registration] = {}
-        self.admin = net.Session(net.Terms(self.hosts, timeout_s), seed, _ignore_state, _ignore_event)
+        self.admin = net.Session(
+            net.SessionSettings(self.hosts, timeout_s), seed, _ignore_state, _ignore_event
+        )
 
-    async def make_path(self) -> None:
+    async def create_path(self) -> None:
         """Create each node of the path that does not exist yet."""
         for depth in range(2, len(self.path.split("/")) + 1):
-            with contextlib.suppress(net.NotDone):
+            with contextlib.suppress(net.ZooKeeperError):
                 await self.admin.create("/".join(self.path.split("/")[:depth]), b"")
 
     async def register(self, name: str, address: str, node: str = "", **more: Any) -> Registration:
@@ -52,15 +54,15 @@
         return entry
 
     def _open(self, entry: Registration) -> None:
-        def on_state(state: net.Life) -> None:
-            if state is net.Life.EXPIRED and entry.again:
+        def on_state(state: net.SessionState) -> None:
+            if state is net.SessionState.EXPIRED and entry.reregister:
                 task = asyncio.create_task(self._create_node(entry))
                 entry.tasks.add(task)
                 task.add_done_callback(entry.tasks.discard)
 
         self._seed += 1
         entry.session = net.Session(
-            net.Terms(self.hosts, self.timeout_s), self._seed, on_state, _ignore_event
+            net.SessionSettings(self.hosts, self.timeout_s), self._seed, on_state, _ignore_event
         )
 
     async def _create_node(self, entry: Registration) -> None:
@@ -69,12 +71,12 @@
                 data = json.dumps(entry.record).encode()
                 await entry.session.create(f"{self.path}/{entry.node}", data, Flag.EPHEMERAL)
                 return
-            except net.Lost:
+            except net.ConnectionLost:
                 continue
-            except net.NotDone as error:
+            except net.ZooKeeperError as error:
                 if error.err == Err.NODE_EXISTS:
                     # The server's own node, of its previous session, which has not expired yet.
-                    with contextlib.suppress(net.NotDone, net.Lost):
+                    with contextlib.suppress(net.ZooKeeperError, net.ConnectionLost):
                         await entry.session.delete(f"{self.path}/{entry.node}")
                 elif error.err == Err.NO_NODE:
                     await asyncio.sleep(0.05)
@@ -90,27 +92,27 @@
                 try:
                     await entry.session.put(f"{self.path}/{entry.node}", json.dumps(entry.record).encode())
                     return
-                except net.Lost:
+                except net.ConnectionLost:
                     continue
-                except net.NotDone:  # it is being registered again, with the current record
+                except net.ZooKeeperError:  # it is being registered again, with the current record
                     await asyncio.sleep(0.02)
 
-    async def leave(self, name: str) -> None:
+    async def deregister(self, name: str) -> None:
         """End the server's session, which deletes its node."""
         entry = self.servers.pop(name)
-        entry.again = False
+        entry.reregister = False
         await entry.session.close()
 
     def crash(self, name: str) -> None:
         """Stop the server's heartbeats without closing the session, which ends when it expires."""
         entry = self.servers.pop(name)
-        entry.again = False
+        entry.reregister = False
         entry.session.abandon()
 
     async def close(self) -> None:
         """Abandon all sessions and stop registering."""
         for entry in self.servers.values():
-            entry.again = False
+            entry.reregister = False
             entry.session.abandon()
             for task in [*entry.tasks]:
                 task.cancel()
@@ -119,7 +121,7 @@
         await asyncio.sleep(0)
 
 
-def _ignore_state(state: net.Life) -> None:
+def _ignore_state(state: net.SessionState) -> None:
     """Ignore a change of the session's state."""
 
 
--- a/sorrelfront/lab/zookeeper/tree.py
+++ b/sorrelfront/lab/zookeeper/tree.py
@@ -16,7 +16,7 @@
 
 from sorrelfront.net.jute import (
     ANY_VERSION,
-    OPEN_TO_ALL,
+    OPEN_ACL_UNSAFE,
     PASSWORD_BYTES,
     Acl,
     Err,
@@ -24,8 +24,8 @@
     Flag,
     Perm,
     Stat,
-    checked_path,
-    parent,
+    parent_path,
+    validated_path,
 )
 
 MAX_NODES = 200_000
@@ -89,8 +89,8 @@
 
     def __init__(self, seed: int = 1, first_zxid: int = 0) -> None:
         self.zxid = first_zxid
-        self.changed: list[Callable[[Event, str, int], None]] = []
-        self.nodes = {"/": Node(b"", OPEN_TO_ALL, 0, 0, 0)}
+        self.listeners: list[Callable[[Event, str, int], None]] = []
+        self.nodes = {"/": Node(b"", OPEN_ACL_UNSAFE, 0, 0, 0)}
         self.sessions: dict[int, Session] = {}
         self._random = Random(seed)
 
@@ -124,7 +124,7 @@
         for path in sorted(session.ephemeral_paths):
             self._remove(path)
 
-    def overdue(self, now_ms: int) -> list[int]:
+    def expired_sessions(self, now_ms: int) -> list[int]:
         """Return the ids of the sessions that sent nothing for longer than their timeout."""
         return [item.id for item in self.sessions.values() if now_ms - item.last_heard_ms > item.timeout_ms]
 
@@ -155,13 +155,13 @@
             raise Refused(Err.BAD_ARGUMENTS)
         if len(self.nodes) >= MAX_NODES:
             raise Refused(Err.RUNTIME_INCONSISTENCY)
-        parent_node = self.find(parent(path.rstrip("/") or "/"))
+        parent_node = self.find(parent_path(path.rstrip("/") or "/"))
         self.check_access(parent_node, Perm.CREATE, ids)
         if parent_node.owner:
             raise Refused(Err.NO_CHILDREN_FOR_EPHEMERALS)
         if flags & Flag.SEQUENTIAL:
             path = f"{path}{parent_node.children_created:010d}"
-        checked_path(path)
+        validated_path(path)
         if path in self.nodes:
             raise Refused(Err.NODE_EXISTS)
         owner = session if flags & Flag.EPHEMERAL else 0
@@ -178,7 +178,7 @@
         if owner:
             self.sessions[owner].ephemeral_paths.add(path)
         self._notify(Event.CREATED, path)
-        self._notify(Event.CHILD, parent(path))
+        self._notify(Event.CHILD, parent_path(path))
         return path
 
     def _resolve_acls(self, acls: tuple[Acl, ...], ids: set[tuple[str, str]]) -> tuple[Acl, ...]:
@@ -199,7 +199,7 @@
     def delete(self, path: str, version: int, ids: set[tuple[str, str]]) -> None:
         """Delete a node that has no children. Raises Refused."""
         node = self.find(path)
-        self.check_access(self.find(parent(path)), Perm.DELETE, ids)
+        self.check_access(self.find(parent_path(path)), Perm.DELETE, ids)
         if path == "/":
             raise Refused(Err.BAD_ARGUMENTS)
         if version not in (ANY_VERSION, node.version):
@@ -214,13 +214,13 @@
     def _remove(self, path: str) -> None:
         if self.nodes.pop(path, None) is None:
             return
-        parent_node = self.nodes.get(parent(path))
+        parent_node = self.nodes.get(parent_path(path))
         if parent_node is not None:
             parent_node.children.discard(path.rpartition("/")[2])
             parent_node.cversion += 1
             parent_node.pzxid = self.zxid
         self._notify(Event.DELETED, path)
-        self._notify(Event.CHILD, parent(path))
+        self._notify(Event.CHILD, parent_path(path))
 
     def set(self, path: str, data: bytes, version: int, ids: set[tuple[str, str]], now_ms: int) -> Stat:
         """Replace a node's data and return its new metadata. Raises Refused."""
@@ -265,5 +265,5 @@
         self.nodes, self.sessions, self.zxid = other.nodes, other.sessions, other.zxid
 
     def _notify(self, event: Event, path: str) -> None:
-        for listener in self.changed:
+        for listener in self.listeners:
             listener(event, path, self.zxid)
--- a/sorrelfront/lists.py
+++ b/sorrelfront/lists.py
@@ -14,7 +14,7 @@
 STATE_BY_PHASE = {"ready": api.State.READY, "draining": api.State.DRAINING, "gone": api.State.GONE}
 
 
-class Malformed(SorrelfrontError):
+class MalformedList(SorrelfrontError):
     """A list or an address that cannot be parsed."""
 
     remedy = (
@@ -34,7 +34,7 @@
             return str(IPv4Address(host)), int(port)
     except AddressValueError:
         pass
-    raise Malformed(f"not an address: {str(text)[:80]!r}")
+    raise MalformedList(f"not an address: {str(text)[:80]!r}")
 
 
 def parse_update(value: Any) -> Update:
@@ -48,15 +48,15 @@
                 addresses[backend.id] = parse_address(member["host_port"])
         return Update(int(value["revision"]), bool(value["complete"]), tuple(backends), addresses)
     except KeyError as missing:
-        raise Malformed(f"{missing.args[0]} is missing") from None
+        raise MalformedList(f"{missing.args[0]} is missing") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as fault:
-        raise Malformed(str(fault)) from None
+        raise MalformedList(str(fault)) from None
 
 
 def _parse_backend(member: dict[str, Any]) -> api.Backend:
     state = STATE_BY_PHASE.get(member["phase"])
     if state is None:
-        raise Malformed(f"phase is unknown: {member['phase']!r}")
+        raise MalformedList(f"phase is unknown: {member['phase']!r}")
     return api.Backend(
         id=str(member["id"]),
         zone=str(member.get("locality", "")),
--- a/sorrelfront/log_limits.py
+++ b/sorrelfront/log_limits.py
@@ -6,8 +6,10 @@
 import time
 from collections.abc import Callable
 
-SPAN_S = 10.0
-BURST = 20  # records of one kind in SPAN_S; a peer that fails often could otherwise fill the disk
+WINDOW_S = 10.0
+MAX_RECORDS_PER_WINDOW = (
+    20  # records of one kind in SPAN_S; a peer that fails often could otherwise fill the disk
+)
 MAX_KINDS = 512  # kinds that are counted separately; all others share one count
 
 
@@ -29,9 +31,9 @@
             kind = ("", 0)
         now = self._clock()
         began, count = self._kinds.get(kind, (now, 0))
-        if now - began >= SPAN_S:
-            if count > BURST:
-                record.left_out = count - BURST
+        if now - began >= WINDOW_S:
+            if count > MAX_RECORDS_PER_WINDOW:
+                record.left_out = count - MAX_RECORDS_PER_WINDOW
             began, count = now, 0
         self._kinds[kind] = (began, count + 1)
-        return count < BURST
+        return count < MAX_RECORDS_PER_WINDOW
--- a/sorrelfront/messages.py
+++ b/sorrelfront/messages.py
@@ -21,7 +21,7 @@
         ...
 
     @property
-    def whole_at(self) -> float | None:
+    def completed_at(self) -> float | None:
         """Monotonic time in seconds at which the last byte arrived; None until then."""
 
     def begin(self) -> bool:
@@ -66,7 +66,7 @@
     upload: Upload | None = None  # the body, if it is too long to be buffered
     # Returns whether the client has disconnected, even if this has not been reported yet. None if the front
     # cannot detect it.
-    left: Callable[[], bool] | None = None
+    client_gone: Callable[[], bool] | None = None
 
 
 class Refused(NamedTuple):
@@ -90,15 +90,15 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptResult:
     """Result of an attempt; `answer` is set if it ended with a 200 that is to be passed on."""
 
     outcome: api.Outcome
     answer: Answer | None = None
-    tail_us: int = 0  # time from the first to the last byte of the answer
+    answer_duration_us: int = 0  # time from the first to the last byte of the answer
 
 
-Final = Answer | Refused | Failed
+FinalAnswer = Answer | Refused | Failed
 
 
 class Update(NamedTuple):
--- a/sorrelfront/net/bodies.py
+++ b/sorrelfront/net/bodies.py
@@ -14,7 +14,7 @@
 import time
 
 
-class Broken(ConnectionError):
+class BodyAborted(ConnectionError):
     """The rest of a body will not arrive."""
 
 
@@ -30,7 +30,7 @@
         """
         self.length = length
         self.received = len(prefix)
-        self.whole_at: float | None = None  # when the last byte arrived, on the monotonic clock
+        self.completed_at: float | None = None  # when the last byte arrived, on the monotonic clock
         self._prefix = bytes(prefix)
         self._chunk = b""  # waits to be read
         self._started = False  # the consumer has read the prefix
@@ -56,12 +56,12 @@
 
     def end(self) -> None:
         """Mark the body as complete."""
-        self.whole_at = time.monotonic()
+        self.completed_at = time.monotonic()
         self._changed.set()
 
     def abort(self) -> None:
         """Fail the consumer because the rest will not arrive. Does nothing if the body is complete."""
-        if self.whole_at is None:
+        if self.completed_at is None:
             self._aborted = True
             self._changed.set()
 
@@ -91,8 +91,8 @@
                 self._changed.set()
                 return chunk
             if self._aborted or self._discarded:
-                raise Broken("the rest of the request body will not arrive")
-            if self.whole_at is not None:
+                raise BodyAborted("the rest of the request body will not arrive")
+            if self.completed_at is not None:
                 return b""
             self._changed.clear()
             await self._changed.wait()
--- a/sorrelfront/net/budget.py
+++ b/sorrelfront/net/budget.py
@@ -4,15 +4,17 @@
 
 import asyncio
 
-OTHER_DESCRIPTORS = 32  # standard streams, event loop, listener, discovery, and a reserve
+RESERVED_DESCRIPTORS = 32  # standard streams, event loop, listener, discovery, and a reserve
 CLIENT_SHARE = 0.6  # of the rest; clients must never use up the descriptors for backends
 
-BODY_MOST = 65_536  # the longest body that is buffered whole, of a request or an answer
-STREAM_MOST = 32 * 1024 * 1024  # the longest body accepted; above BODY_MOST it is streamed
+MAX_BUFFERED_BODY = 65_536  # the longest body that is buffered whole, of a request or an answer
+MAX_STREAMED_BODY = 32 * 1024 * 1024  # the longest body accepted; above BODY_MOST it is streamed
 SMALL_BODY = 4_096  # bytes per request that need no wait, so that short bodies never wait behind long ones
 BASE_MEMORY = 28 * 1024 * 1024  # the interpreter, connections, small bodies and answers in flight
 BODY_MEMORY_SHARE = 0.4  # of the rest; the allocator rounds up, a growing body is copied, heads take some too
-MIN_BODY_MEMORY = 32 * BODY_MOST  # 2 MB: below the least memory of an agent, and enough to make progress
+MIN_BODY_MEMORY = (
+    32 * MAX_BUFFERED_BODY
+)  # 2 MB: below the least memory of an agent, and enough to make progress
 
 
 class Descriptors:
@@ -23,10 +25,12 @@
     """
 
     def __init__(self, sockets: int) -> None:
-        usable = max(8, sockets - OTHER_DESCRIPTORS)
+        usable = max(8, sockets - RESERVED_DESCRIPTORS)
         self.clients = int(usable * CLIENT_SHARE)
         self.backends = usable - self.clients
-        self.asking = sockets // 3  # the most that clients hold for requests, as the deployment guarantees
+        self.max_active = (
+            sockets // 3
+        )  # the most that clients hold for requests, as the deployment guarantees
 
 
 class BodyBudget:
@@ -53,7 +57,7 @@
 
     def fits(self, share: BodyShare) -> bool:
         """Return whether this growing body may grow now."""
-        reserved = 0 if next(iter(self._growing)) is share else BODY_MOST
+        reserved = 0 if next(iter(self._growing)) is share else MAX_BUFFERED_BODY
         return self.held + reserved < self.max_bytes
 
     async def wait_for_room(self, share: BodyShare) -> None:
@@ -92,7 +96,7 @@
 
     def may_block(self) -> bool:
         """Return whether `wait_for_room` might wait."""
-        return self.held >= SMALL_BODY and self._budget.held + BODY_MOST >= self._budget.max_bytes
+        return self.held >= SMALL_BODY and self._budget.held + MAX_BUFFERED_BODY >= self._budget.max_bytes
 
     def add(self, count: int) -> None:
         """Account for `count` more buffered bytes."""
--- a/sorrelfront/net/heads.py
+++ b/sorrelfront/net/heads.py
@@ -17,7 +17,7 @@
 
 from sorrelfront.messages import Headers
 
-HEAD_MOST = 16_384  # bytes; usual heads have hundreds, and a hostile one has no end
+MAX_HEAD_BYTES = 16_384  # bytes; usual heads have hundreds, and a hostile one has no end
 HEAD_END = re.compile(rb"\n\r?\n")  # as h11 finds it; a plain head ends with CR LF CR LF
 TARGET = re.compile(rb"[!-~]+")
 LENGTH = re.compile(rb"[0-9]{1,9}")
@@ -106,7 +106,7 @@
 
 def request_head(head: bytes) -> RequestHead | None:
     """Parse the head of a request, which ends with an empty line. Returns None if it is not plain."""
-    if len(head) > HEAD_MOST or not _has_plain_lines(head):
+    if len(head) > MAX_HEAD_BYTES or not _has_plain_lines(head):
         return None
     collector = _HeadCollector()
     parser = httptools.HttpRequestParser(collector)
@@ -133,7 +133,7 @@
 
     An answer that does not give its length, or has no body because of its status, is not plain.
     """
-    if len(head) > HEAD_MOST or not _has_plain_lines(head) or not head.startswith(b"HTTP/1.1 "):
+    if len(head) > MAX_HEAD_BYTES or not _has_plain_lines(head) or not head.startswith(b"HTTP/1.1 "):
         return None
     collector = _HeadCollector()
     parser = httptools.HttpResponseParser(collector)
@@ -151,7 +151,7 @@
     return AnswerHead(status, collector.headers, framing[0], framing[1])
 
 
-def framed(start: bytes, headers: Headers, body: bytes | bytearray) -> bytes:
+def frame_message(start: bytes, headers: Headers, body: bytes | bytearray) -> bytes:
     """Return a whole message as bytes: start line, headers and body.
 
     `headers` are not checked: they come from a message that was accepted, or from this program.
--- a/sorrelfront/net/http.py
+++ b/sorrelfront/net/http.py
@@ -18,13 +18,15 @@
 import h11
 
 from sorrelfront.messages import Headers
-from sorrelfront.net.heads import HEAD_MOST as HEAD_MOST
+from sorrelfront.net.heads import MAX_HEAD_BYTES as MAX_HEAD_BYTES
 
 RECEIVE_BYTES = 65_536  # per read: a few reads per megabyte, and the most that a stream buffers
 SEND_BYTES = 65_536  # per write, so that a stall within a long body is noticed
 # Chunks parsed before the event loop runs other tasks. One read may hold ten thousand chunks of one byte.
-PIECES_IN_A_ROW = 64
-KERNEL_BUFFER = 131_072  # bytes per socket buffer; autotuned ones would grow to megabytes per connection
+MAX_CHUNKS_PER_TURN = 64
+SOCKET_BUFFER_BYTES = (
+    131_072  # bytes per socket buffer; autotuned ones would grow to megabytes per connection
+)
 
 # Headers of the connection, not of the message (RFC 9110, 7.6.1), and of the framing, which is redone.
 HOP_BY_HOP = frozenset(
@@ -83,7 +85,7 @@
                     timer.cancel()
         return self._take_received()
 
-    def unread(self) -> bytes:
+    def receive_now(self) -> bytes:
         """Return what has arrived, without waiting.
 
         Empty if nothing has, or at end of stream. Raises OSError.
@@ -95,16 +97,16 @@
                 return b""
         return self._take_received()
 
-    def rest(self, on_event: Callable[[], None]) -> None:
+    def watch_idle(self, on_event: Callable[[], None]) -> None:
         """Watch an idle connection: `on_event` is called, once, when the peer sends something or closes."""
         self._on_idle_event = on_event
         self._watch()
 
-    def wake(self) -> None:
+    def unwatch_idle(self) -> None:
         """Stop watching as idle; the connection is in use again."""
         self._on_idle_event = None
 
-    def listen(self, on_data: Callable[[bytes | OSError], None] | None) -> None:
+    def on_receive(self, on_data: Callable[[bytes | OSError], None] | None) -> None:
         """Deliver input to a callback instead of `receive`, within the reader callback that reads it.
 
         The callback gets bytes, empty at end of stream, or the error. That takes no future and no further
@@ -192,7 +194,7 @@
             async with asyncio.timeout(stall_s):
                 await self._loop.sock_sendall(self.sock, view[start : start + SEND_BYTES])
 
-    def quiet(self) -> bool:
+    def nothing_unread(self) -> bool:
         """Return whether no input is unread: no bytes, no end of stream, no error."""
         if self._received is not None:
             return False
@@ -245,7 +247,7 @@
     body: bytearray = field(default_factory=bytearray)
 
 
-def frame(parser: h11.Connection, *events: h11.Event) -> bytes:
+def frame_events(parser: h11.Connection, *events: h11.Event) -> bytes:
     """Return the bytes of these events as `parser` frames them."""
     return b"".join(parser.send(event) or b"" for event in events)
 
--- a/sorrelfront/net/jute.py
+++ b/sorrelfront/net/jute.py
@@ -15,7 +15,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-FRAME_MOST = 1_048_576 + 1_024  # bytes: the default `jute.maxbuffer` of 0xfffff, plus the header
+MAX_FRAME_BYTES = 1_048_576 + 1_024  # bytes: the default `jute.maxbuffer` of 0xfffff, plus the header
 MAX_VECTOR_ELEMENTS = 65_536  # children of a node, or watches to set again
 ANY_VERSION = -1
 PASSWORD_BYTES = 16
@@ -111,7 +111,7 @@
     id: str
 
 
-OPEN_TO_ALL = (Acl(Perm.ALL, "world", "anyone"),)
+OPEN_ACL_UNSAFE = (Acl(Perm.ALL, "world", "anyone"),)
 
 
 class Stat(NamedTuple):
@@ -217,13 +217,13 @@
         self._cursor = 0
 
     @property
-    def left(self) -> int:
+    def remaining_bytes(self) -> int:
         """The number of bytes not read yet."""
         return len(self._data) - self._cursor
 
     def _take(self, count: int) -> bytes:
-        if count < 0 or count > self.left:
-            raise Malformed(f"{count} bytes expected, {self.left} left")
+        if count < 0 or count > self.remaining_bytes:
+            raise Malformed(f"{count} bytes expected, {self.remaining_bytes} left")
         start = self._cursor
         self._cursor += count
         return self._data[start : self._cursor]
@@ -264,7 +264,7 @@
         count = self.int32()
         if count == -1:
             return 0
-        if count < 0 or count > MAX_VECTOR_ELEMENTS or count * min_element_bytes > self.left:
+        if count < 0 or count > MAX_VECTOR_ELEMENTS or count * min_element_bytes > self.remaining_bytes:
             raise Malformed(f"vector length {count}")
         return count
 
@@ -282,23 +282,23 @@
 
     def rest(self) -> bytes:
         """Read all remaining bytes."""
-        return self._take(self.left)
+        return self._take(self.remaining_bytes)
 
     def end(self) -> None:
         """Check that the record ends here. Raises Malformed if bytes follow."""
-        if self.left:
-            raise Malformed(f"{self.left} bytes after the record")
+        if self.remaining_bytes:
+            raise Malformed(f"{self.remaining_bytes} bytes after the record")
 
 
 def frame_length(head: bytes) -> int:
     """Decode the length prefix of a frame. Raises Malformed if it is negative or above FRAME_MOST."""
     length = int(_INT.unpack(head)[0])
-    if not 0 <= length <= FRAME_MOST:
+    if not 0 <= length <= MAX_FRAME_BYTES:
         raise Malformed(f"frame length {length}")
     return length
 
 
-def checked_path(path: str) -> str:
+def validated_path(path: str) -> str:
     """Return an absolute path that ZooKeeper accepts. Raises Malformed for any other."""
     if path == "/":
         return path
@@ -308,6 +308,6 @@
     return path
 
 
-def parent(path: str) -> str:
+def parent_path(path: str) -> str:
     """Return the path of the parent node; the parent of the root is the root."""
     return path.rpartition("/")[0] or "/"
--- a/sorrelfront/net/streams.py
+++ b/sorrelfront/net/streams.py
@@ -7,7 +7,7 @@
 CLOSE_TIMEOUT_S = 1.0  # for the peer to read what is still unsent; then it is dropped
 
 
-async def end_stream(writer: asyncio.StreamWriter, abort: bool = False) -> None:
+async def close_stream(writer: asyncio.StreamWriter, abort: bool = False) -> None:
     """Close the stream and wait until it is closed: at once if `abort`, else within CLOSE_TIMEOUT_S seconds.
 
     Raises no error of the connection. If cancelled, it drops what is unsent.
--- a/sorrelfront/net/transient.py
+++ b/sorrelfront/net/transient.py
@@ -16,7 +16,7 @@
 RETRY_TIMEOUT_S = 5.0  # an agent has 6 s to become ready
 
 
-async def until_possible(attempt: Callable[[], T], timeout_s: float = RETRY_TIMEOUT_S) -> T:
+async def retry_transient(attempt: Callable[[], T], timeout_s: float = RETRY_TIMEOUT_S) -> T:
     """Call `attempt` until it raises no transient error, and return its result.
 
     Raises OSError: a non-transient one at once, a transient one if it persists after `timeout_s` seconds.
--- a/sorrelfront/net/zookeeper.py
+++ b/sorrelfront/net/zookeeper.py
@@ -22,8 +22,8 @@
 from sorrelfront.errors import SorrelfrontError
 from sorrelfront.messages import Address
 from sorrelfront.net.jute import (
-    FRAME_MOST,
-    OPEN_TO_ALL,
+    MAX_FRAME_BYTES,
+    OPEN_ACL_UNSAFE,
     PASSWORD_BYTES,
     XID_AUTH,
     XID_PING,
@@ -38,10 +38,10 @@
     Reader,
     Stat,
     Writer,
-    checked_path,
     frame_length,
+    validated_path,
 )
-from sorrelfront.net.streams import end_stream
+from sorrelfront.net.streams import close_stream
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
 MAX_WATCHES_PER_RECORD = 4_096  # set again in one record; more would not fit in a frame
 
 
-class Life(Enum):
+class SessionState(Enum):
     """State of the session; `on_state_change` is called with each change."""
 
     CONNECTED = "connected"  # a new session, or the same one after a reconnect
@@ -64,11 +64,11 @@
     EXPIRED = "expired"  # the session has ended, and its ephemeral nodes are deleted
 
 
-class Lost(Exception):
+class ConnectionLost(Exception):
     """The connection was lost before the response: the request may or may not have been executed."""
 
 
-class NotDone(SorrelfrontError):
+class ZooKeeperError(SorrelfrontError):
     """The service refused the request with the error code `err`."""
 
     remedy = "Give the path the rights that the operators' page names, or mend [membership] auth_file."
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SessionSettings:
     """Settings of a session."""
 
     hosts: tuple[Address, ...]
@@ -121,7 +121,7 @@
         if self.timeout_s <= 0:
             raise ValueError("timeout_s must be above 0")
         if self.chroot:
-            checked_path(self.chroot)
+            validated_path(self.chroot)
 
 
 class Session:
@@ -134,9 +134,9 @@
 
     def __init__(
         self,
-        settings: Terms,
+        settings: SessionSettings,
         seed: int,
-        on_state_change: Callable[[Life], None],
+        on_state_change: Callable[[SessionState], None],
         on_event: Callable[[Event, str], None],
     ) -> None:
         self._settings = settings
@@ -161,7 +161,7 @@
         # Watches by kind, to set them again after a reconnect.
         self._data_watches: set[str] = set()
         self._child_watches: set[str] = set()
-        self.state: Life | None = None
+        self.state: SessionState | None = None
         self.connections = 0
         self._task = asyncio.create_task(self._run())
         self._task.add_done_callback(self._on_task_done)
@@ -172,7 +172,7 @@
         If the service does not respond within `within_s`, the nodes are deleted when the session expires.
         """
         if self._writer is not None:
-            with contextlib.suppress(Lost, NotDone, TooManyRequests, TimeoutError):
+            with contextlib.suppress(ConnectionLost, ZooKeeperError, TooManyRequests, TimeoutError):
                 async with asyncio.timeout(within_s):
                     await self._request(Op.CLOSE, b"", _parse_empty)
         self.abandon()
@@ -195,7 +195,7 @@
     # Requests
 
     async def create(
-        self, path: str, data: bytes, flags: Flag = Flag.PERSISTENT, acls: tuple[Acl, ...] = OPEN_TO_ALL
+        self, path: str, data: bytes, flags: Flag = Flag.PERSISTENT, acls: tuple[Acl, ...] = OPEN_ACL_UNSAFE
     ) -> str:
         """Create a node and return its path.
 
@@ -265,14 +265,14 @@
         finally:
             self._queue.pop(xid, None)  # for a cancelled caller; requests already sent are still answered
         if err:
-            raise NotDone(err)
+            raise ZooKeeperError(err)
         try:
             return parse(answer)
         except Malformed as fault:
             # Later data from this server cannot be trusted either.
             log.warning("malformed response to %s: %s", op.name, fault)
             self.drop_connection()
-            raise Lost from None
+            raise ConnectionLost from None
 
     def _send_queued(self) -> None:
         """Send queued requests, up to MAX_IN_FLIGHT without a response."""
@@ -288,7 +288,7 @@
             while requests:
                 _, request = requests.popitem()
                 if not request.answer.done():
-                    request.answer.set_exception(Lost())
+                    request.answer.set_exception(ConnectionLost())
                     request.answer.exception()  # marks it as retrieved, in case the caller was cancelled
 
     # The connection
@@ -320,9 +320,9 @@
         self.id, self._password, self._last_zxid, self._stale_server_seen = 0, bytes(PASSWORD_BYTES), 0, False
         self._data_watches.clear()
         self._child_watches.clear()
-        self._set_state(Life.EXPIRED)
+        self._set_state(SessionState.EXPIRED)
 
-    def _set_state(self, state: Life) -> None:
+    def _set_state(self, state: SessionState) -> None:
         if state is not self.state:
             self.state = state
             self._on_state_change(state)
@@ -333,7 +333,7 @@
         established = False
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(*host, limit=2 * FRAME_MOST)
+                reader, writer = await asyncio.open_connection(*host, limit=2 * MAX_FRAME_BYTES)
                 expired = await self._handshake(reader, writer)
             if expired:
                 log.warning("the session has expired")
@@ -359,13 +359,13 @@
             in_flight, self._in_flight = self._in_flight, OrderedDict()
             for request in in_flight.values():
                 if not request.answer.done():
-                    request.answer.set_exception(Lost())
+                    request.answer.set_exception(ConnectionLost())
                     request.answer.exception()
             if established:
                 self._disconnected_since = self._loop.time()
-                self._set_state(Life.DISCONNECTED)
+                self._set_state(SessionState.DISCONNECTED)
             if writer is not None:
-                await end_stream(writer, abort=True)
+                await close_stream(writer, abort=True)
         return established
 
     async def _handshake(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
@@ -408,7 +408,7 @@
         self._last_received_at = self._loop.time()
         self._ping_sent_at = None
         self._stale_server_seen = False
-        self._set_state(Life.CONNECTED)
+        self._set_state(SessionState.CONNECTED)
         self._send_queued()
         pinging = asyncio.create_task(self._keep_alive(writer))
         try:
@@ -440,9 +440,9 @@
                 oldest.sent_at if oldest is not None else now,
             )
             if waited > self.timeout_s / 3:
-                self._set_state(Life.SLOW)
-            elif self._ping_sent_at is None and not self._in_flight and self.state is Life.SLOW:
-                self._set_state(Life.CONNECTED)
+                self._set_state(SessionState.SLOW)
+            elif self._ping_sent_at is None and not self._in_flight and self.state is SessionState.SLOW:
+                self._set_state(SessionState.CONNECTED)
             if self._ping_sent_at is None and now - self._last_received_at > self.timeout_s / 4:
                 self._ping_sent_at = now
                 writer.write(Writer().int32(XID_PING).int32(Op.PING).frame())
@@ -468,7 +468,7 @@
         expected_xid, request = self._in_flight.popitem(last=False)
         if expected_xid != xid:
             if not request.answer.done():
-                request.answer.set_exception(Lost())
+                request.answer.set_exception(ConnectionLost())
                 request.answer.exception()
             raise Malformed(f"a response to request {xid}, expected {expected_xid}")
         if not request.answer.done():
--- a/sorrelfront/platform/__main__.py
+++ b/sorrelfront/platform/__main__.py
@@ -17,12 +17,12 @@
 from sorrelfront.log_limits import RateLimit
 from sorrelfront.messages import Address
 from sorrelfront.net.budget import Descriptors
-from sorrelfront.net.transient import until_possible
+from sorrelfront.net.transient import retry_transient
 from sorrelfront.platform.config import BadConfig, load
 from sorrelfront.platform.control import ControlPort
 from sorrelfront.platform.service import Service
 from sorrelfront.platform.upgrade import find_predecessor
-from sorrelfront.signals import ignore_from_here, on_signal
+from sorrelfront.signals import ignore_until_exit, on_signal
 from sorrelfront.sources.registry import watch
 from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
@@ -88,7 +88,7 @@
     if config.control is not None:
         address = config.control
         try:
-            control = await until_possible(lambda: ControlPort(address, service))
+            control = await retry_transient(lambda: ControlPort(address, service))
         except OSError as fault:
             raise _cannot_listen("control", config.control, fault) from None
     agent.start()
@@ -99,7 +99,7 @@
     on_signal(signal.SIGHUP, partial(reload, os.environ, service))
     log.info(
         "%s: list %d of %d servers known, asks within %.3f s, drain grace %.3f s",
-        config.name, config.known.revision, len(config.known.backends),
+        config.name, config.cached_list.revision, len(config.cached_list.backends),
         config.settings.ask_within_us / 1e6, config.settings.drain_grace_us / 1e6,
     )  # fmt: skip
     log.info(
@@ -111,7 +111,7 @@
     if control is not None:
         control.close()
     agent.close()
-    ignore_from_here(signal.SIGTERM, signal.SIGHUP)
+    ignore_until_exit(signal.SIGTERM, signal.SIGHUP)
 
 
 def main() -> int:
@@ -132,7 +132,7 @@
         config = load(os.environ)
         asyncio.run(serve(config))
     except BadConfig as fault:
-        print(f"sorrelfront: {fault.told()}", file=sys.stderr)
+        print(f"sorrelfront: {fault.message_with_remedy()}", file=sys.stderr)
         return 2
     return 0
 
--- a/sorrelfront/platform/config.py
+++ b/sorrelfront/platform/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.lists import Malformed, parse_address, parse_update
+from sorrelfront.lists import MalformedList, parse_address, parse_update
 from sorrelfront.messages import Address, Update
 from sorrelfront.platform.adapter import parse_settings
 from sorrelfront.terms import Config
@@ -69,8 +69,8 @@
             memory_bytes=_integer(limits, "memory_mb", "limits.memory_mb", MIN_MEMORY_MB) * 1024 * 1024,
             sockets=_sockets(limits),
             settings=parse_settings(settings),
-            known=_known(table),
-            most_held=_integer(rules_limits, "mostHeld", "settings.limits.mostHeld", 1),
+            cached_list=_known(table),
+            max_pending=_integer(rules_limits, "mostHeld", "settings.limits.mostHeld", 1),
             idle_us=_integer(rules_limits, "connIdleUs", "settings.limits.connIdleUs", 1),
             control=_address(table, "control") if table.get("control") else None,
         )
@@ -101,7 +101,7 @@
 def _address(table: dict[str, Any], key: str) -> Address:
     try:
         return parse_address(_value(table, key))
-    except Malformed as fault:
+    except MalformedList as fault:
         raise BadConfig(f"{key}: {fault}") from None
 
 
@@ -116,7 +116,7 @@
 def _known(table: dict[str, Any]) -> Update:
     try:
         return parse_update(_value(table, "known"))
-    except Malformed as fault:
+    except MalformedList as fault:
         raise BadConfig(f"known: {fault}") from None
 
 
--- a/sorrelfront/platform/control.py
+++ b/sorrelfront/platform/control.py
@@ -27,9 +27,9 @@
 import h11
 
 from sorrelfront.messages import Address
-from sorrelfront.net.heads import HEAD_MOST
-from sorrelfront.net.http import Wire, frame
-from sorrelfront.platform.orders_file import Full
+from sorrelfront.net.heads import MAX_HEAD_BYTES
+from sorrelfront.net.http import Wire, frame_events
+from sorrelfront.platform.orders_file import TooManyDisabled
 
 log = logging.getLogger(__name__)
 
@@ -112,7 +112,7 @@
         return Reply(404, "no server of that id is known here\n")
     try:
         operations.set_disabled(targets[0], disabled)
-    except (OSError, Full) as fault:
+    except (OSError, TooManyDisabled) as fault:
         return Reply(503, f"not done: {fault}\n")
     return Reply(200, "it is out\n" if disabled else "it is back\n")
 
@@ -178,7 +178,7 @@
         self._reading.pop(task, None)
 
     async def _serve(self, wire: Wire) -> None:
-        parser = h11.Connection(h11.SERVER, HEAD_MOST)
+        parser = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 reply = await self._receive_request(parser, wire)
@@ -236,7 +236,7 @@
                 ("Connection", "close"),
             ],
         )  # fmt: skip
-        await wire.send(frame(parser, head, h11.Data(data=data), h11.EndOfMessage()), SEND_TIMEOUT_S)
+        await wire.send(frame_events(parser, head, h11.Data(data=data), h11.EndOfMessage()), SEND_TIMEOUT_S)
         wire.shutdown(socket.SHUT_WR)
         with contextlib.suppress(OSError):
             async with asyncio.timeout(SEND_TIMEOUT_S):
--- a/sorrelfront/platform/orders_file.py
+++ b/sorrelfront/platform/orders_file.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from sorrelfront.decisions.orders import ID_MOST, OUT_MOST
+from sorrelfront.decisions.orders import MAX_DISABLED_SERVERS, MAX_ID_LENGTH
 from sorrelfront.errors import SorrelfrontError
 
 log = logging.getLogger(__name__)
@@ -29,13 +29,13 @@
 MAX_FILE_BYTES = 4 * 1024 * 1024  # enough for OUT_MOST ids of ID_MOST ASCII characters
 
 
-class Full(SorrelfrontError):
+class TooManyDisabled(SorrelfrontError):
     """The limit on the number of disabled servers is reached, or a server's id is too long."""
 
     remedy = "Put servers back that need not be out, or take them out of the list itself."
 
 
-class OrdersFile:
+class OverridesFile:
     """The ids of the servers that operators have disabled. Without a folder they are kept only in memory."""
 
     def __init__(self, folder: Path | None) -> None:
@@ -82,8 +82,10 @@
             wanted = self.disabled | {server} if disable else self.disabled - {server}
             if wanted == self.disabled:
                 return
-            if disable and (len(wanted) > OUT_MOST or len(server) > ID_MOST):
-                raise Full(f"{OUT_MOST} servers are out by hand already, or the id is too long")
+            if disable and (len(wanted) > MAX_DISABLED_SERVERS or len(server) > MAX_ID_LENGTH):
+                raise TooManyDisabled(
+                    f"{MAX_DISABLED_SERVERS} servers are out by hand already, or the id is too long"
+                )
             if self._path is not None:
                 temporary = self._path.with_suffix(".new")
                 temporary.write_text(json.dumps(sorted(wanted)))
@@ -101,9 +103,9 @@
             value = json.loads(data)
         except RecursionError:
             raise ValueError("it is not JSON") from None
-        if not isinstance(value, list) or len(value) > OUT_MOST:
-            raise ValueError(f"it is no list of at most {OUT_MOST} ids")
-        if not all(isinstance(item, str) and len(item) <= ID_MOST for item in value):
+        if not isinstance(value, list) or len(value) > MAX_DISABLED_SERVERS:
+            raise ValueError(f"it is no list of at most {MAX_DISABLED_SERVERS} ids")
+        if not all(isinstance(item, str) and len(item) <= MAX_ID_LENGTH for item in value):
             raise ValueError("an id in it is no text, or too long")
         return frozenset(value)
 
--- a/sorrelfront/platform/service.py
+++ b/sorrelfront/platform/service.py
@@ -9,9 +9,9 @@
 
 from sorrelfront.agent import Agent
 from sorrelfront.fronts.http1 import Listener
-from sorrelfront.net.budget import OTHER_DESCRIPTORS, BodyBudget, Descriptors
-from sorrelfront.net.transient import until_possible
-from sorrelfront.platform.orders_file import POLL_INTERVAL_S, OrdersFile
+from sorrelfront.net.budget import RESERVED_DESCRIPTORS, BodyBudget, Descriptors
+from sorrelfront.net.transient import retry_transient
+from sorrelfront.platform.orders_file import POLL_INTERVAL_S, OverridesFile
 from sorrelfront.platform.upgrade import Predecessor, Successor
 from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
@@ -42,12 +42,12 @@
         self._folder = folder
         self._predecessor = predecessor
         self._predecessor_needs = config.sockets // 2 if predecessor is not None else 0
-        self._orders = OrdersFile(folder)
+        self._orders = OverridesFile(folder)
         self._successor: Successor | None = None
         self.listener: Listener | None = None
         self.reloads = self.reload_failures = 0
         self._poll_timer: asyncio.TimerHandle | None = None
-        agent.put_out(self._orders.disabled)
+        agent.set_disabled(self._orders.disabled)
         self.resize()
         self._poll_overrides()
 
@@ -56,15 +56,15 @@
         address = self._config.listen
         if self._predecessor is not None:
             self._predecessor.watch(self._predecessor_changed)
-            self._agent.ask()
-        if self._predecessor is not None or self._agent.pushed:
+            self._agent.subscribe_early()
+        if self._predecessor is not None or self._agent.source_is_local:
             give_up_at = time.monotonic() + LIST_TIMEOUT_S
-            while not self._agent.listed and time.monotonic() < give_up_at:
+            while not self._agent.list_received and time.monotonic() < give_up_at:
                 await asyncio.sleep(LIST_POLL_S)
         memory = self._config.memory_bytes if self._predecessor is None else self._config.memory_bytes // 2
         descriptors = self._descriptors()
         where = address if self._predecessor is None else self._predecessor.listening
-        self.listener = await until_possible(
+        self.listener = await retry_transient(
             lambda: Listener(self._agent, where, descriptors, BodyBudget(memory))
         )
         if self._folder is not None:
@@ -117,10 +117,10 @@
             values[f"success.{name}"] = tally.served
             values[f"overload.{name}"] = tally.refused
             values[f"error.{name}"] = tally.failed
-        values["dispatches"] = self._upstream.written
-        values["concurrent"] = 0 if self.listener is None else self.listener.taken
+        values["dispatches"] = self._upstream.requests_written
+        values["concurrent"] = 0 if self.listener is None else self.listener.in_flight
         values["targets"] = agent.targets
-        values["targets_disabled"] = agent.avoided
+        values["targets_disabled"] = agent.targets_excluded
         values["reload_success"] = self.reloads
         values["reload_failure"] = self.reload_failures
         return values
@@ -133,7 +133,7 @@
     def set_disabled(self, server: str, disabled: bool) -> None:
         """Disable a server, or enable it again. After OSError or Full nothing has changed."""
         self._orders.set_disabled(server, disabled)
-        self._agent.put_out(self._orders.disabled)
+        self._agent.set_disabled(self._orders.disabled)
         log.warning("administrative override: %s is %s", server[:64], "disabled" if disabled else "enabled")
 
     def drain(self, on: bool) -> None:
@@ -162,7 +162,7 @@
 
     def _descriptors_needed(self) -> int:
         assert self.listener is not None
-        return self.listener.connections + self._upstream.open + OTHER_DESCRIPTORS
+        return self.listener.connections + self._upstream.open_connections + RESERVED_DESCRIPTORS
 
     def _predecessor_changed(self, needed: int | None) -> None:
         """Handle a report from the previous version: the descriptors it still needs, or None at its end."""
@@ -188,4 +188,4 @@
 
     def _apply_overrides(self) -> None:
         if self._orders.refresh():
-            self._agent.put_out(self._orders.disabled)
+            self._agent.set_disabled(self._orders.disabled)
--- a/sorrelfront/signals.py
+++ b/sorrelfront/signals.py
@@ -9,7 +9,7 @@
 from types import FrameType
 
 
-def ignore_from_here(*numbers: signal.Signals) -> None:
+def ignore_until_exit(*numbers: signal.Signals) -> None:
     """Ignore these signals until the process ends; called right before a program exits.
 
     At exit the interpreter restores the default action of handled signals, but leaves ignored ones ignored.
--- a/sorrelfront/sites/carrier.py
+++ b/sorrelfront/sites/carrier.py
@@ -19,13 +19,29 @@
 
 import msgspec
 
-from sorrelfront.decisions.sites.offers import REMEDY, Chain, Why, prove
-from sorrelfront.decisions.sites.routes import Ask, Border, Lent, News, Partner, Tell
+from sorrelfront.decisions.sites.offers import REMEDY, Chain, UnusedReason, verify_chains
+from sorrelfront.decisions.sites.routes import (
+    Advertisement,
+    Border,
+    ChangeNotice,
+    OfferConfig,
+    OfferQuery,
+    Partner,
+)
 from sorrelfront.errors import SorrelfrontError
 from sorrelfront.messages import Address
-from sorrelfront.net.streams import end_stream
+from sorrelfront.net.streams import close_stream
 from sorrelfront.sites.keys import Keys
-from sorrelfront.sites.wire import ASK_MOST, CHALLENGE, TELL_MOST, BadPartnerWord, Word, pack, read, unpack
+from sorrelfront.sites.wire import (
+    CHALLENGE_BYTES,
+    MAX_ADVERTISEMENT_BYTES,
+    MAX_QUERY_BYTES,
+    BadPartnerMessage,
+    Message,
+    decode_frame,
+    encode_frame,
+    read_frame,
+)
 
 log = logging.getLogger("sorrelfront.sites")
 
@@ -43,9 +59,19 @@
 MAX_WRITE_BUFFER = 256 * 1024  # unsent bytes of a connection, above which it is sent no change notices
 # Refusals that are logged. The others come and go with links, configuration changes and processes.
 LOGGED_REASONS = frozenset(
-    {Why.UNKNOWN_SITE, Why.SIGNATURE, Why.WIDENED, Why.NOT_PASSED_ON, Why.ADDRESSEE, Why.VALLEY, Why.ROLE,
-     Why.SPELLING, Why.FORKED, Why.TOO_MANY}
-)  # fmt: skip
+    {
+        UnusedReason.UNKNOWN_SITE,
+        UnusedReason.SIGNATURE,
+        UnusedReason.WIDENED,
+        UnusedReason.NOT_PASSED_ON,
+        UnusedReason.ADDRESSEE,
+        UnusedReason.VALLEY,
+        UnusedReason.ROLE,
+        UnusedReason.SPELLING,
+        UnusedReason.FORKED,
+        UnusedReason.TOO_MANY,
+    }
+)
 IDLE_TIMEOUT_S = 60.0  # an inbound connection without a request for this long is closed
 CLOSE_TIMEOUT_S = 0.2
 MAX_QUEUED_MESSAGES = 8  # received and not yet processed; further ones stay in the kernel's buffer
@@ -117,7 +143,7 @@
         self._on_timer()
 
     def change(
-        self, partners: Iterable[Partner], lent: Iterable[Lent], gateways: dict[str, tuple[str, str]]
+        self, partners: Iterable[Partner], lent: Iterable[OfferConfig], gateways: dict[str, tuple[str, str]]
     ) -> None:
         """Apply a new configuration.
 
@@ -131,10 +157,10 @@
         self._address_overrides = {name: address for name, (_, address) in gateways.items() if address}
         for name in [name for name in self._tasks if gateways.get(name, ("",))[0] != self._partner_of(name)]:
             self._tasks.pop(name).cancel()
-            self.border.drop(name)
+            self.border.remove_peer(name)
         for name, (partner, _) in gateways.items():
             if name not in self._tasks:
-                self.border.peer(name, partner, self._random.getrandbits(48))
+                self.border.add_peer(name, partner, self._random.getrandbits(48))
                 task = self._tasks[name] = asyncio.get_running_loop().create_task(self._poll_gateway(name))
                 task.add_done_callback(_log_failure)
         for subscriber in [item for item in self._subscribers if item.partner not in self.border.partners]:
@@ -176,8 +202,8 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer = loop.call_later(max(0.001, (border.next_us() - now_us()) / 1e6), self._on_timer)
-        state = (border.changed, border.told)
-        if state == self._notified_state and not border.marks:
+        state = (border.table_version, border.offers_version)
+        if state == self._notified_state and not border.pending_states:
             return
         self._notified_state = state
         for subscriber in self._subscribers:
@@ -193,7 +219,9 @@
             self._write(
                 subscriber.writer,
                 subscriber.partner,
-                pack(self.border.site, News(self.border.site), subscriber.challenge, self.keys.sign),
+                encode_frame(
+                    self.border.site, ChangeNotice(self.border.site), subscriber.challenge, self.keys.sign
+                ),
             )
 
     def _write(self, writer: asyncio.StreamWriter, partner: str, frame: bytes) -> None:
@@ -217,25 +245,29 @@
         self._serving.add(task)
         subscriber: _Subscriber | None = None
         try:
-            challenge = os.urandom(CHALLENGE)
+            challenge = os.urandom(CHALLENGE_BYTES)
             writer.write(challenge)
             async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
-                first = await read(reader, ASK_MOST, self._count_received)
-            ask = unpack(first, challenge, self.keys.verify)
+                first = await read_frame(reader, MAX_QUERY_BYTES, self._count_received)
+            ask = decode_frame(first, challenge, self.keys.verify)
             subscriber = _Subscriber(ask.site, writer, challenge)
             self._subscribers.add(subscriber)
             number = -1
-            while isinstance(ask, Ask) and ask.site == subscriber.partner and ask.number > number:
+            while isinstance(ask, OfferQuery) and ask.site == subscriber.partner and ask.number > number:
                 number = ask.number
                 if not self._within_rate(subscriber) or not self._answer(subscriber, ask):
                     return
                 async with asyncio.timeout(IDLE_TIMEOUT_S):
                     await writer.drain()
-                    data = await read(reader, ASK_MOST, self._count_received)
-                ask = unpack(data, challenge, self.keys.verify)
-        except BadPartnerWord as error:
+                    data = await read_frame(reader, MAX_QUERY_BYTES, self._count_received)
+                ask = decode_frame(data, challenge, self.keys.verify)
+        except BadPartnerMessage as error:
             self.counts["unreadable"] += 1
-            log.warning("%s: %s", "a partner" if subscriber is None else subscriber.partner, error.told())
+            log.warning(
+                "%s: %s",
+                "a partner" if subscriber is None else subscriber.partner,
+                error.message_with_remedy(),
+            )
         except (OSError, EOFError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
@@ -245,7 +277,7 @@
                 if subscriber.timer is not None:
                     subscriber.timer.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await end_stream(writer, abort=True)
+                await close_stream(writer, abort=True)
             self._serving.discard(task)
 
     def _within_rate(self, subscriber: _Subscriber) -> bool:
@@ -257,19 +289,19 @@
         subscriber.tokens -= 1
         return subscriber.tokens >= 0
 
-    def _answer(self, subscriber: _Subscriber, ask: Ask) -> bool:
+    def _answer(self, subscriber: _Subscriber, ask: OfferQuery) -> bool:
         border, now = self.border, now_us()
-        known_epoch = border.outlived(ask)
+        known_epoch = border.epoch_to_exceed(ask)
         if known_epoch is not None:
             log.warning(
                 "%s knows of life %d of this gateway; going on as life %d",
                 ask.site, known_epoch, known_epoch + 1,
             )  # fmt: skip
-            border.live((known_epoch + 1, border.life[1]), now)
+            border.set_incarnation((known_epoch + 1, border.incarnation[1]), now)
             border.counts["outlived"] += 1
-        tell = border.on_ask(subscriber.partner, ask, self.keys.ticket(subscriber.partner), now)
+        tell = border.on_query(subscriber.partner, ask, self.keys.ticket(subscriber.partner), now)
         if tell is not None:
-            frame = pack(border.site, tell, subscriber.challenge, self.keys.sign)
+            frame = encode_frame(border.site, tell, subscriber.challenge, self.keys.sign)
             self._write(subscriber.writer, subscriber.partner, frame)
         self._propagate_changes()
         return tell is not None
@@ -283,7 +315,7 @@
             reason = ""
             try:
                 await self._poll_connection(name)
-            except BadPartnerWord as error:
+            except BadPartnerMessage as error:
                 self.counts["unreadable"] += 1
                 reason = str(error)
             except TimeoutError:
@@ -294,11 +326,11 @@
             await asyncio.sleep(renew_s * self._random.uniform(0.25, 0.75))
 
     def _mark_silent(self, name: str, reason: str) -> None:
-        self.border.silent(name, now_us())
+        self.border.on_silence(name, now_us())
         if name not in self._logged_silent:
             self._logged_silent.add(name)
             error = GatewayUnreachable(f"{self._partner_of(name)} at {name}: {reason}")
-            log.warning("%s", error.told())
+            log.warning("%s", error.message_with_remedy())
         self._propagate_changes()
 
     async def _poll_connection(self, name: str) -> None:
@@ -313,11 +345,11 @@
         host, _, port = name.rpartition(":")
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port), limit=65_536)
-        messages: asyncio.Queue[Word | Exception] = asyncio.Queue(MAX_QUEUED_MESSAGES)
+        messages: asyncio.Queue[Message | Exception] = asyncio.Queue(MAX_QUEUED_MESSAGES)
         receiver = None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                challenge = await reader.readexactly(CHALLENGE)
+                challenge = await reader.readexactly(CHALLENGE_BYTES)
             self.counts["connections"] += 1
             # Reading has its own task: after a read cancelled inside a message, the next read would take
             # the rest of that message for a new one.
@@ -329,41 +361,41 @@
         finally:
             if receiver is not None:
                 receiver.cancel()
-            await end_stream(writer, abort=True)
+            await close_stream(writer, abort=True)
 
     async def _receive_messages(
         self,
         reader: asyncio.StreamReader,
         challenge: bytes,
         partner: str,
-        messages: asyncio.Queue[Word | Exception],
+        messages: asyncio.Queue[Message | Exception],
     ) -> None:
         try:
             while True:
-                data = await read(reader, TELL_MOST, self._count_received)
+                data = await read_frame(reader, MAX_ADVERTISEMENT_BYTES, self._count_received)
                 self.bytes_by_partner[partner] += len(data)
-                message = unpack(data, challenge, self.keys.verify)
+                message = decode_frame(data, challenge, self.keys.verify)
                 if message.site != partner:
-                    raise BadPartnerWord(f"a message from {message.site} on a connection to {partner}")
+                    raise BadPartnerMessage(f"a message from {message.site} on a connection to {partner}")
                 await messages.put(message)
-        except (BadPartnerWord, OSError, EOFError) as error:
+        except (BadPartnerMessage, OSError, EOFError) as error:
             await messages.put(error)
 
     async def _poll_once(
         self,
         name: str,
-        messages: asyncio.Queue[Word | Exception],
+        messages: asyncio.Queue[Message | Exception],
         writer: asyncio.StreamWriter,
         challenge: bytes,
     ) -> None:
         """Send one request and process its answer, then wait for the next poll or a change notice."""
         border = self.border
         renew_s = border.settings.renew_us / 1e6
-        frame = pack(border.site, border.ask(name, now_us()), challenge, self.keys.sign)
+        frame = encode_frame(border.site, border.query(name, now_us()), challenge, self.keys.sign)
         self._write(writer, self._partner_of(name), frame)
         news = False
         async with asyncio.timeout(2 * renew_s):
-            while not isinstance(message := await _next_message(messages), Tell):
+            while not isinstance(message := await _next_message(messages), Advertisement):
                 news = True
         if name not in border.peers:
             return
@@ -371,23 +403,23 @@
         if not news:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(renew_s * self._random.uniform(0.8, 1.2)):
-                    while not isinstance(await _next_message(messages), News):
+                    while not isinstance(await _next_message(messages), ChangeNotice):
                         pass
         await asyncio.sleep(MIN_ASK_INTERVAL_S)
 
-    async def _process_tell(self, name: str, tell: Tell) -> None:
+    async def _process_tell(self, name: str, tell: Advertisement) -> None:
         """Verify the chains of an advertisement and apply it to the routing state."""
         border = self.border
         received_us = now_us()
         if name in self._address_overrides:
-            tell = msgspec.structs.replace(tell, place=self._address_overrides[name])
+            tell = msgspec.structs.replace(tell, address=self._address_overrides[name])
         chains = tell.chains or ()
         known = set(border.partners) | {border.site}
         if len(chains) <= MAX_INLINE_CHAINS:
-            reasons = prove(chains, self.keys.verify, known.__contains__, border.good)
+            reasons = verify_chains(chains, self.keys.verify, known.__contains__, border.verified)
         else:
             reasons = await self._verify_chains(tell.site, chains, known)
-        if border.on_tell(name, tell, received_us, reasons):
+        if border.on_advertisement(name, tell, received_us, reasons):
             if name in self._logged_silent:
                 self._logged_silent.discard(name)
                 log.info("%s at %s answers", self._partner_of(name), name)
@@ -396,24 +428,24 @@
 
     async def _verify_chains(
         self, partner: str, chains: tuple[Chain, ...], known: set[str]
-    ) -> list[Why | None]:
+    ) -> list[UnusedReason | None]:
         lock = self._verify_locks.setdefault(partner, asyncio.Lock())
         async with lock:
             await asyncio.sleep(max(0.0, self._verify_not_before.get(partner, 0.0) - time.monotonic()))
             reasons, cpu_s = await asyncio.to_thread(
-                _timed_call, prove, chains, self.keys.verify, known.__contains__, self.border.good
+                _timed_call, verify_chains, chains, self.keys.verify, known.__contains__, self.border.verified
             )
             self._verify_not_before[partner] = time.monotonic() + cpu_s * VERIFY_PAUSE_FACTOR
         return reasons
 
     def _log_refused(self, name: str) -> None:
         peer = self.border.peers[name]
-        names = sorted(item for item in peer.refused if Why[item] in LOGGED_REASONS)
+        names = sorted(item for item in peer.refused if UnusedReason[item] in LOGGED_REASONS)
         joined = ", ".join(names)
         if self._logged_refusals.get(name, "") != joined:
             self._logged_refusals[name] = joined
             if joined:
-                first = Why[names[0]]
+                first = UnusedReason[names[0]]
                 log.warning(
                     "routes of %s at %s are not used: %s; %s", peer.partner, name, first.value, REMEDY[first]
                 )
@@ -424,43 +456,59 @@
         """Return the status of the exchange, for `ctl status`."""
         border, now = self.border, now_us()
         return {
-            "site": border.site, "gateway": border.gateway, "life": border.life[0], "circle": border.circle,
+            "site": border.site,
+            "gateway": border.gateway,
+            "life": border.incarnation[0],
+            "circle": border.provider_cycle,
             "offers": sorted(border.offers(now)),
             "partners": {
                 name: {
-                    "partner": peer.partner, "gateway": peer.gateway, "answers": peer.silent_since is None,
-                    "refused": dict(sorted(peer.refused.items())), "way_ms": peer.way_us / 1_000,
+                    "partner": peer.partner,
+                    "gateway": peer.gateway,
+                    "answers": peer.silent_since is None,
+                    "refused": dict(sorted(peer.refused.items())),
+                    "way_ms": peer.round_trip_us / 1_000,
                     "agrees": peer.agrees,
                 }
                 for name, peer in sorted(border.peers.items())
             },
             "routes": [
                 {
-                    "offer": "/".join((route.id.gateway, route.id.name)), "partner": route.partner,
-                    "peer": route.peer, "path": list(route.sites), "rank": list(route.rank),
-                    "to": route.terms.to, "onward": route.terms.onward, "classes": route.terms.classes,
-                    "rate": route.terms.rate, "left_ms": self._remaining_ms(route.peer, route.id, now),
+                    "offer": "/".join((route.id.gateway, route.id.name)),
+                    "partner": route.partner,
+                    "peer": route.peer,
+                    "path": list(route.sites),
+                    "rank": list(route.rank),
+                    "to": route.terms.to,
+                    "onward": route.terms.onward,
+                    "classes": route.terms.classes,
+                    "rate": route.terms.rate,
+                    "left_ms": self._remaining_ms(route.peer, route.id, now),
                     "state": "used" if route.state is None else route.state.name.lower(),
                     "why": "" if route.state is None else f"{route.state.value}; {REMEDY[route.state]}",
                 }
                 for route in border.table[:MAX_STATUS_ROUTES]
             ],
-            "bytes": dict(self.bytes_by_partner), **self.counts, **border.counts,
-        }  # fmt: skip
+            "bytes": dict(self.bytes_by_partner),
+            **self.counts,
+            **border.counts,
+        }
 
     def _remaining_ms(self, peer: str, id: Any, now: int) -> int:
         held = self.border.peers[peer].held.get(id) if peer in self.border.peers else None
         return 0 if held is None else max(0, held.expires_us - now) // 1_000
 
 
-def _timed_call(function: Callable[..., list[Why | None]], *arguments: Any) -> tuple[list[Why | None], float]:
+def _timed_call(
+    function: Callable[..., list[UnusedReason | None]], *arguments: Any
+) -> tuple[list[UnusedReason | None], float]:
     """Return the function's result and the CPU time that it took in this thread, in seconds."""
     began = time.thread_time()
     result = function(*arguments)
     return result, time.thread_time() - began
 
 
-async def _next_message(messages: asyncio.Queue[Word | Exception]) -> Word:
+async def _next_message(messages: asyncio.Queue[Message | Exception]) -> Message:
     message = await messages.get()
     if isinstance(message, Exception):
         raise message
--- a/sorrelfront/sites/keys.py
+++ b/sorrelfront/sites/keys.py
@@ -50,7 +50,7 @@
     return PREFIX + base64.b64encode(key.public_key().public_bytes_raw()).decode()
 
 
-def private(path: Path) -> Ed25519PrivateKey:
+def load_private_key(path: Path) -> Ed25519PrivateKey:
     """Load a private key from its file.
 
     Raises:
@@ -91,9 +91,9 @@
         self._own = own
         self._secret = hashlib.blake2b(own.private_bytes_raw(), person=b"sorrel-ticket").digest()
         self._known: dict[str, tuple[Ed25519PublicKey, ...]] = {}
-        self.change(partners)
+        self.set_partners(partners)
 
-    def change(self, partners: Mapping[str, Iterable[str]]) -> None:
+    def set_partners(self, partners: Mapping[str, Iterable[str]]) -> None:
         """Replace all partners' keys.
 
         Raises:
@@ -101,7 +101,7 @@
         """
         self._known = {site: tuple(map(parse_public_key, keys)) for site, keys in partners.items()}
 
-    def take(self, other: Keys) -> None:
+    def replace_with(self, other: Keys) -> None:
         """Replace all keys by those of another set."""
         self._own, self._secret, self._known = other._own, other._secret, other._known
 
@@ -126,12 +126,12 @@
         """
         return hmac.digest(self._secret, site.encode(), "sha256")[:TICKET_BYTES]
 
-    def shows(self, site: str, ticket: bytes) -> bool:
+    def check_ticket(self, site: str, ticket: bytes) -> bool:
         """Whether this is the ticket of a known partner site."""
         return site in self._known and hmac.compare_digest(self.ticket(site), ticket)
 
 
-def make(path: Path) -> str:
+def create_key_file(path: Path) -> str:
     """Write a new private key, readable by its owner only, and return the public key as text.
 
     Raises:
@@ -150,7 +150,7 @@
         print("python -m sorrelfront.sites.keys FILE", file=sys.stderr)
         return 2
     try:
-        print(make(Path(sys.argv[1])))
+        print(create_key_file(Path(sys.argv[1])))
     except OSError as fault:
         print(f"{sys.argv[1]}: {fault.strerror}", file=sys.stderr)
         return 1
