--- a/sorrelfront/sites/requests.py
+++ b/sorrelfront/sites/requests.py
@@ -16,14 +16,24 @@
 from dataclasses import replace
 from typing import Any
 
-from sorrelfront.agent import DEADLINE_MARGIN_US, OVERDUE_US, Agent, Held
+from sorrelfront.agent import ANSWER_GRACE_US, DEADLINE_MARGIN_US, Agent, PendingRequest
 from sorrelfront.agent import Upstream as AnyUpstream
 from sorrelfront.decisions import interface as api
-from sorrelfront.decisions.sites.passage import FULL_US, Away, In, Passage, parse_path
+from sorrelfront.decisions.sites.passage import FULL_RETRY_US, Admission, Admitted, Rejected, parse_path
 from sorrelfront.decisions.sites.routes import Border, Route
 from sorrelfront.events import EventCounter
 from sorrelfront.lists import parse_address
-from sorrelfront.messages import Address, Answer, Call, Ended, Failed, Final, Headers, Refused, Update
+from sorrelfront.messages import (
+    Address,
+    Answer,
+    AttemptResult,
+    Call,
+    Failed,
+    FinalAnswer,
+    Headers,
+    Refused,
+    Update,
+)
 from sorrelfront.net.http import Payload
 from sorrelfront.sites.carrier import now_us
 from sorrelfront.sites.keys import Keys
@@ -56,13 +66,15 @@
         call: Call,
         address: Address,
         timeout_us: int,
-        fit: Callable[[], bool],
-        done: Callable[[Ended], None],
+        may_send: Callable[[], bool],
+        done: Callable[[AttemptResult], None],
     ) -> Any:
-        return self._upstream.begin(self._with_ticket(call, address), address, timeout_us, fit, done)
+        return self._upstream.begin(self._with_ticket(call, address), address, timeout_us, may_send, done)
 
-    async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
-        return await self._upstream.attempt(self._with_ticket(call, address), address, timeout_us, fit)
+    async def attempt(
+        self, call: Call, address: Address, timeout_us: int, may_send: Callable[[], bool]
+    ) -> AttemptResult:
+        return await self._upstream.attempt(self._with_ticket(call, address), address, timeout_us, may_send)
 
     def forget(self, address: Address) -> None:
         self._upstream.forget(address)
@@ -126,7 +138,7 @@
                 backends.append(
                     api.Backend(name, dedup_group(route), "gateway", 0, weight=float(route.capacity))
                 )
-                addresses[name] = parse_address(route.place)
+                addresses[name] = parse_address(route.address)
         assert self.source is not None
         self.source.publish(tuple(backends), addresses)
 
@@ -142,7 +154,7 @@
         for cls in config.settings.classes
     )
     settings = replace(config.settings, classes=classes, subscribe=False, number=0, agents=1)
-    return replace(config, settings=settings, known=Update(0, True, (), {}))
+    return replace(config, settings=settings, cached_list=Update(0, True, (), {}))
 
 
 class Forwarder:
@@ -170,25 +182,25 @@
         could use a route that no longer exists.
         """
         self._ticket_upstream.tickets = {
-            parse_address(peer.place): peer.ticket for peer in self.border.peers.values() if peer.place
+            parse_address(peer.address): peer.ticket for peer in self.border.peers.values() if peer.address
         }
         now = now_us()
         for pool in self._pools:
             if pool.routes:
-                valid = tuple(route for route in pool.routes if self.border.holds(route, now))
+                valid = tuple(route for route in pool.routes if self.border.is_valid(route, now))
                 if valid != pool.routes:
                     pool.use_routes(valid)
 
     def groups(self, cls: str, path: tuple[str, ...]) -> set[str]:
         """Return the deduplication groups at partner sites that the routes in use lead to."""
-        return {dedup_group(route) for route in self.border.ways(cls, now_us(), path)}
+        return {dedup_group(route) for route in self.border.best_routes(cls, now_us(), path)}
 
     def send(
         self,
         call: Call,
         path: tuple[str, ...],
         remaining_us: int,
-        done: Callable[[Final], None],
+        done: Callable[[FinalAnswer], None],
         group: str | None = None,
     ) -> Callable[[], None] | None:
         """Forward a request if a route permits it and enough time is left.
@@ -203,13 +215,13 @@
         Returns:
             A function that cancels the request, or None if nothing was sent.
         """
-        routes = self.border.ways(call.class_name, now_us(), path)
+        routes = self.border.best_routes(call.class_name, now_us(), path)
         if group is not None:
             routes = tuple(route for route in routes if dedup_group(route) == group)
         if not routes or call.upload is not None:
             self.counts["no_way"] += 1
             return None
-        round_trip_us = max(self.border.peers[route.peer].way_us for route in routes)
+        round_trip_us = max(self.border.peers[route.peer].round_trip_us for route in routes)
         if remaining_us - round_trip_us < MIN_BUDGET_US:
             self.counts["no_time"] += 1
             return None
@@ -222,8 +234,8 @@
             pool.agent, _outgoing_call(call, (*path, self.border.site), remaining_us - round_trip_us), done
         )
 
-    def _submit(self, agent: Agent, call: Call, done: Callable[[Final], None]) -> Callable[[], None]:
-        held = agent.take(call)
+    def _submit(self, agent: Agent, call: Call, done: Callable[[FinalAnswer], None]) -> Callable[[], None]:
+        held = agent.submit(call)
         active = [True]
 
         def deliver() -> None:
@@ -243,15 +255,18 @@
             # Not within the caller's own step: the caller has yet to record that the request is in flight.
             asyncio.get_running_loop().call_soon(deliver)
         else:
-            held.told = deliver
+            held.on_answered = deliver
         return cancel
 
     def _pool_for(self, routes: tuple[Route, ...]) -> _GatewayPool | None:
-        wanted = {(route.peer, route.place) for route in routes}
+        wanted = {(route.peer, route.address) for route in routes}
         for pool in self._pools:
-            if {(route.peer, route.place) for route in pool.routes} == wanted:
+            if {(route.peer, route.address) for route in pool.routes} == wanted:
                 return pool
-        idle = next((pool for pool in self._pools if not pool.agent.owed and not pool.agent.attempts), None)
+        idle = next(
+            (pool for pool in self._pools if not pool.agent.pending_requests and not pool.agent.attempts),
+            None,
+        )
         if len(self._pools) < MAX_POOLS:
             idle = _GatewayPool(self._config, self._ticket_upstream)
             self._pools.append(idle)
@@ -307,19 +322,19 @@
         if self.forwarder is not None:
             self.forwarder.reload(config)
 
-    def remaining_us(self, held: Held) -> int:
+    def remaining_us(self, held: PendingRequest) -> int:
         """Return the time until the request's answer is due, in microseconds; 0 if it has no timer."""
-        if held.overdue is None:
+        if held.deadline_timer is None:
             return 0
-        return int((held.overdue.when() - self._loop.time()) * 1e6) - OVERDUE_US
+        return int((held.deadline_timer.when() - self._loop.time()) * 1e6) - ANSWER_GRACE_US
 
-    def _answer(self, request_id: int, answer: Final) -> None:
-        held = self._held.get(request_id)
+    def _answer(self, request_id: int, answer: FinalAnswer) -> None:
+        held = self._pending.get(request_id)
         if held is not None and isinstance(answer, Refused) and self._forward_refused(held, answer):
             return
         super()._answer(request_id, answer)
 
-    def _forward_refused(self, held: Held, refused: Refused) -> bool:
+    def _forward_refused(self, held: PendingRequest, refused: Refused) -> bool:
         forwarder = self.forwarder
         if forwarder is None or held.id in self._forwarded:
             return False
@@ -335,7 +350,7 @@
             return False
         return self._forward(held, key, None, refused.retry_after_us)
 
-    def _forward(self, held: Held, key: bytes, group: str | None, retry_after_us: int) -> bool:
+    def _forward(self, held: PendingRequest, key: bytes, group: str | None, retry_after_us: int) -> bool:
         forwarder, path = self.forwarder, self.paths.get(held.id, ())
         if forwarder is None:
             return False
@@ -344,7 +359,7 @@
             groups = sorted(forwarder.groups(held.call.class_name, path))
             group = groups[zlib.crc32(key) % len(groups)] if groups else ""
 
-        def done(final: Final) -> None:
+        def done(final: FinalAnswer) -> None:
             self._forwarded.pop(held.id, None)
             if isinstance(final, Refused):
                 final = Refused(max(final.retry_after_us, retry_after_us))
@@ -360,7 +375,7 @@
 
     # Idempotency keys
 
-    def _remember_key(self, held: Held, key: bytes, group: str) -> None:
+    def _remember_key(self, held: PendingRequest, key: bytes, group: str) -> None:
         """Record that an attempt with this key may run in this group.
 
         Without the record, a repeat by the caller could be served by another group, which does not know the
@@ -379,31 +394,33 @@
         entry = self._dedup_keys.get(key)
         return None if entry is None or entry[1] <= now else entry[0]
 
-    def take(self, call: Call) -> Held:
+    def submit(self, call: Call) -> PendingRequest:
         """Accept a request; a repeat of a key that was forwarded goes to the same group again."""
         key = _idempotency_key(call) if self.forwarder is not None else b""
         group = self._group_of_key(key) if key else None
         if not group:
-            return super().take(call)
+            return super().submit(call)
         # A request with this key was forwarded before and may have run at the partner site.
-        self._count += 1
-        held = Held(self._count, call, self._loop.create_future())
-        self._held[held.id] = held
+        self._requests_taken += 1
+        held = PendingRequest(self._requests_taken, call, self._loop.create_future())
+        self._pending[held.id] = held
         self._open_ids.add(call.client_id)
         remaining_us = call.budget_us - DEADLINE_MARGIN_US
-        held.overdue = self._loop.call_later((remaining_us + OVERDUE_US) / 1e6, self._overdue, held)
+        held.deadline_timer = self._loop.call_later(
+            (remaining_us + ANSWER_GRACE_US) / 1e6, self._on_deadline_passed, held
+        )
         if not self._forward(held, key, group, 0):
             self._finish(held, Failed())
         return held
 
     def _send(self, action: api.Send) -> None:
-        held = self._held.get(action.request_id)
+        held = self._pending.get(action.request_id)
         key = _idempotency_key(held.call) if held is not None and self.forwarder is not None else b""
         if held is not None and key:
             self._remember_key(held, key, "")
         super()._send(action)
 
-    def _safe_elsewhere(self, held: Held) -> bool:
+    def _safe_elsewhere(self, held: PendingRequest) -> bool:
         """Whether servers that know nothing of earlier attempts may get this request.
 
         An unsafe request is refused only if no attempt can have run. Of a keyed one it must be proven of
@@ -414,12 +431,14 @@
             return cls is not None
         return held.attempts == self._never_ran.get(held.id, 0)
 
-    def _ended(self, held: Held, key: tuple[int, int], ended: Ended, elapsed_us: int) -> None:
-        if ended.outcome in api.NEVER_RAN and held.id in self._held:
+    def _on_attempt_ended(
+        self, held: PendingRequest, key: tuple[int, int], ended: AttemptResult, elapsed_us: int
+    ) -> None:
+        if ended.outcome in api.NEVER_RAN and held.id in self._pending:
             self._never_ran[held.id] = self._never_ran.get(held.id, 0) + 1
-        super()._ended(held, key, ended, elapsed_us)
+        super()._on_attempt_ended(held, key, ended, elapsed_us)
 
-    def _finish(self, held: Held, answer: Final) -> bool:
+    def _finish(self, held: PendingRequest, answer: FinalAnswer) -> bool:
         crosses_sites = held.id in self.paths or self.forwarder is not None
         if crosses_sites and isinstance(answer, Refused) and not self._safe_elsewhere(held):
             # A refusal tells the caller that a repeat is safe. Servers that have the key drop a repeat only
@@ -427,10 +446,10 @@
             answer = Failed()
         return super()._finish(held, answer)
 
-    def _end(self, held: Held) -> bool:
+    def _remove_pending(self, held: PendingRequest) -> bool:
         self.paths.pop(held.id, None)
         self._never_ran.pop(held.id, None)
-        ended = super()._end(held)
+        ended = super()._remove_pending(held)
         cancel = self._forwarded.pop(held.id, None)
         if cancel is not None:
             cancel()
@@ -449,14 +468,14 @@
     It admits what the terms allow, and marks its refusals as proof that nothing ran.
     """
 
-    def __init__(self, agent: ForwardingAgent, border: Border, passage: Passage, keys: Keys) -> None:
+    def __init__(self, agent: ForwardingAgent, border: Border, passage: Admission, keys: Keys) -> None:
         self._agent = agent
         self._border = border
         self._admission = passage
         self._keys = keys
         self._count = 0
-        self._call_off: dict[int, Callable[[], None]] = {}  # cancels an admitted request
-        self._uploads: dict[int, Held] = {}  # the agent's requests whose bodies are still arriving
+        self._cancel_by_id: dict[int, Callable[[], None]] = {}  # cancels an admitted request
+        self._uploads: dict[int, PendingRequest] = {}  # the agent's requests whose bodies are still arriving
         self._offers: dict[int, str] = {}
 
     @property
@@ -477,40 +496,40 @@
         """Return False: callers of different sites may use the same request ids."""
         return False
 
-    def whole(self, held: Held) -> None:
+    def body_received(self, held: PendingRequest) -> None:
         """Tell the agent that the body of a request has arrived completely."""
         inner = self._uploads.pop(held.id, None)
         if inner is not None:
-            self._agent.whole(inner)
+            self._agent.body_received(inner)
 
-    def abandon(self, held: Held) -> None:
+    def abandon(self, held: PendingRequest) -> None:
         """Cancel a request whose answer is no longer wanted."""
-        cancel = self._call_off.pop(held.id, None)
+        cancel = self._cancel_by_id.pop(held.id, None)
         self._release(held.id)
         if cancel is not None:
             cancel()
 
-    def fail(self, held: Held) -> None:
+    def fail(self, held: PendingRequest) -> None:
         """Answer a request as failed and cancel it at the agent."""
-        cancel = self._call_off.pop(held.id, None)
+        cancel = self._cancel_by_id.pop(held.id, None)
         self._finish(held, Failed())
         if cancel is not None:
             cancel()
 
-    def take(self, call: Call) -> Held:
+    def submit(self, call: Call) -> PendingRequest:
         """Admit a request from a partner site, or refuse it."""
         self._count += 1
-        outer = Held(self._count, call, asyncio.get_running_loop().create_future())
+        outer = PendingRequest(self._count, call, asyncio.get_running_loop().create_future())
         fields = {name.lower(): value for name, value in call.payload.headers}
         path = parse_path(fields.get(INTERNAL_HEADERS[0], b"").decode("latin-1"))
         now = now_us()
         border = self._border
-        routes = border.ways(call.class_name, now, path) if path else ()
-        decision = self._admission.judge(
+        routes = border.best_routes(call.class_name, now, path) if path else ()
+        decision = self._admission.admit(
             self._partner(path, fields.get(INTERNAL_HEADERS[1], b"")), path, call.class_name, border.partners,
             border.offers(now), bool(routes) and call.upload is None, now,
         )  # fmt: skip
-        if isinstance(decision, Away):
+        if isinstance(decision, Rejected):
             outer.answer.set_result(refusal_answer(decision))
             return outer
         assert path is not None
@@ -519,7 +538,7 @@
         self._admit(outer, path, decision)
         return outer
 
-    def _admit(self, outer: Held, path: tuple[str, ...], decision: In) -> None:
+    def _admit(self, outer: PendingRequest, path: tuple[str, ...], decision: Admitted) -> None:
         call, agent = outer.call, self._agent
         payload: Payload = call.payload
         # Requests from two sites may have the same id; with a new one they are not taken for one request.
@@ -530,31 +549,31 @@
         if decision.offer is None:
             self._pass_through(outer, inner_call, path)
             return
-        number = agent.offered + 1
+        number = agent.requests_taken + 1
         # Before the agent decides: where it may forward the request depends on the path.
         agent.paths[number] = path
-        inner = agent.take(inner_call)
+        inner = agent.submit(inner_call)
         if inner.answer.done():
             agent.paths.pop(number, None)
             self._done(outer, inner.answer.result())
             return
-        self._call_off[outer.id] = lambda: agent.abandon(inner)
+        self._cancel_by_id[outer.id] = lambda: agent.abandon(inner)
         if call.upload is not None:
             self._uploads[outer.id] = inner
-        inner.told = lambda: self._done(outer, inner.answer.result())
+        inner.on_answered = lambda: self._done(outer, inner.answer.result())
 
-    def _pass_through(self, outer: Held, call: Call, path: tuple[str, ...]) -> None:
+    def _pass_through(self, outer: PendingRequest, call: Call, path: tuple[str, ...]) -> None:
         """Forward a request that is in transit to another site, without this site's servers."""
         forwarder = self._agent.forwarder
 
-        def done(final: Final) -> None:
+        def done(final: FinalAnswer) -> None:
             self._finish(outer, rejection(final.retry_after_us) if isinstance(final, Refused) else final)
 
         cancel = None if forwarder is None else forwarder.send(call, path, call.budget_us, done)
         if cancel is None:
-            self._finish(outer, rejection(FULL_US))
+            self._finish(outer, rejection(FULL_RETRY_US))
         else:
-            self._call_off[outer.id] = cancel
+            self._cancel_by_id[outer.id] = cancel
 
     def _partner(self, path: tuple[str, ...] | None, ticket: bytes) -> str | None:
         if not path:
@@ -563,25 +582,25 @@
             shown = base64.b64decode(ticket, validate=True)
         except (binascii.Error, ValueError):
             return None
-        return path[-1] if self._keys.shows(path[-1], shown) else None
+        return path[-1] if self._keys.check_ticket(path[-1], shown) else None
 
     def _release(self, number: int) -> None:
         self._uploads.pop(number, None)
         offer = self._offers.pop(number, None)
         if offer is not None:
-            self._admission.left(offer)
+            self._admission.finished(offer)
 
-    def _done(self, outer: Held, final: Final) -> None:
+    def _done(self, outer: PendingRequest, final: FinalAnswer) -> None:
         if isinstance(final, Refused):
             final = rejection(final.retry_after_us)
         self._finish(outer, final)
 
-    def _finish(self, outer: Held, final: Final) -> None:
-        self._call_off.pop(outer.id, None)
+    def _finish(self, outer: PendingRequest, final: FinalAnswer) -> None:
+        self._cancel_by_id.pop(outer.id, None)
         self._release(outer.id)
         if not outer.answer.done():
             outer.answer.set_result(final)
-            on_answer, outer.told = outer.told, None
+            on_answer, outer.on_answered = outer.on_answered, None
             if on_answer is not None:
                 on_answer()
 
@@ -591,6 +610,6 @@
     return Answer(503, [REJECTED_HEADER, (b"Retry-After", b"%.3f" % (retry_after_us / 1e6))], text)
 
 
-def refusal_answer(refusal: Away) -> Answer:
+def refusal_answer(refusal: Rejected) -> Answer:
     """Return the answer to a request that was not admitted, with the reason as its body."""
-    return rejection(refusal.retry_after_us, refusal.why.value.encode() + b"\n")
+    return rejection(refusal.retry_after_us, refusal.reason.value.encode() + b"\n")
--- a/sorrelfront/sites/wire.py
+++ b/sorrelfront/sites/wire.py
@@ -19,16 +19,16 @@
 from msgspec import Meta
 
 from sorrelfront.decisions.sites.offers import SIGNATURE_BYTES, Sign, Verify
-from sorrelfront.decisions.sites.routes import Ask, News, Tell
+from sorrelfront.decisions.sites.routes import Advertisement, ChangeNotice, OfferQuery
 from sorrelfront.decisions.sites.terms import SiteName
 from sorrelfront.errors import SorrelfrontError
 
-CHALLENGE = 16  # bytes
-ASK_MOST = 8 * 1024  # bytes
-TELL_MOST = 4 * 1024 * 1024  # bytes
+CHALLENGE_BYTES = 16  # bytes
+MAX_QUERY_BYTES = 8 * 1024  # bytes
+MAX_ADVERTISEMENT_BYTES = 4 * 1024 * 1024  # bytes
 LENGTH_BYTES = 4
 
-Word = Ask | Tell | News
+Message = OfferQuery | Advertisement | ChangeNotice
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -39,7 +39,7 @@
     signature: Annotated[bytes, Meta(max_length=SIGNATURE_BYTES)]
 
 
-class BadPartnerWord(SorrelfrontError):
+class BadPartnerMessage(SorrelfrontError):
     """A message from a partner site is malformed, too long, or not validly signed."""
 
     remedy = (
@@ -48,7 +48,7 @@
 
 
 _envelope_decoder = msgspec.msgpack.Decoder(Envelope)
-_message_decoder = msgspec.msgpack.Decoder(Word)
+_message_decoder = msgspec.msgpack.Decoder(Message)
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -56,14 +56,14 @@
     return b"sorrelfront word 1\x00" + challenge + site.encode() + b"\x00" + message
 
 
-def pack(site: str, message: Word, challenge: bytes, sign: Sign) -> bytes:
+def encode_frame(site: str, message: Message, challenge: bytes, sign: Sign) -> bytes:
     """Encode and sign a message; return the frame with its length."""
     data = _encode(message)
     whole = _encode(Envelope(site, data, sign(_to_sign(challenge, site, data))))
     return len(whole).to_bytes(LENGTH_BYTES, "big") + whole
 
 
-def unpack(data: bytes, challenge: bytes, verify: Verify) -> Word:
+def decode_frame(data: bytes, challenge: bytes, verify: Verify) -> Message:
     """Verify and decode the message in a frame without its length.
 
     Raises:
@@ -74,16 +74,18 @@
         if not verify(
             envelope.site, envelope.signature, _to_sign(challenge, envelope.site, envelope.payload)
         ):
-            raise BadPartnerWord(f"a message from {envelope.site} is not signed by a key known here")
-        message: Word = _message_decoder.decode(envelope.payload)
+            raise BadPartnerMessage(f"a message from {envelope.site} is not signed by a key known here")
+        message: Message = _message_decoder.decode(envelope.payload)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise BadPartnerWord(f"the message cannot be read: {fault}") from None
+        raise BadPartnerMessage(f"the message cannot be read: {fault}") from None
     if message.site != envelope.site:
-        raise BadPartnerWord(f"a message signed by {envelope.site} names {message.site} as its sender")
+        raise BadPartnerMessage(f"a message signed by {envelope.site} names {message.site} as its sender")
     return message
 
 
-async def read(reader: asyncio.StreamReader, max_bytes: int, on_received: Callable[[int], None]) -> bytes:
+async def read_frame(
+    reader: asyncio.StreamReader, max_bytes: int, on_received: Callable[[int], None]
+) -> bytes:
     """Read the next frame, without its length; `on_received` is called with its size in bytes.
 
     Raises:
@@ -93,6 +95,6 @@
     """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > max_bytes:
-        raise BadPartnerWord(f"a message of {length} bytes; the limit is {max_bytes}")
+        raise BadPartnerMessage(f"a message of {length} bytes; the limit is {max_bytes}")
     on_received(length + LENGTH_BYTES)
     return await reader.readexactly(length)
--- a/sorrelfront/sources/registry.py
+++ b/sorrelfront/sources/registry.py
@@ -14,9 +14,9 @@
 import h11
 
 from sorrelfront.decisions.listing import DiscoveryCall, WatchTimer
-from sorrelfront.lists import Malformed, parse_update
+from sorrelfront.lists import MalformedList, parse_update
 from sorrelfront.messages import Address, Update
-from sorrelfront.net.http import Wire, frame
+from sorrelfront.net.http import Wire, frame_events
 from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
@@ -56,19 +56,19 @@
             if self._depth:
                 # The service sends empty lines as heartbeats between objects, never within one.
                 self._reset()
-                raise Malformed("an object that does not go on")
+                raise MalformedList("an object that does not go on")
             return None
         if self._depth and line[:1] == b"{" and b'"members"' in line:
             # After a truncated object each later one would be taken for its rest, and drains would be missed.
             self._reset()
-            raise Malformed("an object within another")
+            raise MalformedList("an object within another")
         if not self._depth and line.rstrip()[-1:] == b"}":
             return line  # the usual case
         self._pending += line
         self._pending += b"\n"
         if len(self._pending) > MAX_UPDATE_BYTES:
             self._reset()
-            raise Malformed("an object without end")
+            raise MalformedList("an object without end")
         for found in BRACKETS.finditer(line):
             if found[0] in (b"{", b"["):
                 self._depth += 1
@@ -130,7 +130,7 @@
         if address == self._address:
             return
         self._address = address
-        self.clock.moved(now_us())
+        self.clock.address_changed(now_us())
         self._cancel_previous()
         self._cancel_retry()
         self._previous, self._watch = self._watch, asyncio.create_task(self._run())
@@ -161,7 +161,7 @@
             self._retry_timer = None
 
     async def _run(self) -> None:
-        call = self.clock.opened(now_us())
+        call = self.clock.call_opened(now_us())
         silent = unreadable = unreachable = False
         end = "its end"
         log.info("watch %d: opened at %s:%d after revision %d", call.number, *self._address, self._revision)
@@ -170,7 +170,7 @@
         except _UnreadableUpdate as fault:
             unreadable = True
             end = str(fault)
-        except (OSError, h11.ProtocolError, Malformed) as fault:
+        except (OSError, h11.ProtocolError, MalformedList) as fault:
             silent = isinstance(fault, TimeoutError)
             unreachable = isinstance(fault, ConnectionRefusedError)
             end = f"{type(fault).__name__}: {fault}"
@@ -178,12 +178,12 @@
             end = "a fault of this program"
             log.exception("the watch failed")
         log.warning("watch %d: broke after %.3f s, %.3f s after its last line: %s", call.number,
-                    (now_us() - call.opened) / 1e6, (now_us() - call.since) / 1e6, end)  # fmt: skip
+                    (now_us() - call.opened_at) / 1e6, (now_us() - call.last_line_at) / 1e6, end)  # fmt: skip
         if asyncio.current_task() is self._previous:
             self._previous = None  # the watch that replaces it continues
             return
         self._watch = None
-        wait_us = 0 if unreadable else self.clock.ended(call, now_us(), silent, unreachable)
+        wait_us = 0 if unreadable else self.clock.call_ended(call, now_us(), silent, unreachable)
         log.info("watch %d: %s", call.number,
                  "the back-off decides when the next one is opened" if wait_us is None
                  else f"the next one is opened in {wait_us / 1e6:.3f} s")  # fmt: skip
@@ -204,7 +204,7 @@
                 target=f"{PATH}?watch=1&after={self._revision}",
                 headers=[("Host", "{}:{}".format(*address))],
             )
-            await wire.send(frame(parser, request, h11.EndOfMessage()), _remaining_s(call))
+            await wire.send(frame_events(parser, request, h11.EndOfMessage()), _remaining_s(call))
             await self._read(parser, wire, call)
         finally:
             wire.close()
@@ -221,9 +221,9 @@
                 parser.receive_data(await wire.receive(_remaining_s(call)))
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise Malformed(f"status {event.status_code}")
-                call.began(now_us())
-                log.info("watch %d: accepted after %.3f s", call.number, (now_us() - call.opened) / 1e6)
+                    raise MalformedList(f"status {event.status_code}")
+                call.response_started(now_us())
+                log.info("watch %d: accepted after %.3f s", call.number, (now_us() - call.opened_at) / 1e6)
             elif isinstance(event, h11.Data):
                 *lines, rest = event.data.split(b"\n")
                 for line in lines:
@@ -231,13 +231,13 @@
                     partial.clear()
                 partial += rest
                 if len(partial) > MAX_UPDATE_BYTES:
-                    raise Malformed("a line without end")
+                    raise MalformedList("a line without end")
             elif not isinstance(event, h11.InformationalResponse):
                 return
 
     def _handle_line(self, line: bytes, splitter: UpdateSplitter, call: DiscoveryCall) -> None:
         """Process one line. Raises _UnreadableUpdate, to reopen the watch after the last good update."""
-        self.clock.line(call, now_us())
+        self.clock.line_received(call, now_us())
         if self._previous is not None and asyncio.current_task() is not self._previous:
             self._cancel_previous()
         try:
@@ -245,7 +245,7 @@
             if text is None:
                 return
             update = parse_update(json.loads(text))
-        except (Malformed, ValueError) as fault:
+        except (MalformedList, ValueError) as fault:
             self._handle_unreadable(fault)
             return
         if update.complete:
@@ -254,7 +254,7 @@
             self._revision = update.revision
         log.info("watch %d: list %d (%s), %d entries, after %.3f s", call.number, update.revision,
                  "whole" if update.complete else "changes", len(update.backends),
-                 (now_us() - call.opened) / 1e6)  # fmt: skip
+                 (now_us() - call.opened_at) / 1e6)  # fmt: skip
         self._on_update(update)
 
     def _handle_unreadable(self, fault: Exception) -> None:
@@ -267,7 +267,7 @@
 
 
 def _remaining_s(call: DiscoveryCall) -> float:
-    return max(0.001, (call.due - now_us()) / 1e6)
+    return max(0.001, (call.timeout_at - now_us()) / 1e6)
 
 
 def watch(config: Config, on_update: Callable[[Update], None], on_failure: Callable[[], None]) -> Discovery:
@@ -275,4 +275,4 @@
     settings = config.settings
     random = Random(config.seed ^ SEED_MASK).random
     clock = WatchTimer(not settings.subscribe, random, settings.ask_within_us, settings.drain_grace_us)
-    return Discovery(config.discovery, config.known.revision, on_update, on_failure, clock)
+    return Discovery(config.discovery, config.cached_list.revision, on_update, on_failure, clock)
--- a/sorrelfront/sources/zookeeper.py
+++ b/sorrelfront/sources/zookeeper.py
@@ -23,10 +23,10 @@
 
 from sorrelfront.decisions import interface as api
 from sorrelfront.decisions import membership, places
-from sorrelfront.lists import Malformed, parse_address
+from sorrelfront.lists import MalformedList, parse_address
 from sorrelfront.messages import Update
 from sorrelfront.net import zookeeper as net
-from sorrelfront.net.jute import OPEN_TO_ALL, Acl, Err, Event, Flag, Perm, Stat
+from sorrelfront.net.jute import OPEN_ACL_UNSAFE, Acl, Err, Event, Flag, Perm, Stat
 from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
@@ -45,23 +45,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SourceSettings:
     """Settings of the source.
 
     `path` is the parent node of the servers, `fleet` that of the seats; an empty `fleet` means no seats.
     """
 
-    session: net.Terms
+    session: net.SessionSettings
     path: str
-    fleet: str = ""
-    trust: membership.Terms = field(default_factory=membership.Terms)
-    seats: places.Terms = field(default_factory=places.Terms)
+    seats_path: str = ""
+    suspicion: membership.Settings = field(default_factory=membership.Settings)
+    seats: places.Settings = field(default_factory=places.Settings)
 
 
 def parse_record(data: bytes, stat: Stat) -> membership.Member:
     """Parse the record of a server. Raises Malformed if it is invalid."""
     if len(data) > MAX_RECORD_BYTES:
-        raise Malformed(f"{len(data)} bytes")
+        raise MalformedList(f"{len(data)} bytes")
     try:
         record = json.loads(data)
         # Without a start time the server counts as old as its node: otherwise a process that has just started
@@ -71,16 +71,16 @@
         cell, size = record.get("cell", 0), record.get("size", 1.0)
         texts = [record["id"], record.get("zone", ""), record.get("kind", "")]
     except (ValueError, RecursionError, AttributeError, KeyError) as fault:
-        raise Malformed(f"{type(fault).__name__}: {str(fault)[:80]}") from None
+        raise MalformedList(f"{type(fault).__name__}: {str(fault)[:80]}") from None
     if not all(isinstance(text, str) and len(text) <= MAX_TEXT_CHARS for text in texts) or not texts[0]:
-        raise Malformed("id, zone or kind is not a string, or too long")
+        raise MalformedList("id, zone or kind is not a string, or too long")
     if phase not in ("ready", "draining"):
-        raise Malformed(f"unknown phase: {str(phase)[:80]!r}")
+        raise MalformedList(f"unknown phase: {str(phase)[:80]!r}")
     integers = (cell, started_ms)
     if any(isinstance(item, bool) or not isinstance(item, int) or not 0 <= item < 2**53 for item in integers):
-        raise Malformed("cell or started_ms is not an integer from 0 to 2**53 - 1")
+        raise MalformedList("cell or started_ms is not an integer from 0 to 2**53 - 1")
     if isinstance(size, bool) or not isinstance(size, (int, float)) or not 0.001 <= size <= 1e6:
-        raise Malformed("size is not a number from 0.001 to 1000000")
+        raise MalformedList("size is not a number from 0.001 to 1000000")
     address = parse_address(record.get("address"))
     return membership.Member(
         texts[0], address, texts[1], texts[2], cell, float(size), started_ms * 1000, phase == "draining",
@@ -88,7 +88,7 @@
     )  # fmt: skip
 
 
-class Ephemeral:
+class EphemeralNodeSource:
     """Source of the server list from ephemeral nodes.
 
     `evidence` returns whether a server answers our attempts. `on_seat_change` is called with our seat when
@@ -97,7 +97,7 @@
 
     def __init__(
         self,
-        settings: Terms,
+        settings: SourceSettings,
         seed: int,
         name: str,
         now: Callable[[], int],
@@ -109,7 +109,7 @@
         self._settings, self._seed, self._name = settings, seed, name
         self._now, self._on_update = now, on_update
         self._random = Random(seed)
-        self.tracker = membership.MembershipTracker(settings.trust, seed, evidence)
+        self.tracker = membership.MembershipTracker(settings.suspicion, seed, evidence)
         self.seats: SeatKeeper | None = None
         self._on_seat_change, self._previous_seat = on_seat_change, previous_seat
         self._session: net.Session | None = None
@@ -138,7 +138,7 @@
     def reload(self, config: Config) -> None:
         """Do nothing: the settings of this source are not part of the agent's, see `change`."""
 
-    def change(self, settings: Terms) -> None:
+    def change(self, settings: SourceSettings) -> None:
         """Switch to another service, path or other settings.
 
         The present list stays in use until the new service has been read; servers missing there become
@@ -166,7 +166,7 @@
         self._session = net.Session(
             self._settings.session, self._seed, self._on_session_state, self._on_event
         )
-        if self._settings.fleet and self._on_seat_change is not None:
+        if self._settings.seats_path and self._on_seat_change is not None:
             last = self.seats.allocator.seat if self.seats is not None else self._previous_seat
             self.seats = SeatKeeper(
                 self._session, self._settings, self._seed, self._name, self._now, self._on_seat_change, last
@@ -189,19 +189,19 @@
 
     # Callbacks of the session
 
-    def _on_session_state(self, state: net.Life) -> None:
+    def _on_session_state(self, state: net.SessionState) -> None:
         if self._session is None:
             return
         now = self._now()
         self.tracker.on_service_state(SERVICE_STATES[state], now)
-        if state is net.Life.EXPIRED:
+        if state is net.SessionState.EXPIRED:
             # The watches ended with the session: everything is read again.
             self._unread.clear()
             self._listed_nodes.clear()
             self._children_stale = self._delay_read = True
-        elif state is net.Life.CONNECTED and not self._connected and not self._listed_nodes:
+        elif state is net.SessionState.CONNECTED and not self._connected and not self._listed_nodes:
             self._children_stale = True
-        self._connected = state in (net.Life.CONNECTED, net.Life.SLOW)
+        self._connected = state in (net.SessionState.CONNECTED, net.SessionState.SLOW)
         if self.seats is not None:
             self.seats.on_session_state(state)
         self._work_ready.set()
@@ -210,7 +210,7 @@
     def _on_event(self, event: Event, path: str) -> None:
         if self._session is None:
             return
-        if self.seats is not None and path == self._settings.fleet:
+        if self.seats is not None and path == self._settings.seats_path:
             self.seats.on_seats_changed()
             return
         if path == self._settings.path:
@@ -243,9 +243,9 @@
                     await self._read_children(session)
                     refresh_at = loop.time() + REFRESH_INTERVAL_S * (0.5 + self._random.random())
                 await self._read_records(session)
-            except net.Lost:
+            except net.ConnectionLost:
                 self._children_stale = True  # the response may have been lost, and its watch with it
-            except net.NotDone as refused:
+            except net.ZooKeeperError as refused:
                 log.warning("the service refused a read of %s: %s", self._settings.path, refused)
                 await asyncio.sleep(RETRY_DELAY_S * (0.5 + self._random.random()))
             except net.TooManyRequests:
@@ -268,7 +268,7 @@
         self._path_missing = False
         try:
             names, _ = await session.children(self._settings.path, watch=True)
-        except net.NotDone as refused:
+        except net.ZooKeeperError as refused:
             if refused.err != Err.NO_NODE:
                 self._children_stale = True
                 raise
@@ -314,7 +314,7 @@
         member = None
         try:
             member = parse_record(data, stat)
-        except Malformed as fault:
+        except MalformedList as fault:
             log.warning("ignoring the record of %s: %s", node[:MAX_TEXT_CHARS], fault)
         self.tracker.on_record(node, member, self._now())
 
@@ -322,7 +322,7 @@
         self, session: net.Session, node: str, changed: bool, fault: BaseException
     ) -> BaseException | None:
         """Handle a failed read of a record; return the exception to raise, if any."""
-        if isinstance(fault, net.NotDone) and fault.err == Err.NO_NODE:
+        if isinstance(fault, net.ZooKeeperError) and fault.err == Err.NO_NODE:
             self._listed_nodes.discard(node)
             session.forget_watch(f"{self._settings.path}/{node}")
             if changed:
@@ -330,7 +330,7 @@
             else:
                 self._children_stale = True
             return None
-        if isinstance(fault, net.NotDone):
+        if isinstance(fault, net.ZooKeeperError):
             log.warning("ignoring the record of %s: %s", node[:MAX_TEXT_CHARS], fault)
             self.tracker.on_record(node, None, self._now())
             return None
@@ -402,25 +402,26 @@
 
 
 SERVICE_STATES = {
-    net.Life.CONNECTED: membership.ServiceState.HEALTHY, net.Life.SLOW: membership.ServiceState.SLOW,
-    net.Life.DISCONNECTED: membership.ServiceState.DISCONNECTED,
-    net.Life.EXPIRED: membership.ServiceState.SESSION_LOST,
-}  # fmt: skip
+    net.SessionState.CONNECTED: membership.ServiceState.HEALTHY,
+    net.SessionState.SLOW: membership.ServiceState.SLOW,
+    net.SessionState.DISCONNECTED: membership.ServiceState.DISCONNECTED,
+    net.SessionState.EXPIRED: membership.ServiceState.SESSION_LOST,
+}
 
 
 class SeatKeeper:
     """Carries out the actions of `decisions.places` over the given session."""
 
     def __init__(
-        self, session: net.Session, settings: Terms, seed: int, name: str, now: Callable[[], int],
+        self, session: net.Session, settings: SourceSettings, seed: int, name: str, now: Callable[[], int],
         on_seat_change: Callable[[int | None], None], previous: int | None,
     ) -> None:  # fmt: skip
         self._session, self._path, self._name, self._now, self._on_seat_change = (
-            session, settings.fleet, name, now, on_seat_change,
+            session, settings.seats_path, name, now, on_seat_change,
         )  # fmt: skip
         self.allocator = places.SeatAllocator(settings.seats, seed, previous)
         self._random = Random(seed ^ 0x5EA7)
-        self._acls: tuple[Acl, ...] = OPEN_TO_ALL
+        self._acls: tuple[Acl, ...] = OPEN_ACL_UNSAFE
         if settings.session.auth:
             self._acls = (Acl(Perm.ALL, "auth", ""), Acl(Perm.READ, "world", "anyone"))
         self._read_needed = asyncio.Event()
@@ -448,16 +449,16 @@
             timer.cancel()
         self._timers.clear()
 
-    def on_session_state(self, state: net.Life) -> None:
+    def on_session_state(self, state: net.SessionState) -> None:
         """Handle a change of the session state."""
-        if state in (net.Life.CONNECTED, net.Life.SLOW):
+        if state in (net.SessionState.CONNECTED, net.SessionState.SLOW):
             self._execute(self.allocator.on_session(places.SessionState.CONNECTED, self._now()))
             if not self._connected.is_set():
                 self._connected.set()
                 self._read_needed.set()
             return
         self._connected.clear()
-        expired = state is net.Life.EXPIRED
+        expired = state is net.SessionState.EXPIRED
         if expired:
             self._unconfirmed.clear()
         self._execute(
@@ -477,9 +478,9 @@
             self._read_needed.clear()
             try:
                 await self._read()
-            except net.Lost:
+            except net.ConnectionLost:
                 self._read_needed.set()
-            except (net.NotDone, net.TooManyRequests) as refused:
+            except (net.ZooKeeperError, net.TooManyRequests) as refused:
                 log.warning(
                     "the service refused a read of %s: %s", self._path, refused or "too many requests"
                 )
@@ -491,7 +492,7 @@
     async def _read(self) -> None:
         try:
             names, _ = await self._session.children(self._path, watch=True)
-        except net.NotDone as refused:
+        except net.ZooKeeperError as refused:
             if refused.err != Err.NO_NODE:
                 raise
             await self._create_path()
@@ -513,7 +514,7 @@
         for depth in range(1, len(parts) + 1):
             try:
                 await self._session.create("/" + "/".join(parts[:depth]), b"")
-            except net.NotDone as refused:
+            except net.ZooKeeperError as refused:
                 if refused.err != Err.NODE_EXISTS:
                     raise
 
@@ -544,7 +545,7 @@
         await asyncio.sleep(delay_s)
         try:
             await self._session.create(self._seat_path(seat), self._name.encode(), Flag.EPHEMERAL, self._acls)
-        except net.NotDone as refused:
+        except net.ZooKeeperError as refused:
             if refused.err == Err.NODE_EXISTS:
                 # A claim whose response was lost may have succeeded.
                 ours = seat in self._unconfirmed and await self._is_ours(seat)
@@ -554,7 +555,7 @@
             log.warning("the service refused to create a seat: %s", refused)
             self._execute(self.allocator.on_claim_unknown(seat, self._now()))
             self._read_needed.set()
-        except (net.Lost, net.TooManyRequests):
+        except (net.ConnectionLost, net.TooManyRequests):
             self._unconfirmed.add(seat)
             self._execute(self.allocator.on_claim_unknown(seat, self._now()))
             self._read_needed.set()
@@ -565,15 +566,15 @@
         """Return whether this session owns the node of the seat, after a create without a response."""
         try:
             _, stat = await self._session.get(self._seat_path(seat), watch=False)
-        except (net.NotDone, net.Lost, net.TooManyRequests):
+        except (net.ZooKeeperError, net.ConnectionLost, net.TooManyRequests):
             return False
         return stat.ephemeral_owner == self._session.id
 
     async def _release(self, seat: int) -> None:
         try:
             await self._session.delete(self._seat_path(seat))
-        except (net.NotDone, net.Lost, net.TooManyRequests) as fault:
+        except (net.ZooKeeperError, net.ConnectionLost, net.TooManyRequests) as fault:
             log.info("seat %d could not be released: %s", seat, type(fault).__name__)
-            if not isinstance(fault, net.NotDone):
+            if not isinstance(fault, net.ZooKeeperError):
                 self._unconfirmed.add(seat)
                 self._read_needed.set()
--- a/sorrelfront/terms.py
+++ b/sorrelfront/terms.py
@@ -19,7 +19,7 @@
     memory_bytes: int  # memory limit of the process
     sockets: int  # maximum number of open file descriptors
     settings: Settings
-    known: Update  # the cached list of backends
-    most_held: int  # maximum number of requests in flight
+    cached_list: Update  # the cached list of backends
+    max_pending: int  # maximum number of requests in flight
     idle_us: int  # the backends' idle timeout
     control: Address | None = None  # address of the control interface, if there is one
--- a/sorrelfront/upstreams/http1.py
+++ b/sorrelfront/upstreams/http1.py
@@ -21,14 +21,14 @@
 from sorrelfront.agent import DEADLINE_MARGIN_US
 from sorrelfront.decisions.interface import Outcome
 from sorrelfront.events import Event, EventCounter
-from sorrelfront.messages import Address, Answer, Call, Ended, Upload
-from sorrelfront.net.bodies import Broken
-from sorrelfront.net.budget import BODY_MOST, STREAM_MOST, Descriptors
-from sorrelfront.net.heads import HEAD_END, HEAD_MOST, AnswerHead, answer_head, framed
+from sorrelfront.messages import Address, Answer, AttemptResult, Call, Upload
+from sorrelfront.net.bodies import BodyAborted
+from sorrelfront.net.budget import MAX_BUFFERED_BODY, MAX_STREAMED_BODY, Descriptors
+from sorrelfront.net.heads import HEAD_END, MAX_HEAD_BYTES, AnswerHead, answer_head, frame_message
 from sorrelfront.net.http import (
-    KERNEL_BUFFER,
-    PIECES_IN_A_ROW,
+    MAX_CHUNKS_PER_TURN,
     SEND_BYTES,
+    SOCKET_BUFFER_BYTES,
     Payload,
     Wire,
     end_to_end,
@@ -86,9 +86,9 @@
     def __init__(self, descriptors: int, idle_us: int, connect_timeout_us: int) -> None:
         self.resize(descriptors, idle_us, connect_timeout_us)
         self._idle: dict[Address, deque[tuple[float, Wire]]] = {}  # per address, longest idle first
-        self.open = 0
-        self.opened = 0
-        self.written = 0  # requests completely written to backends
+        self.open_connections = 0
+        self.connections_opened = 0
+        self.requests_written = 0  # requests completely written to backends
         self._last_idle_scan = 0.0
         self.events = EventCounter()
 
@@ -102,12 +102,14 @@
         """Apply the limits of another configuration."""
         self.resize(Descriptors(config.sockets).backends, config.idle_us, config.settings.connect_timeout_us)
 
-    async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
+    async def attempt(
+        self, call: Call, address: Address, timeout_us: int, may_send: Callable[[], bool]
+    ) -> AttemptResult:
         """Send the request to this backend, at most once, and return how the attempt ended.
 
         `fit` returns whether the attempt may still be sent there. `timeout_us` is in microseconds.
         """
-        exchange = _Exchange(self, call, address, timeout_us, fit)
+        exchange = _Exchange(self, call, address, timeout_us, may_send)
         # The timeout of a request with a streamed body starts at the body's last byte.
         limit_s = max(0, timeout_us) / 1e6 if call.upload is None else None
         return await self.run_with_timeout(limit_s, exchange, exchange.run)
@@ -117,8 +119,8 @@
         call: Call,
         address: Address,
         timeout_us: int,
-        fit: Callable[[], bool],
-        done: Callable[[Ended], None],
+        may_send: Callable[[], bool],
+        done: Callable[[AttemptResult], None],
     ) -> _FastExchange | None:
         """Do the same on an idle connection, without a task unless the exchange needs one.
 
@@ -131,7 +133,7 @@
         if idle is None:
             return None
         wire, settled = idle
-        exchange = _Exchange(self, call, address, timeout_us, fit)
+        exchange = _Exchange(self, call, address, timeout_us, may_send)
         try:
             data = exchange.frame()
         except Exception:  # raised again, and handled, by the `attempt` that follows
@@ -140,16 +142,18 @@
         return _FastExchange(self, exchange, wire, data, settled and call.repeatable, timeout_us, done)
 
     async def run_with_timeout(
-        self, limit_s: float | None, exchange: _Exchange, run: Callable[[], Awaitable[Ended]]
-    ) -> Ended:
+        self, limit_s: float | None, exchange: _Exchange, run: Callable[[], Awaitable[AttemptResult]]
+    ) -> AttemptResult:
         """Run an exchange with a time limit in seconds and return how it ended."""
         try:
             async with asyncio.timeout(limit_s) as exchange.time_limit:
                 return await run()
         except TimeoutError:
-            return exchange.unread_result or Ended(Outcome.TIMEOUT if exchange.sent else Outcome.UNREACHABLE)
+            return exchange.unread_result or AttemptResult(
+                Outcome.TIMEOUT if exchange.sent else Outcome.UNREACHABLE
+            )
         except NoDescriptor:
-            return Ended(Outcome.UNSENT)
+            return AttemptResult(Outcome.UNSENT)
         except asyncio.CancelledError:
             if exchange.unread_result is not None and exchange.unread_result.answer is not None:
                 stream = exchange.unread_result.answer.stream
@@ -176,11 +180,11 @@
                 at = next((i for i in range(at, -1, -1) if now - idle_wires[i][0] >= SETTLED_S), at)
             since, wire = idle_wires[at]
             del idle_wires[at]
-            wire.wake()
+            wire.unwatch_idle()
             if not idle_wires:
                 del self._idle[address]
             idle_s = now - since
-            if idle_s < self._idle_s and wire.quiet():
+            if idle_s < self._idle_s and wire.nothing_unread():
                 return wire, idle_s >= SETTLED_S
             self.drop(wire, ServerCloseReason.STALE)
         return None
@@ -192,39 +196,41 @@
             OSError: The connection failed; TimeoutError if it took too long.
             NoDescriptor: There is no file descriptor for it.
         """
-        if self.open >= self._descriptors and not self._drop_oldest_idle(ServerCloseReason.EVICTED):
+        if self.open_connections >= self._descriptors and not self._drop_oldest_idle(
+            ServerCloseReason.EVICTED
+        ):
             raise NoDescriptor
-        self.open += 1
+        self.open_connections += 1
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError:
-            self.open -= 1
+            self.open_connections -= 1
             raise
         wire = Wire(sock)
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
             async with asyncio.timeout(self._connect_timeout_s):
                 await asyncio.get_running_loop().sock_connect(sock, address)
         except BaseException:
             self.drop(wire, ServerCloseReason.CONNECT_FAILED)
             raise
-        self.opened += 1
+        self.connections_opened += 1
         return wire
 
-    def rest(self, address: Address, wire: Wire) -> None:
+    def release(self, address: Address, wire: Wire) -> None:
         """Keep a connection for the next request; close it if the backend sends or closes in between."""
         self._close_expired()
-        if self.open > self._descriptors:
+        if self.open_connections > self._descriptors:
             self.drop(wire, ServerCloseReason.EVICTED)
             return
         self._idle.setdefault(address, deque()).append((time.monotonic(), wire))
-        wire.rest(partial(self._on_idle_event, address, wire))
+        wire.watch_idle(partial(self._on_idle_event, address, wire))
 
     def drop(self, wire: Wire, reason: ServerCloseReason = ServerCloseReason.UNFINISHED) -> None:
         """Close a connection and count the reason; do nothing if it is closed."""
         if not wire.closed:
             self.events.add(Event.CLOSED, reason)
-            self.open -= 1
+            self.open_connections -= 1
             wire.close()
 
     def forget(self, address: Address) -> None:
@@ -285,16 +291,18 @@
         self._deadline = time.monotonic() + timeout_us / 1e6
         self._may_send = may_send
         self.sent = False  # the last byte may have left, so the request may run
-        self.unread_result: Ended | None = None  # the answer, if it was received but not read at the timeout
+        self.unread_result: AttemptResult | None = (
+            None  # the answer, if it was received but not read at the timeout
+        )
         self.time_limit: asyncio.Timeout | None = None  # of the whole attempt
 
-    async def run(self) -> Ended:
+    async def run(self) -> AttemptResult:
         """Run the exchange on an idle connection, or on a new one if there is none or it breaks early."""
         upload = self._call.upload
         if upload is not None:
             # On a new connection: if a reused one broke, the streamed body that was sent on it would be lost,
             # and it cannot be sent again.
-            return await self.run_on_new_connection() if upload.begin() else Ended(Outcome.UNSENT)
+            return await self.run_on_new_connection() if upload.begin() else AttemptResult(Outcome.UNSENT)
         idle = self._upstream.take_idle(self._address, settled=self._call.repeatable)
         if idle is not None:
             wire, settled = idle
@@ -303,20 +311,22 @@
                 return ended
         return await self.run_on_new_connection()
 
-    async def run_on_new_connection(self) -> Ended:
+    async def run_on_new_connection(self) -> AttemptResult:
         """Run the exchange on a new connection."""
         if not self._may_send():
-            return Ended(Outcome.UNREACHABLE)
+            return AttemptResult(Outcome.UNREACHABLE)
         try:
             wire = await self._upstream.connect(self._address)
         except OSError:
-            return Ended(Outcome.UNREACHABLE)
+            return AttemptResult(Outcome.UNREACHABLE)
         if not self._may_send():  # checked again: the connect may have taken long
             self._upstream.drop(wire, ServerCloseReason.NOT_WANTED)
-            return Ended(Outcome.UNREACHABLE)
-        return await self._run_on(wire, reused=False, without_delay=False) or Ended(Outcome.UNREACHABLE)
+            return AttemptResult(Outcome.UNREACHABLE)
+        return await self._run_on(wire, reused=False, without_delay=False) or AttemptResult(
+            Outcome.UNREACHABLE
+        )
 
-    async def _run_on(self, wire: Wire, reused: bool, without_delay: bool) -> Ended | None:
+    async def _run_on(self, wire: Wire, reused: bool, without_delay: bool) -> AttemptResult | None:
         """Run the exchange on this connection; None if it broke before the last byte was written."""
         try:
             data = self.frame()
@@ -334,11 +344,11 @@
         reader = _AnswerReader(self, wire, writer, reused)
         return await self.read(reader, data if writer is None else b"", without_delay)
 
-    async def resume(self, reader: _AnswerReader, data: bytes) -> Ended:
+    async def resume(self, reader: _AnswerReader, data: bytes) -> AttemptResult:
         """Continue an exchange begun on a reused connection, with `data` still to be written."""
         return await self.read(reader, data, True) or await self.run_on_new_connection()
 
-    async def read(self, reader: _AnswerReader, data: bytes, without_delay: bool) -> Ended | None:
+    async def read(self, reader: _AnswerReader, data: bytes, without_delay: bool) -> AttemptResult | None:
         """Write the remaining data and read the answer."""
         try:
             if data:
@@ -355,7 +365,7 @@
             reader.close()
             raise
 
-    def failure_result(self, reader: _AnswerReader, fault: Exception) -> Ended | None:
+    def failure_result(self, reader: _AnswerReader, fault: Exception) -> AttemptResult | None:
         """Return the result of an exchange that failed; None if its last byte was not written."""
         reader.close()
         if not self.sent:
@@ -363,8 +373,8 @@
         # A close inside the answer is a broken connection. A malformed answer is an error: the backend is up,
         # and treating it as unreachable would lose the valid answers that it gives.
         if isinstance(fault, (OSError, _UnexpectedData)) or reader.eof:
-            return Ended(Outcome.RESET)
-        return Ended(Outcome.ERROR)
+            return AttemptResult(Outcome.RESET)
+        return AttemptResult(Outcome.ERROR)
 
     def frame(self) -> bytes:
         """Return the serialized request, with the Host header first (RFC 9110, 7.2).
@@ -387,7 +397,7 @@
                 headers.append((b"Content-Length", b"%d" % upload.length))
         elif payload.body or payload.method != b"GET":
             headers.append((b"Content-Length", b"%d" % len(payload.body)))
-        return framed(b"%s %s HTTP/1.1\r\n" % (payload.method, payload.target), headers, payload.body)
+        return frame_message(b"%s %s HTTP/1.1\r\n" % (payload.method, payload.target), headers, payload.body)
 
     def new_h11_parser(self) -> h11.Connection:
         """Return an h11 parser for an answer that the fast parser does not handle.
@@ -395,7 +405,7 @@
         It is in the state after the request was sent.
         """
         payload: Payload = self._call.payload
-        parser = h11.Connection(h11.CLIENT, HEAD_MOST)
+        parser = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         headers = [(b"Host", b"a"), (b"Content-Length", b"0")]
         parser.send(h11.Request(method=payload.method, target=b"/", headers=headers))
         parser.send(h11.EndOfMessage())
@@ -426,13 +436,13 @@
 
     def count_written(self) -> None:
         """Count the request: the kernel has accepted its last byte."""
-        self._upstream.written += 1
+        self._upstream.requests_written += 1
 
     def may_send_last_byte(self, wire: Wire, reused: bool) -> bool:
         """Return whether the last byte may be sent; if not, shut the connection down."""
         # The server may have begun to drain since the request was decided on. Unread data received before the
         # request would be taken for its answer.
-        if self._may_send() and not (reused and not wire.quiet()):
+        if self._may_send() and not (reused and not wire.nothing_unread()):
             return True
         wire.shutdown(socket.SHUT_RDWR)
         return False
@@ -445,14 +455,14 @@
         """
         self.sent = True
         upload = self._call.upload
-        if self.time_limit is not None and upload is not None and upload.whole_at is not None:
-            spent_s = time.monotonic() - upload.whole_at
+        if self.time_limit is not None and upload is not None and upload.completed_at is not None:
+            spent_s = time.monotonic() - upload.completed_at
             left_s = (self._call.budget_us - DEADLINE_MARGIN_US) / 1e6 - spent_s
             self.time_limit.reschedule(asyncio.get_running_loop().time() + left_s)
 
     def keep(self, wire: Wire) -> None:
         """Return the connection to the pool."""
-        self._upstream.rest(self._address, wire)
+        self._upstream.release(self._address, wire)
 
     def drop(self, wire: Wire) -> None:
         """Close the connection."""
@@ -466,15 +476,17 @@
     It needs a task only if the kernel does not accept the data immediately.
     """
 
-    def __init__(self, exchange: _Exchange, wire: Wire, data: bytes, rested: bool, at_once: bool) -> None:
+    def __init__(
+        self, exchange: _Exchange, wire: Wire, data: bytes, reused: bool, without_delay: bool
+    ) -> None:
         self._exchange = exchange
         self._wire = wire
         self._last_byte = data[-1:]
-        self._reused = rested
+        self._reused = reused
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
         begun = 0
-        if not at_once:
+        if not without_delay:
             try:
                 begun = wire.send_now(memoryview(data)[:-1])
             except OSError:
@@ -482,7 +494,7 @@
             if begun == len(data) - 1:
                 self._timer = asyncio.get_running_loop().call_later(LAST_BYTE_DELAY_S, self._send_last_byte)
                 return
-        self._task = asyncio.create_task(exchange.write(wire, data, rested, at_once, begun))
+        self._task = asyncio.create_task(exchange.write(wire, data, reused, without_delay, begun))
 
     def _send_last_byte(self) -> None:
         self._timer = None
@@ -536,21 +548,21 @@
         data: bytes,
         without_delay: bool,
         timeout_us: int,
-        done: Callable[[Ended], None],
+        done: Callable[[AttemptResult], None],
     ) -> None:
         self._upstream = upstream
         self._exchange = exchange
         self._wire = wire
-        self._on_done: Callable[[Ended], None] | None = done
+        self._on_done: Callable[[AttemptResult], None] | None = done
         self._loop = asyncio.get_running_loop()
         self._deadline = self._loop.time() + timeout_us / 1e6
-        self._task: asyncio.Task[Ended] | None = None
+        self._task: asyncio.Task[AttemptResult] | None = None
         self._task_started = False  # the task has run its first step
         inline = without_delay and len(data) <= SEND_BYTES
         writer = None if inline else _Writer(exchange, wire, data, True, without_delay)
         self._reader = _AnswerReader(exchange, wire, writer, True)
-        self._timer = self._loop.call_later(timeout_us / 1e6, self._time_up)
-        wire.listen(self._on_data)
+        self._timer = self._loop.call_later(timeout_us / 1e6, self._on_timeout)
+        wire.on_receive(self._on_data)
         if inline:
             self._write(data)
 
@@ -586,15 +598,15 @@
         except Exception:
             log.exception("reading an answer raised an exception")
             reader.close()
-            ended = Ended(Outcome.UNKNOWN)
+            ended = AttemptResult(Outcome.UNKNOWN)
         if ended is None:
             self._continue_in_task(b"")
         else:
             self._report(ended)
 
-    def _time_up(self) -> None:
+    def _on_timeout(self) -> None:
         late = self._reader.read_available()
-        self._report(late or Ended(Outcome.TIMEOUT if self._exchange.sent else Outcome.UNREACHABLE))
+        self._report(late or AttemptResult(Outcome.TIMEOUT if self._exchange.sent else Outcome.UNREACHABLE))
 
     def cancel(self) -> None:
         """Cancel the exchange. Its end is reported in a later step, because the caller is in a decision."""
@@ -604,14 +616,14 @@
             done, self._on_done = self._on_done, None
             self._detach()
             self._reader.close()
-            self._loop.call_soon(done, Ended(Outcome.CANCELLED))
+            self._loop.call_soon(done, AttemptResult(Outcome.CANCELLED))
 
     def _detach(self) -> None:
         self._timer.cancel()
         if not self._wire.closed:
-            self._wire.listen(None)
+            self._wire.on_receive(None)
 
-    def _report(self, ended: Ended) -> None:
+    def _report(self, ended: AttemptResult) -> None:
         done, self._on_done = self._on_done, None
         self._detach()
         if done is not None:
@@ -623,7 +635,7 @@
         self._task = asyncio.create_task(self._run(data))
         self._task.add_done_callback(self._on_task_done)
 
-    async def _run(self, data: bytes | None) -> Ended:
+    async def _run(self, data: bytes | None) -> AttemptResult:
         self._task_started = True
         exchange = self._exchange
         left_s = max(0.0, self._deadline - self._loop.time())
@@ -633,16 +645,16 @@
             left_s, exchange, partial(exchange.resume, self._reader, data)
         )
 
-    def _on_task_done(self, task: asyncio.Task[Ended]) -> None:
+    def _on_task_done(self, task: asyncio.Task[AttemptResult]) -> None:
         self._task = None  # a cycle with its exception's frames would wait for the garbage collector
         if not self._task_started:
             self._reader.close()
-        ended = Ended(Outcome.CANCELLED)
+        ended = AttemptResult(Outcome.CANCELLED)
         if not task.cancelled():
             fault = task.exception()
             if fault is not None:
                 log.error("an attempt raised an exception", exc_info=fault)
-            ended = Ended(Outcome.UNKNOWN) if fault is not None else task.result()
+            ended = AttemptResult(Outcome.UNKNOWN) if fault is not None else task.result()
         self._report(ended)
 
 
@@ -719,8 +731,10 @@
             data = self._body or await self._read_next()
             self._body = b""
             self._received += len(data)
-            if self._received > STREAM_MOST or (self._remaining is not None and len(data) > self._remaining):
-                raise Broken("the answer exceeds the size limit or its declared length")
+            if self._received > MAX_STREAMED_BODY or (
+                self._remaining is not None and len(data) > self._remaining
+            ):
+                raise BodyAborted("the answer exceeds the size limit or its declared length")
             if self._remaining is not None:
                 self._remaining -= len(data)
         except BaseException:
@@ -751,7 +765,7 @@
             return self._finish(not self._excess)
         data = await self._wire.receive(STREAM_IDLE_TIMEOUT_S)
         if not data:
-            raise Broken("the answer is truncated")
+            raise BodyAborted("the answer is truncated")
         self._excess = len(data) > self._remaining
         return data[: self._remaining]
 
@@ -763,16 +777,16 @@
                     parser.receive_data(await self._wire.receive(STREAM_IDLE_TIMEOUT_S))
                     continue
             except h11.RemoteProtocolError as fault:
-                raise Broken(str(fault)) from None
+                raise BodyAborted(str(fault)) from None
             if isinstance(event, h11.Data):
                 if event.data:
                     return bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 if self._remaining:
-                    raise Broken("the answer is shorter than its declared length")
+                    raise BodyAborted("the answer is shorter than its declared length")
                 return self._finish(_is_complete(parser))
             else:
-                raise Broken("the answer is truncated")
+                raise BodyAborted("the answer is truncated")
 
 
 class _AnswerReader:
@@ -808,13 +822,13 @@
         self._close_after = False  # the connection is closed after this long answer
         self._pieces = 0  # parsed pieces of the body since the last yield to the event loop
 
-    async def run(self) -> Ended:
+    async def run(self) -> AttemptResult:
         """Read until the answer is complete.
 
         Raises InvalidAnswer, _UnexpectedData, OSError and h11's errors.
         """
         while (ended := self.parse()) is None:
-            paused, self._pieces = self._pieces >= PIECES_IN_A_ROW, 0
+            paused, self._pieces = self._pieces >= MAX_CHUNKS_PER_TURN, 0
             if paused:
                 await asyncio.sleep(0)
                 continue
@@ -824,7 +838,7 @@
                 # Otherwise an answer shorter than declared would hold the request until the deadline.
                 raise InvalidAnswer("timeout between two reads of the answer") from None
             self.feed(data)
-        ended.tail_us = int((time.monotonic() - self._first_byte_at) * 1e6)
+        ended.answer_duration_us = int((time.monotonic() - self._first_byte_at) * 1e6)
         return ended
 
     def close(self) -> None:
@@ -833,16 +847,16 @@
             self._writer.cancel()
         self._exchange.drop(self.wire)
 
-    def read_available(self) -> Ended | None:
+    def read_available(self) -> AttemptResult | None:
         """Return the answer if it is already received completely, else None; no more is read after this."""
         try:
             for _ in range(MAX_FINAL_READS):
                 ended = self.parse()
                 if ended is not None:
                     return ended
-                paused, self._pieces = self._pieces >= PIECES_IN_A_ROW, 0
+                paused, self._pieces = self._pieces >= MAX_CHUNKS_PER_TURN, 0
                 if not paused:
-                    data = self.wire.unread()
+                    data = self.wire.receive_now()
                     if not data:
                         break
                     self.feed(data)
@@ -865,7 +879,7 @@
         else:
             self._data += data
 
-    def parse(self) -> Ended | None:
+    def parse(self) -> AttemptResult | None:
         """Parse the received data; None if incomplete. Raises InvalidAnswer and h11's errors."""
         if self._h11 is None:
             if self._head is None and not self._read_head():
@@ -886,7 +900,7 @@
             self._head = answer_head(bytes(data[: self._body_start]))
             if self._head is not None:
                 return True
-        elif not self.eof and len(data) <= HEAD_MOST and data[0] >= 0x21:
+        elif not self.eof and len(data) <= MAX_HEAD_BYTES and data[0] >= 0x21:
             self._scanned = max(0, len(data) - 2)
             return False
         self._h11 = self._exchange.new_h11_parser()
@@ -897,17 +911,17 @@
         self._data = bytearray()
         return True
 
-    def _parse_plain(self, head: AnswerHead) -> Ended | None:
+    def _parse_plain(self, head: AnswerHead) -> AttemptResult | None:
         received = len(self._data) - self._body_start
         if head.status != 200:
             # The status is all that is needed, so the attempt ends now; see `_skip_body`.
             self._finish(received == head.length and not head.last)
-            return Ended(_outcome_of_status(head.status, head.headers))
+            return AttemptResult(_outcome_of_status(head.status, head.headers))
         if not self._exchange.sent:
             raise InvalidAnswer("answer received before the request was completely sent")
-        if head.length > STREAM_MOST:
+        if head.length > MAX_STREAMED_BODY:
             raise InvalidAnswer("the answer exceeds the size limit")
-        if head.length > BODY_MOST and received:
+        if head.length > MAX_BUFFERED_BODY and received:
             return self._start_stream(head, received)
         if received < head.length:
             if self.eof:
@@ -915,21 +929,21 @@
             return None
         self._finish(received == head.length and not head.last)
         body = self._data[self._body_start : self._body_start + head.length]
-        return Ended(Outcome.OK, Answer(200, end_to_end(head.headers), body))
+        return AttemptResult(Outcome.OK, Answer(200, end_to_end(head.headers), body))
 
-    def _start_stream(self, head: AnswerHead, received: int) -> Ended:
+    def _start_stream(self, head: AnswerHead, received: int) -> AttemptResult:
         """Begin to stream a long plain answer whose first bytes were received."""
         body = bytes(self._data[self._body_start : self._body_start + head.length])
         self._data = bytearray()
         self._close_after = head.last or received > head.length
         download = _Download(self, self.wire, head.length, None, body)
-        return Ended(Outcome.OK, Answer(200, end_to_end(head.headers), b"", download))
+        return AttemptResult(Outcome.OK, Answer(200, end_to_end(head.headers), b"", download))
 
     def finish_stream(self, complete: bool) -> None:
         """Finish a long answer; the connection is kept if `complete` and neither side closes it."""
         self._finish(complete and not self._close_after)
 
-    def _parse_h11(self, parser: h11.Connection) -> Ended | None:
+    def _parse_h11(self, parser: h11.Connection) -> AttemptResult | None:
         """Parse with h11; returns None with `_pieces` above zero to yield in an answer of many pieces."""
         while True:
             event = parser.next_event()
@@ -939,7 +953,7 @@
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
                         self._skip_body(parser)
-                        return Ended(_outcome_of_status(event.status_code, event.headers))
+                        return AttemptResult(_outcome_of_status(event.status_code, event.headers))
                     if not self._exchange.sent:
                         raise InvalidAnswer("answer received before the request was completely sent")
                     self._length = _declared_length(event)
@@ -948,18 +962,20 @@
                     self._on_informational(parser, event)
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                if len(self._body) > BODY_MOST or (self._length or 0) > BODY_MOST:
+                if len(self._body) > MAX_BUFFERED_BODY or (self._length or 0) > MAX_BUFFERED_BODY:
                     body, self._body = bytes(self._body), bytearray()
                     download = _Download(self, self.wire, self._length, parser, body)
-                    return Ended(Outcome.OK, Answer(200, end_to_end(self._response.headers), b"", download))
+                    return AttemptResult(
+                        Outcome.OK, Answer(200, end_to_end(self._response.headers), b"", download)
+                    )
                 self._pieces += 1
-                if self._pieces >= PIECES_IN_A_ROW:
+                if self._pieces >= MAX_CHUNKS_PER_TURN:
                     return None
             elif isinstance(event, h11.EndOfMessage):
                 if self._length is not None and len(self._body) != self._length:
                     raise InvalidAnswer("the answer does not have its declared length")
                 self._finish(_is_complete(parser))
-                return Ended(Outcome.OK, Answer(200, end_to_end(self._response.headers), self._body))
+                return AttemptResult(Outcome.OK, Answer(200, end_to_end(self._response.headers), self._body))
             else:
                 raise InvalidAnswer("the answer is truncated")
 
@@ -978,7 +994,7 @@
         the request's next attempt or its final answer.
         """
         try:
-            for _ in range(1 + BODY_MOST // 64):
+            for _ in range(1 + MAX_BUFFERED_BODY // 64):
                 event = parser.next_event()
                 if isinstance(event, h11.EndOfMessage):
                     self._finish(_is_complete(parser))
@@ -1014,7 +1030,7 @@
     chunked = any(name == b"transfer-encoding" for name, _ in response.headers)
     if chunked == bool(lengths):
         raise InvalidAnswer("the length of the answer is missing or ambiguous")
-    if lengths and lengths[0] > STREAM_MOST:
+    if lengths and lengths[0] > MAX_STREAMED_BODY:
         raise InvalidAnswer("the answer exceeds the size limit")
     return lengths[0] if lengths else None
 
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from sorrelfront.cli.main import _format_count
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, Registry, member
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, Registry, member
 from tests.daemon.fleet import OK, Fleet, fleet
 from tests.test_process import ROOT, free_address
 
@@ -128,9 +128,9 @@
         key.chmod(0o600)
         backend = await Backend(OK).start()
         registry = await Registry().start()
-        registry.known = [member("b0", backend.address)]
+        registry.members = [member("b0", backend.address)]
         daemon = Fleet(tmp_path, registry.address)
-        daemon.tables = f"""
+        daemon.extra_tables = f"""
 [fleet]
 name = "f"
 listen = "127.0.0.1:{port}"
@@ -144,7 +144,7 @@
         await daemon.start()
         try:
             await daemon.ready()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await daemon.ask("members")).get("agreeing") != 2:
                     await asyncio.sleep(0.05)
             result = await asyncio.to_thread(run, "ctl", str(daemon.path), "members", "--json")
@@ -163,7 +163,7 @@
             key.chmod(0o600)
             key.write_text("fedcba9876543210\n0123456789abcdef\n")
             assert (await daemon.ask("reload"))["ok"]
-            daemon.tables = daemon.tables.replace('name = "f"', 'name = "g"')
+            daemon.extra_tables = daemon.extra_tables.replace('name = "f"', 'name = "g"')
             daemon.write()
             assert "takes a restart" in (await daemon.ask("reload"))["faults"][0]
 
@@ -175,7 +175,7 @@
             try:
                 line = asyncio.create_task(following.stdout.readline())
                 pid = (await daemon.status())["i0"]["pid"]
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     while not line.done():  # a change before the command follows is not printed; repeat it
                         for number in (signal.SIGSTOP, signal.SIGCONT):
                             os.kill(pid, number)
--- a/tests/daemon/fleet.py
+++ b/tests/daemon/fleet.py
@@ -15,7 +15,7 @@
 
 from sorrelfront.daemon import control
 from sorrelfront.daemon.channel import send
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, Registry, answer, member
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, Registry, answer, member
 from tests.test_process import ROOT, free_address
 
 OK = answer(b"served")
@@ -25,7 +25,7 @@
 def hello(path: Path) -> dict[str, object]:
     """Return the `hello` answer that an instance gives on its adoption socket."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(WAIT_TIMEOUT_S)
         sock.connect(str(path))
         assert send(sock, {"op": "hello"})
         data, descriptors, _, _ = socket.recv_fds(sock, 65_536, 40)
@@ -48,10 +48,10 @@
         self.log = folder / "log"
         self.environ: dict[str, str] = {}
         self.orphan_ms = 0  # so that a test that ends early leaves no process behind
-        self.more = ""  # further lines of [daemon]
-        self.tables = ""  # further tables
+        self.extra_daemon_lines = ""  # further lines of [daemon]
+        self.extra_tables = ""  # further tables
         self.servers: list[tuple[str, str]] = []  # a fixed list, instead of the registry
-        self.tell_registry: Callable[..., None] = print
+        self.update_registry: Callable[..., None] = print
         self.write()
 
     def text(self, **changes: Any) -> str:
@@ -76,14 +76,14 @@
 reload_within_ms = {changes.get("reload_within_ms", 10_000)}
 hang_after_ms = {changes.get("hang_after_ms", 20_000)}
 orphan_ms = {changes.get("orphan_ms", self.orphan_ms)}
-{self.more}
+{self.extra_daemon_lines}
 restart_first_ms = 50
 [listeners.http]
 address = "{address[0]}:{address[1]}"
 {tables}
 [membership]
 {membership}
-{self.tables}
+{self.extra_tables}
 """
 
     def write(self, **changes: Any) -> None:
@@ -105,19 +105,19 @@
 
     async def ask(self, op: str, **more: Any) -> dict[str, Any]:
         """Send one operation to the control socket and return the answer."""
-        return await control.ask(self.folder / "c.sock", {"op": op, **more}, PATIENCE_S)
+        return await control.ask(self.folder / "c.sock", {"op": op, **more}, WAIT_TIMEOUT_S)
 
     async def status(self) -> dict[str, dict[str, Any]]:
         """Return the rows of `status` by instance name."""
         return {item["name"]: item for item in (await self.ask("status"))["instances"]}
 
     async def ready(
-        self, count: int | None = None, within_s: float = PATIENCE_S
+        self, count: int | None = None, within_s: float = WAIT_TIMEOUT_S
     ) -> dict[str, dict[str, Any]]:
         """Wait until `count` instances are ready and each knows a ready server; return their status."""
         async with asyncio.timeout(within_s):
             while True:
-                with contextlib.suppress(control.Unavailable):
+                with contextlib.suppress(control.DaemonUnavailable):
                     found = await self.status()
                     ready = [item for item in found.values() if item["phase"] == "ready"]
                     wanted = self.instances if count is None else count
@@ -142,7 +142,7 @@
 
     async def ended(self) -> int:
         """Wait for the supervisor to end and return its exit status."""
-        return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
 
 @contextlib.asynccontextmanager
@@ -150,8 +150,8 @@
     """Run a daemon that knows these servers; check at the end that it stopped cleanly."""
     registry = await Registry().start()
     daemon = Fleet(folder, registry.address, instances)
-    daemon.tell_registry = registry.change
-    registry.known = [member(f"b{at}", backend.address) for at, backend in enumerate(backends)]
+    daemon.update_registry = registry.update
+    registry.members = [member(f"b{at}", backend.address) for at, backend in enumerate(backends)]
     await daemon.start()
     try:
         await daemon.ready()
--- a/tests/daemon/test_adoption.py
+++ b/tests/daemon/test_adoption.py
@@ -20,23 +20,23 @@
 from sorrelfront.daemon.channel import bind_private, configure_socket, send
 from sorrelfront.daemon.journal import Entry, Journal, RunFolder, encode
 from sorrelfront.daemon.processes import boot_id, start_ticks
-from sorrelfront.daemon.takeover import Bequest
-from sorrelfront.lab.crowd import LOST, Crowd, ran_twice
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, connect, gate, member, request
-from sorrelfront.lab.shop import Book, Server
+from sorrelfront.daemon.takeover import HandoverSender
+from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, connect, gated_script, member, request
+from sorrelfront.lab.shop import Ledger, Server
 from tests.daemon.fleet import OK, Fleet, fleet, hello
-from tests.daemon.test_fleet import Manager, alive
-from tests.daemon.test_replacement import answers_as, replacement, replacing
+from tests.daemon.test_fleet import ServiceManager, alive
+from tests.daemon.test_replacement import start_replacement, wait_for_control_socket, wait_for_handover
 from tests.loopback import until
 from tests.test_process import ROOT
 
 ORPHAN_MS = 60_000  # longer than any of these tests
 
 
-def check(crowd: Crowd, *backends: Backend) -> None:
-    assert not crowd.lost and crowd.book[LOST] == 0 and crowd.refused_connects == 0, crowd.book
+def check(crowd: LoadGenerator, *backends: Backend) -> None:
+    assert not crowd.lost and crowd.outcomes[LOST] == 0 and crowd.refused_connects == 0, crowd.outcomes
     assert crowd.served
-    assert not ran_twice([whole for backend in backends for whole in backend.seen])
+    assert not ran_twice([whole for backend in backends for whole in backend.received])
 
 
 async def pids(made: Fleet) -> dict[str, int]:
@@ -69,7 +69,7 @@
     def leave(self, made: Fleet) -> None:
         """Set it to draining; it is the second server of the fleet."""
         self.drained_at = time.monotonic()
-        made.tell_registry(member("b1", self.backend.address, "draining"))
+        made.update_registry(member("b1", self.backend.address, "draining"))
 
     def drain_kept(self) -> bool:
         return bool(self.arrivals) and max(self.arrivals) - self.drained_at < 0.55
@@ -82,20 +82,20 @@
         async with fleet(tmp_path, staying, leaving.backend) as made:
             await keep_orphans(made)
             before = await pids(made)
-            crowd = Crowd(made.address, 40)
-            await crowd.more(200)
+            crowd = LoadGenerator(made.address, 40)
+            await crowd.wait_for_answers(200)
             await made.kill()
             leaving.leave(made)
-            await crowd.more(200)
+            await crowd.wait_for_answers(200)
             await made.start()
             assert {name: item["pid"] for name, item in (await made.ready()).items()} == before
             status = await made.ask("status")
             assert status["adopted"] == 2 and status["generation"] == 1
             assert all(item["adopted"] and item["run"] == 1 for item in status["instances"])
-            await crowd.more(200)
+            await crowd.wait_for_answers(200)
             made.write(sockets=300)  # adopted instances accept a reload like others
             assert (await made.ask("reload"))["ok"]
-            await crowd.more(200)
+            await crowd.wait_for_answers(200)
             await crowd.finish()
         check(crowd, leaving.backend, staying)
         assert leaving.drain_kept()
@@ -110,8 +110,8 @@
         async with fleet(tmp_path, backend, leaving.backend) as made:
             await keep_orphans(made)
             before = await pids(made)
-            crowd = Crowd(made.address, 4)
-            await crowd.more(100)  # both servers get requests
+            crowd = LoadGenerator(made.address, 4)
+            await crowd.wait_for_answers(100)  # both servers get requests
             await crowd.finish()
             for number in range(2):
                 await made.kill()
@@ -127,8 +127,8 @@
             client = await connect(made.address)
             client.send(request("r"))
             assert (await client.answer())[0] == 200
-            crowd = Crowd(made.address, 4, name="d")
-            await crowd.more(100)
+            crowd = LoadGenerator(made.address, 4, name="d")
+            await crowd.wait_for_answers(100)
             await crowd.finish()
         check(crowd, backend, leaving.backend)
         assert leaving.drain_kept()
@@ -142,8 +142,8 @@
         await leaving.backend.start()
         async with fleet(tmp_path, backend, leaving.backend) as made:
             await keep_orphans(made)
-            crowd = Crowd(made.address, 20)
-            await crowd.more(50)
+            crowd = LoadGenerator(made.address, 20)
+            await crowd.wait_for_answers(50)
             numbers = await pids(made)
             os.kill(numbers["i1"], signal.SIGSTOP)
             made.write(classes=("look", "pay", "book"), sockets=300)
@@ -163,7 +163,7 @@
                 await until(lambda instance_socket=instance_socket: hello(instance_socket)["generation"] == 2)  # type: ignore[misc]
             digests = {hello(path)["digest"] for path in made.folder.glob("c.sock.d/*-*.sock")}
             assert len(digests) == 1
-            await crowd.more(100)
+            await crowd.wait_for_answers(100)
             await crowd.finish()
         check(crowd, backend, leaving.backend)
         assert leaving.drain_kept()
@@ -185,12 +185,12 @@
         async with fleet(tmp_path, backend, leaving.backend) as made:
             await keep_orphans(made)
             before = await pids(made)
-            crowd = Crowd(made.address, 20)
-            await crowd.more(50)
+            crowd = LoadGenerator(made.address, 20)
+            await crowd.wait_for_answers(50)
             made.write(instances=4)  # so that it takes a while
             made.instances = 4
-            new = await replacement(made)
-            await replacing(made)
+            new = await start_replacement(made)
+            await wait_for_handover(made)
             if which == "both":
                 # Some of the new program's instances have their configuration, and it is not active yet.
                 await until(lambda: len(made.orphans()) > 2)
@@ -200,7 +200,7 @@
             await made.kill()
             leaving.leave(made)
             if which == "both":
-                await crowd.more(50)
+                await crowd.wait_for_answers(50)
                 # The new program was not active: its instances drain, the old one's continue to serve.
                 await until(lambda: set(made.orphans()) == set(before.values()))
                 made.write(instances=2)
@@ -211,14 +211,14 @@
                 assert (await made.ask("status"))["adopted"] >= 1
             else:
                 made.process = new
-                await answers_as(made, new.pid)
+                await wait_for_control_socket(made, new.pid)
                 # Whether it had the sockets by then or starts in place of the old one: four are ready, and no
                 # other instance serves.
                 found = await made.ready()
                 numbers = {item["pid"] for item in found.values()}
                 await until(lambda: set(made.orphans()) == numbers)
                 await until(lambda: not any(alive(pid) for pid in set(before.values()) - numbers))
-            await crowd.more(50)
+            await crowd.wait_for_answers(50)
             await crowd.finish()
         check(crowd, backend, leaving.backend)
         assert leaving.drain_kept()
@@ -239,25 +239,25 @@
         async with fleet(tmp_path, backend) as made:
             made.signal(signal.SIGTERM)
             assert await made.ended() == 0
-            folder, given = RunFolder(tmp_path / "c.sock.d"), list[Bequest]()
+            folder, given = RunFolder(tmp_path / "c.sock.d"), list[HandoverSender]()
 
             async def hand_over(message: dict[str, Any]) -> dict[str, Any]:
-                given.append(Bequest(message["to"]))
+                given.append(HandoverSender(message["to"]))
                 if when == "while the new one starts":
-                    assert given[0].give({made.address: listening}, {})
+                    assert given[0].send_handover({made.address: listening}, {})
                 return {"ok": True}
 
             assert folder.lock()
             played = control.Control(tmp_path / "c.sock", hand_over)
             await played.start()
             with socket.create_server(made.address) as listening:
-                made.process = await replacement(made)
+                made.process = await start_replacement(made)
                 await until(lambda: bool(given) and (when == "before it gives" or bool(made.orphans())))
                 given[0].close()
                 await until(lambda: "to let go of the lock" in made.log.read_text())
             await played.close()
             folder.unlock()
-            await answers_as(made, made.process.pid)
+            await wait_for_control_socket(made, made.process.pid)
             await made.ready()
 
     asyncio.run(play())
@@ -276,15 +276,15 @@
             assert await made.ended() == 0
 
             async def hand_over(message: dict[str, Any]) -> dict[str, Any]:
-                bequest = Bequest(message["to"])
+                bequest = HandoverSender(message["to"])
                 assert send(bequest.sock, {"op": "off", "why": "the running program was told to stop"})
                 bequest.close()
                 return {"ok": True}
 
             played = control.Control(tmp_path / "c.sock", hand_over)
             await played.start()
-            new = await replacement(made)
-            assert await asyncio.wait_for(new.wait(), PATIENCE_S) == 2
+            new = await start_replacement(made)
+            assert await asyncio.wait_for(new.wait(), WAIT_TIMEOUT_S) == 2
             await played.close()
         assert "was told to stop" in made.log.read_text() and not made.orphans()
 
@@ -302,17 +302,17 @@
             await made.start()
             await until(lambda: len(made.orphans()) >= 2)  # some have started, and not all are ready
             await made.kill()
-            made.tell_registry(member("b1", draining.address, "draining"))
+            made.update_registry(member("b1", draining.address, "draining"))
             await made.start()
             found = await made.ready()
             assert len({item["pid"] for item in found.values()}) == 4
-            crowd = Crowd(made.address, 20)
-            await crowd.more(50)
+            crowd = LoadGenerator(made.address, 20)
+            await crowd.wait_for_answers(50)
             await crowd.finish()
             # No instance runs twice: all processes belong to the fleet.
             await until(lambda: sorted(made.orphans()) == sorted(item["pid"] for item in found.values()))
         check(crowd, backend)
-        assert not draining.seen  # it was told to drain before the first request
+        assert not draining.received  # it was told to drain before the first request
 
     asyncio.run(play())
 
@@ -330,7 +330,7 @@
             second = made.process
             done, _ = await asyncio.wait(
                 [asyncio.create_task(first.wait()), asyncio.create_task(second.wait())],
-                timeout=PATIENCE_S, return_when=asyncio.FIRST_COMPLETED,
+                timeout=WAIT_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED,
             )  # fmt: skip
             assert [task.result() for task in done] == [2]
             made.process = second if first.returncode is not None else first
@@ -415,9 +415,9 @@
             try:
                 await until((made.folder / "c.sock.d" / f"i1-{odd.pid}.sock").exists)
                 await made.start()
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     while True:
-                        with contextlib.suppress(control.Unavailable):
+                        with contextlib.suppress(control.DaemonUnavailable):
                             found = await made.status()
                             if all(item["phase"] == "ready" for item in found.values()):
                                 break
@@ -428,7 +428,7 @@
                 made.signal(signal.SIGTERM)
                 assert await made.ended() == 0
                 if how == "late":
-                    await asyncio.wait_for(odd.wait(), PATIENCE_S)
+                    await asyncio.wait_for(odd.wait(), WAIT_TIMEOUT_S)
                 await made.start()
                 await made.ready()
             finally:
@@ -455,7 +455,7 @@
                 await made.start()
                 await made.ready()
                 assert (await waiting.answer())[0] == 200
-                assert await asyncio.wait_for(odd.wait(), PATIENCE_S) == 0
+                assert await asyncio.wait_for(odd.wait(), WAIT_TIMEOUT_S) == 0
             finally:
                 if odd.returncode is None:
                     odd.kill()
@@ -466,7 +466,7 @@
 
 def test_orphans_drain_if_no_supervisor_comes(tmp_path: Path) -> None:
     async def play() -> None:
-        go, later = gate(OK)
+        go, later = gated_script(OK)
         backend = await Backend(later).start()
         async with fleet(tmp_path, backend) as made:
             made.orphan_ms = 300
@@ -475,7 +475,7 @@
             before = await pids(made)
             client = await connect(made.address)
             client.send(request("r", "pay"))
-            await until(lambda: len(backend.seen) == 1)
+            await until(lambda: len(backend.received) == 1)
             await made.kill()
             await until(lambda: "no supervisor came" in made.log.read_text())
             # They drain and still hold the address: the next supervisor receives the sockets from them.
@@ -524,19 +524,19 @@
             made.orphan_ms = 700  # about as long as a supervisor takes to find them
             made.write()
             assert (await made.ask("reload"))["ok"]
-            crowd = Crowd(made.address, 10, pause_s=0.005)
+            crowd = LoadGenerator(made.address, 10, pause_s=0.005)
             for wait_s in (0.0, 0.15, 0.3, 0.45):
-                await crowd.more(20)
+                await crowd.wait_for_answers(20)
                 await made.kill()
                 await asyncio.sleep(wait_s)
                 await made.start()
                 await made.ready()
-                await crowd.more(20)
+                await crowd.wait_for_answers(20)
             await crowd.finish()
             found = await pids(made)
             await until(lambda: sorted(made.orphans()) == sorted(found.values()))
-        assert not crowd.lost and crowd.book[LOST] == 0, crowd.book
-        assert not ran_twice(backend.seen)
+        assert not crowd.lost and crowd.outcomes[LOST] == 0, crowd.outcomes
+        assert not ran_twice(backend.received)
 
     asyncio.run(play())
 
@@ -551,18 +551,18 @@
 
     async def play() -> None:
         backend = await Backend(OK).start()
-        manager = Manager(tmp_path)
+        manager = ServiceManager(tmp_path)
         made = Fleet(tmp_path, "127.0.0.1:9", instances=1)
         made.environ["NOTIFY_SOCKET"] = str(manager.path)
         made.registry = "127.0.0.1:9"
         await made.start()
         again: asyncio.subprocess.Process | None = None
         try:
-            assert (await manager.told()).startswith("READY=1")
+            assert (await manager.next_state()).startswith("READY=1")
             made.write(sockets=300)
             assert (await made.ask("reload"))["ok"]
-            assert (await manager.told()).startswith("RELOADING=1")
-            assert await manager.told() == "READY=1"
+            assert (await manager.next_state()).startswith("RELOADING=1")
+            assert await manager.next_state() == "READY=1"
             numbers = await pids(made)
             await made.kill()
             for pid in numbers.values():
@@ -576,12 +576,12 @@
             names = "sorrelfront-listener:sorrelfront-state"
             environ = {**os.environ, **made.environ, "LISTEN_FDS": "2", "LISTEN_FDNAMES": names}
             again = await _exec_with(kept, code, made, environ)
-            assert (await manager.told()).startswith("READY=1")
+            assert (await manager.next_state()).startswith("READY=1")
             assert (await waiting.answer())[0] == 200
             assert (await made.ask("status"))["generation"] == 1
             os.kill(again.pid, signal.SIGTERM)
-            assert await manager.told() == "STOPPING=1"
-            assert await asyncio.wait_for(again.wait(), PATIENCE_S) == 0
+            assert await manager.next_state() == "STOPPING=1"
+            assert await asyncio.wait_for(again.wait(), WAIT_TIMEOUT_S) == 0
         finally:
             for process in (made.process, again):
                 if process is not None and process.returncode is None:
@@ -624,19 +624,19 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        book = Book(4.0)
+        book = Ledger(4.0)
         servers = [Server(f"b{at}", book, service_s=0.02, slots=4) for at in range(4)]
         for server in servers:
             await server.start()
         async with fleet(tmp_path, *servers) as made:
-            made.more = 'state_dir = "state"\nstate_every_ms = 100'
+            made.extra_daemon_lines = 'state_dir = "state"\nstate_every_ms = 100'
             made.write()
             made.signal(signal.SIGTERM)
             assert await made.ended() == 0
             await made.start()
             await made.ready()
-            crowd = Crowd(made.address, 10)
-            await crowd.more(200)
+            crowd = LoadGenerator(made.address, 10)
+            await crowd.wait_for_answers(200)
             learnt = made.folder / "state" / "learnt"
             await until(learnt.exists)
             await until(lambda: learnt.read_bytes().count(b'"b') >= 4)
@@ -646,21 +646,21 @@
             await made.process.wait()
             began_ms = time.time_ns() // 1_000_000
             for server in servers[:2]:
-                server.begin()
+                server.mark_started()
                 server.arrivals.clear()
                 entry = member(server.name, server.address)
-                made.tell_registry({**entry, "up_since_ms": began_ms})
+                made.update_registry({**entry, "up_since_ms": began_ms})
             await made.start()
             found = await made.ready()
             assert (await made.ask("status"))["state"]["restored"]
-            crowd = Crowd(made.address, 20, pause_s=0.002, name="d")
-            await crowd.more(400)
+            crowd = LoadGenerator(made.address, 20, pause_s=0.002, name="d")
+            await crowd.wait_for_answers(400)
             await crowd.finish()
             assert len(found) == 2
             # Two servers were restarted since: they are cold, and have no estimates.
             assert "estimates of 2 servers are taken up" in made.log.read_text()
             assert sum(server.cold_overruns(9.0, 0.3, 3.0, 1.5) for server in servers) == 0
-        assert not crowd.lost and not book.doubled, crowd.book
+        assert not crowd.lost and not book.duplicates, crowd.outcomes
 
     asyncio.run(play())
 
@@ -669,7 +669,7 @@
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            made.more = 'state_dir = "state"\nstate_every_ms = 100'
+            made.extra_daemon_lines = 'state_dir = "state"\nstate_every_ms = 100'
             made.write()
             made.signal(signal.SIGTERM)
             assert await made.ended() == 0
@@ -714,20 +714,20 @@
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            made.more = 'state_dir = "state"\nstate_every_ms = 100'
+            made.extra_daemon_lines = 'state_dir = "state"\nstate_every_ms = 100'
             made.write()
             made.signal(signal.SIGTERM)
             assert await made.ended() == 0
             await made.start(slow)
             before = await pids_of_ready(made)
-            crowd = Crowd(made.address, 10)
-            await crowd.more(50)
+            crowd = LoadGenerator(made.address, 10)
+            await crowd.wait_for_answers(50)
             made.write(sockets=300)
             assert (await made.ask("reload"))["ok"]
-            await crowd.more(50)
+            await crowd.wait_for_answers(50)
             await crowd.finish()
             os.kill(before["i0"], signal.SIGKILL)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await pids_of_ready(made))["i0"] == before["i0"]:
                     await asyncio.sleep(0.02)
             made.signal(signal.SIGTERM)
@@ -746,7 +746,7 @@
     async def play() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as made:
-            made.more = 'state_dir = "state"\nstate_every_ms = 100'
+            made.extra_daemon_lines = 'state_dir = "state"\nstate_every_ms = 100'
             made.write()
             made.signal(signal.SIGTERM)
             assert await made.ended() == 0
@@ -759,8 +759,8 @@
                 os.mkfifo(folder / "learnt")
             await made.start(READ_ONLY if how == "read-only" else "")
             await made.ready()
-            crowd = Crowd(made.address, 10)
-            await crowd.more(50)
+            crowd = LoadGenerator(made.address, 10)
+            await crowd.wait_for_answers(50)
             if how == "gone while it runs":
                 await until((folder / "learnt").exists)
                 folder.rename(made.folder / "elsewhere")
@@ -769,9 +769,9 @@
                 # No file may grow any more: the kernel returns EFBIG, as it returns ENOSPC for a full disk.
                 resource.prlimit(made.process.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
             if how != "spoilt records":
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     while not (await made.ask("status"))["state"]["fault"]:
-                        await crowd.more(1)
+                        await crowd.wait_for_answers(1)
             else:
                 await until(lambda: (folder / "learnt").is_file())
                 assert (folder / "fleet.bad").exists() and (folder / "learnt.bad").is_fifo()
@@ -781,9 +781,9 @@
                 endless = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
                 resource.prlimit(made.process.pid, resource.RLIMIT_FSIZE, endless)
             if how.endswith("runs"):
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     while (await made.ask("status"))["state"]["fault"]:
-                        await crowd.more(1)
+                        await crowd.wait_for_answers(1)
             await crowd.finish()
         check(crowd, backend)
 
--- a/tests/daemon/test_channel.py
+++ b/tests/daemon/test_channel.py
@@ -13,14 +13,21 @@
 from hypothesis import strategies as st
 
 from sorrelfront.daemon.adopting import receive_within
-from sorrelfront.daemon.channel import MAX_PACKET_BYTES, MESSAGE_MOST, BadMessage, pair, receive, send
+from sorrelfront.daemon.channel import (
+    MAX_MESSAGE_BYTES,
+    MAX_PACKET_BYTES,
+    BadMessage,
+    receive,
+    send,
+    socket_pair,
+)
 
 
 @pytest.mark.parametrize(
-    "size", [0, MAX_PACKET_BYTES - 100, MAX_PACKET_BYTES + 1, 4 * 1024 * 1024, MESSAGE_MOST - 100]
+    "size", [0, MAX_PACKET_BYTES - 100, MAX_PACKET_BYTES + 1, 4 * 1024 * 1024, MAX_MESSAGE_BYTES - 100]
 )
 def test_a_message_and_its_descriptors_arrive_whatever_its_size(size: int) -> None:
-    ours, theirs = pair()
+    ours, theirs = socket_pair()
     before = len(os.listdir("/proc/self/fd"))
     with ours, theirs, socket.create_server(("127.0.0.1", 0)) as sock:
         assert send(ours, {"op": "x", "text": "t" * size}, [sock.fileno()])
@@ -31,12 +38,12 @@
             assert copy.getsockname() == sock.getsockname()
         assert len(os.listdir("/proc/self/fd")) == before + 1  # the listening socket
     with pytest.raises(ValueError, match="bytes"):
-        send(ours, {"text": "t" * MESSAGE_MOST})
+        send(ours, {"text": "t" * MAX_MESSAGE_BYTES})
 
 
 def refused(data: bytes, descriptors: list[int]) -> None:
     """Send a packet in place of a sealed message: it is refused, and no descriptor is left open."""
-    ours, theirs = pair()
+    ours, theirs = socket_pair()
     with ours, theirs:
         before = len(os.listdir("/proc/self/fd"))
         rights = (socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))
@@ -55,7 +62,7 @@
         refused(message, [memory])
         refused(message, [reader])
         refused(message, [])
-        refused(b'{"op":"sealed","bytes":%d}' % (MESSAGE_MOST + 1), [memory])
+        refused(b'{"op":"sealed","bytes":%d}' % (MAX_MESSAGE_BYTES + 1), [memory])
         refused(b'{"op":"sealed"}', [memory])
         refused(b"[]", [memory, reader])
     finally:
@@ -66,7 +73,7 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(min_size=1, max_size=200))
 def test_any_packet_is_a_message_or_refused(data: bytes) -> None:
-    ours, theirs = pair()
+    ours, theirs = socket_pair()
     with ours, theirs:
         ours.send(data)
         try:
@@ -78,8 +85,9 @@
 
 def test_a_pause_of_this_process_does_not_use_up_the_timeout() -> None:
     """On a suspended host the peer is stopped too: it must not be killed before it can answer."""
+
     async def play() -> None:
-        ours, theirs = pair()
+        ours, theirs = socket_pair()
         with ours, theirs:
             waiting = asyncio.create_task(receive_within(ours, 0.5))
             await asyncio.sleep(0)
--- a/tests/daemon/test_configuration.py
+++ b/tests/daemon/test_configuration.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sorrelfront.daemon.channel import MESSAGE_MOST, pair, receive, send
+from sorrelfront.daemon.channel import MAX_MESSAGE_BYTES, receive, send, socket_pair
 from sorrelfront.daemon.configuration import (
-    FILE_MOST,
+    MAX_FILE_BYTES,
     MAX_SERVERS,
     BadDocument,
     Document,
@@ -21,7 +21,7 @@
     parse,
     read,
 )
-from sorrelfront.daemon.fleet import Terms
+from sorrelfront.daemon.fleet import InstanceConfig
 from sorrelfront.platform import config
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "sorrelfront.toml"
@@ -60,8 +60,8 @@
 
 def test_a_fixed_list_becomes_the_instances_known_servers() -> None:
     terms = config.parse(instance_table(parse(GOOD.encode(), PATH), 0))
-    assert [backend.id for backend in terms.known.backends] == ["a"]
-    assert terms.known.addresses == {"a": ("127.0.0.1", 9001)} and not terms.settings.subscribe
+    assert [backend.id for backend in terms.cached_list.backends] == ["a"]
+    assert terms.cached_list.addresses == {"a": ("127.0.0.1", 9001)} and not terms.settings.subscribe
 
 
 def test_all_faults_are_reported_at_once_with_file_table_and_key() -> None:
@@ -124,19 +124,19 @@
         return GOOD.replace('{ id = "a", address = "127.0.0.1:9001" }', rows).encode()
 
     longest = 123  # of an id's 128 characters, after five digits
-    while len(text(MAX_SERVERS, longest)) > FILE_MOST:
+    while len(text(MAX_SERVERS, longest)) > MAX_FILE_BYTES:
         longest -= 1
     document = parse(text(MAX_SERVERS, longest), PATH)
-    terms = Terms(document)
-    assert terms.size < MESSAGE_MOST
-    sender, receiver = pair()
+    terms = InstanceConfig(document)
+    assert terms.size < MAX_MESSAGE_BYTES
+    sender, receiver = socket_pair()
     with sender, receiver:
         assert send(sender, terms.message("start", "i0", 1))
         message = receive(receiver)
         assert message is not None
-        assert len(config.parse(message[0]["table"]).known.backends) == MAX_SERVERS
+        assert len(config.parse(message[0]["table"]).cached_list.backends) == MAX_SERVERS
     assert any("must be at most 10000" in line for line in faults(text(MAX_SERVERS + 1, 0).decode()))
-    assert any("is longer than" in line for line in faults("#" * (FILE_MOST + 1)))
+    assert any("is longer than" in line for line in faults("#" * (MAX_FILE_BYTES + 1)))
 
 
 VALUES: st.SearchStrategy[Any] = st.recursive(
--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -14,16 +14,16 @@
 
 from sorrelfront.daemon import control
 from sorrelfront.daemon.channel import Message
-from sorrelfront.daemon.configuration import INSTANCES_MOST
+from sorrelfront.daemon.configuration import MAX_INSTANCES
 from sorrelfront.daemon.control import (
     LENGTH_PREFIX,
     MAX_CONNECTIONS,
     MAX_FRAME_BYTES,
     Control,
-    Unavailable,
+    DaemonUnavailable,
     ask,
 )
-from sorrelfront.lab.http1 import PATIENCE_S
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
 
 NOISE = st.one_of(
     st.binary(max_size=200),
@@ -70,7 +70,7 @@
             reader, writer = await asyncio.open_unix_connection(path)
             writer.write(piece)
             writer.write_eof()
-            data = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            data = await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S)
             if data:
                 (length,) = LENGTH_PREFIX.unpack(data[:4])
                 assert json.loads(data[4 : 4 + length])["ok"]
@@ -87,7 +87,7 @@
     async def test(path: Path) -> None:
         silent = [await asyncio.open_unix_connection(path) for _ in range(MAX_CONNECTIONS + 4)]
         for reader, writer in silent:
-            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+            assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
             writer.close()
         assert (await ask(path, {}))["ok"]
 
@@ -121,7 +121,7 @@
         await second.start()
         assert (await ask(path, {}))["ok"]
         await second.close()
-        with pytest.raises(Unavailable):
+        with pytest.raises(DaemonUnavailable):
             await ask(path, {})
 
     asyncio.run(scenario())
@@ -129,7 +129,7 @@
 
 def test_a_status_of_the_largest_fleet_comes_whole() -> None:
     """A list that is split over several frames must arrive complete and in order."""
-    rows = [{"name": f"i{at}", "phase": "ready", "figures": "f" * (at * 4)} for at in range(INSTANCES_MOST)]
+    rows = [{"name": f"i{at}", "phase": "ready", "figures": "f" * (at * 4)} for at in range(MAX_INSTANCES)]
 
     async def answer(message: Message) -> Message:
         return {"ok": True, "name": "n", "instances": rows[: message["count"]]}
@@ -138,7 +138,7 @@
         control = Control(path, answer)
         await control.start()
         try:
-            for count in (0, 1, 17, INSTANCES_MOST):
+            for count in (0, 1, 17, MAX_INSTANCES):
                 told = await ask(path, {"op": "status", "count": count})
                 assert told == {"ok": True, "name": "n", "instances": rows[:count]}
         finally:
--- a/tests/daemon/test_ephemeral.py
+++ b/tests/daemon/test_ephemeral.py
@@ -10,27 +10,27 @@
 from sorrelfront.daemon import ephemeral
 from sorrelfront.daemon.configuration import BadDocument, instance_table, parse
 from sorrelfront.lab import demo
-from sorrelfront.lab.http1 import PATIENCE_S, Backend
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend
 from sorrelfront.lab.listing import EphemeralListing
-from sorrelfront.lab.shop import Book, Server
+from sorrelfront.lab.shop import Ledger, Server
 from sorrelfront.platform.config import BadConfig
 from tests.daemon.fleet import OK, Fleet
-from tests.loopback import looped
+from tests.loopback import async_test
 
 
 def test_a_demo_in_which_the_service_stalls_loses_a_member_and_expires_everybody() -> None:
     """Requests must be served while ZooKeeper stalls, loses an ensemble member and expires all sessions."""
-    figures = demo.play(8.0, 2, 1, True, "zookeeper")
-    assert demo.broken(figures) == [] and figures["daemon_exit"] == 0, figures
+    figures = demo.run_demo(8.0, 2, 1, True, "zookeeper")
+    assert demo.broken_rules(figures) == [] and figures["daemon_exit"] == 0, figures
     assert figures["served"] > 0.95 * figures["offered"] > 0, figures
 
 
-@looped
+@async_test
 async def test_status_tells_of_the_service_the_seats_and_the_list(tmp_path: Path) -> None:
     """`status` shows the connection to ZooKeeper and a distinct seat for each instance."""
     listing = EphemeralListing(members=1)
     await listing.start()
-    server = await Server("b0", Book(4.0)).start()
+    server = await Server("b0", Ledger(4.0)).start()
     await listing.add("b0", server.address)
     daemon = Fleet(tmp_path, "", instances=2)
     text = daemon.path.read_text().partition("[membership]")[0]
@@ -38,12 +38,12 @@
     await daemon.start()
     try:
         await daemon.ready()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while {item.get("seat") for item in (await daemon.status()).values()} != {0, 1}:
                 await asyncio.sleep(0.02)
         shown = [*(await daemon.status()).values()]
         assert all(item["service"] == "connected" and item["suspects"] == 0 for item in shown)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while any(item["seats"] != 2 for item in (await daemon.status()).values()):
                 await asyncio.sleep(0.02)
         assert (await daemon.ask("stop"))["ok"] and await daemon.ended() == 0
@@ -56,7 +56,7 @@
         await listing.stop()
 
 
-@looped
+@async_test
 async def test_a_fixed_list_that_has_another_server_after_a_reload(tmp_path: Path) -> None:
     """A server added to a fixed list is used after a reload."""
     one, two = await Backend(OK).start(), await Backend(OK).start()
@@ -69,7 +69,7 @@
         daemon.servers.append(("b1", two.address))
         daemon.write()
         assert (await daemon.ask("reload"))["ok"]
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await daemon.status())["i0"].get("ready_servers") != 2:
                 await asyncio.sleep(0.02)
         assert (await daemon.ask("stop"))["ok"] and await daemon.ended() == 0
--- a/tests/daemon/test_fleet.py
+++ b/tests/daemon/test_fleet.py
@@ -16,8 +16,8 @@
 import pytest
 
 from sorrelfront.daemon import control
-from sorrelfront.lab.crowd import LOST, Crowd, ran_twice
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, connect, gate, member, request
+from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, connect, gated_script, member, request
 from tests.daemon.fleet import OK, Fleet, fleet, hello
 from tests.loopback import until
 from tests.test_process import ROOT, free_address
@@ -25,11 +25,11 @@
 CLIENTS = 40
 
 
-def check(crowd: Crowd, *backends: Backend) -> None:
+def check(crowd: LoadGenerator, *backends: Backend) -> None:
     """Check that no request was lost or executed twice, and that some were served."""
-    assert not crowd.lost and crowd.book[LOST] == 0, crowd.book
+    assert not crowd.lost and crowd.outcomes[LOST] == 0, crowd.outcomes
     assert crowd.served
-    assert not ran_twice([whole for backend in backends for whole in backend.seen])
+    assert not ran_twice([whole for backend in backends for whole in backend.received])
 
 
 def test_reloads_under_load_lose_and_double_nothing(tmp_path: Path) -> None:
@@ -38,16 +38,16 @@
     async def scenario() -> None:
         backends = [await Backend(OK).start(), await Backend(OK).start()]
         async with fleet(tmp_path, *backends) as daemon:
-            crowd = Crowd(daemon.address, CLIENTS)
+            crowd = LoadGenerator(daemon.address, CLIENTS)
             for number in range(12):
                 daemon.write(sockets=400 + number)
                 assert (await daemon.ask("reload"))["ok"]
-                await crowd.more(10)
+                await crowd.wait_for_answers(10)
             assert (await daemon.ask("status"))["generation"] == 12
             daemon.signal(signal.SIGHUP)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await daemon.ask("status"))["generation"] < 13:
-                    await crowd.more(1)
+                    await crowd.wait_for_answers(1)
             await crowd.finish()
         check(crowd, *backends)
         assert crowd.refused_connects == 0
@@ -63,13 +63,13 @@
     """
 
     async def scenario() -> None:
-        go, later = gate(OK)
+        go, later = gated_script(OK)
         backend = await Backend(later).start()
         async with fleet(tmp_path, backend) as daemon:
             clients = [await connect(daemon.address) for _ in range(4)]
             for number, client in enumerate(clients):
                 client.send(request(f"r{number}", "book" if number % 2 else "pay"))
-            await until(lambda: len(backend.seen) == 4)
+            await until(lambda: len(backend.received) == 4)
             daemon.write(classes=("look", "pay"))
             answers = await asyncio.gather(*(daemon.ask("reload") for _ in range(3)))
             assert any(item["ok"] for item in answers)
@@ -121,8 +121,8 @@
     async def scenario() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend, instances=8) as daemon:
-            crowd = Crowd(daemon.address, CLIENTS)
-            await crowd.more(100)
+            crowd = LoadGenerator(daemon.address, CLIENTS)
+            await crowd.wait_for_answers(100)
             pid = (await daemon.status())["i6"]["pid"]
             # The time limit of a reload is that of the file in force.
             daemon.write(reload_within_ms=1_000)
@@ -132,11 +132,11 @@
             answered = await daemon.ask("reload")
             os.kill(pid, signal.SIGCONT)
             assert not answered["ok"] and "i6: it did not take the file in time" in answered["faults"][0]
-            await crowd.more(200)
-            crowd.book.clear()
-            await crowd.more(200)
+            await crowd.wait_for_answers(200)
+            crowd.outcomes.clear()
+            await crowd.wait_for_answers(200)
             # No instance uses the file that was rolled back.
-            assert not any(got.startswith(b"HTTP/1.1 404") for got in crowd.book), crowd.book
+            assert not any(got.startswith(b"HTTP/1.1 404") for got in crowd.outcomes), crowd.outcomes
             await crowd.finish()
         check(crowd, backend)
 
@@ -165,15 +165,15 @@
     async def scenario() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as daemon:
-            crowd = Crowd(daemon.address, 10)
-            await crowd.more(50)
+            crowd = LoadGenerator(daemon.address, 10)
+            await crowd.wait_for_answers(50)
             other = free_address()
             daemon.write(address=other, instances=3)
             assert (await daemon.ask("reload"))["ok"]
             await daemon.ready(3)
-            moved = Crowd(other, 10, name="m")
-            await moved.more(50)
-            async with asyncio.timeout(PATIENCE_S):
+            moved = LoadGenerator(other, 10, name="m")
+            await moved.wait_for_answers(50)
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not crowd.refused_connects:  # the old listener closes once no connection is queued
                     await asyncio.sleep(0.02)
             await crowd.stop()
@@ -190,21 +190,21 @@
     async def scenario() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend, instances=3) as daemon:
-            crowd = Crowd(daemon.address, CLIENTS)
-            await crowd.more(200)
+            crowd = LoadGenerator(daemon.address, CLIENTS)
+            await crowd.wait_for_answers(200)
             before = await daemon.status()
             name = max(before, key=lambda item: len(peers_of(before[item]["pid"], daemon.address[1])))
             os.kill(before[name]["pid"], signal.SIGSTOP)  # so that its set of connections no longer changes
             its = peers_of(before[name]["pid"], daemon.address[1])
             os.kill(before[name]["pid"], signal.SIGKILL)
-            await crowd.more(500)
+            await crowd.wait_for_answers(500)
             after = await daemon.ready()
             assert after[name]["run"] == 2 and after[name]["failures"] == 1
             assert [item for item in after if after[item]["pid"] != before[item]["pid"]] == [name]
             await crowd.finish()
         # Only connections of the killed instance were cut.
-        assert its and crowd.cut_ports and set(crowd.cut_ports) <= its
-        assert not ran_twice(backend.seen)
+        assert its and crowd.aborted_ports and set(crowd.aborted_ports) <= its
+        assert not ran_twice(backend.received)
         assert crowd.refused_connects == 0
 
     asyncio.run(scenario())
@@ -217,7 +217,7 @@
     """
 
     async def scenario() -> None:
-        go, later = gate(OK)
+        go, later = gated_script(OK)
         backend = await Backend(later).start()
         async with fleet(tmp_path, backend) as daemon:
             daemon.write(hang_after_ms=1_000)
@@ -225,7 +225,7 @@
             before = await daemon.ready()
             client = await connect(daemon.address)
             client.send(request("held", "pay"))
-            await until(lambda: len(backend.seen) == 1)
+            await until(lambda: len(backend.received) == 1)
             pids = [daemon.process.pid, *(item["pid"] for item in before.values())]
             for pid in pids:
                 os.kill(pid, signal.SIGSTOP)
@@ -264,13 +264,13 @@
     async def scenario() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as daemon:
-            crowd = Crowd(daemon.address, CLIENTS)
-            await crowd.more(100)
+            crowd = LoadGenerator(daemon.address, CLIENTS)
+            await crowd.wait_for_answers(100)
             assert (await daemon.ask("drain", instance="i0"))["ok"]
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await daemon.status())["i0"]["phase"] != "stopped":
                     await asyncio.sleep(0.02)
-            await crowd.more(100)
+            await crowd.wait_for_answers(100)
             assert not (await daemon.ask("drain", instance="i7"))["ok"]
             await crowd.finish()
         check(crowd, backend)
@@ -283,19 +283,19 @@
     """A repeated SIGTERM, also during a reload, must not abort requests in flight."""
 
     async def scenario() -> None:
-        go, later = gate(OK)
+        go, later = gated_script(OK)
         backend = await Backend(later).start()
         async with fleet(tmp_path, backend) as daemon:
             clients = [await connect(daemon.address) for _ in range(6)]
             for number, client in enumerate(clients):
                 client.send(request(f"r{number}", "pay"))
-            await until(lambda: len(backend.seen) == 6)
+            await until(lambda: len(backend.received) == 6)
             if when != "alone":
                 daemon.write(sockets=300)
                 daemon.signal(signal.SIGHUP)
             daemon.signal(signal.SIGTERM)
             daemon.signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not (await daemon.ask("status"))["stopping"]:
                     await asyncio.sleep(0.01)
             daemon.signal(signal.SIGTERM)
@@ -321,9 +321,9 @@
         async with fleet(tmp_path, backend) as daemon:
             client = await connect(daemon.address)
             client.send(request("r", "pay"))
-            await until(lambda: len(backend.seen) == 1)
+            await until(lambda: len(backend.received) == 1)
             daemon.signal(signal.SIGINT)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not (await daemon.ask("status"))["stopping"]:
                     await asyncio.sleep(0.01)
             daemon.signal(signal.SIGINT)
@@ -337,13 +337,13 @@
     """With `orphan_ms` 0, instances finish their requests and end when the supervisor is killed."""
 
     async def scenario() -> None:
-        go, later = gate(OK)
+        go, later = gated_script(OK)
         backend = await Backend(later).start()
         async with fleet(tmp_path, backend) as daemon:
             pids = [item["pid"] for item in (await daemon.status()).values()]
             client = await connect(daemon.address)
             client.send(request("r", "pay"))
-            await until(lambda: len(backend.seen) == 1)
+            await until(lambda: len(backend.received) == 1)
             daemon.process.kill()
             await daemon.process.wait()
             go.set()
@@ -376,14 +376,14 @@
 
         leaving, staying = await Backend(note).start(), await Backend(OK).start()
         async with fleet(tmp_path, leaving, staying) as daemon:
-            crowd = Crowd(daemon.address, CLIENTS)
-            await crowd.more(100)
+            crowd = LoadGenerator(daemon.address, CLIENTS)
+            await crowd.wait_for_answers(100)
             daemon.write(sockets=300)
             reload = asyncio.create_task(daemon.ask("reload"))
             told = time.monotonic()
-            daemon.tell_registry(member("b0", leaving.address, "draining"))
+            daemon.update_registry(member("b0", leaving.address, "draining"))
             assert (await reload)["ok"]
-            await crowd.more(500)
+            await crowd.wait_for_answers(500)
             await crowd.finish()
         check(crowd, leaving, staying)
         assert arrivals and max(arrivals) - told < 0.55
@@ -391,7 +391,7 @@
     asyncio.run(scenario())
 
 
-class Manager:
+class ServiceManager:
     """A service manager's side of sd_notify: receives the states in order."""
 
     def __init__(self, folder: Path) -> None:
@@ -401,9 +401,9 @@
         self.sock.bind(str(self.path))
         self.store: dict[str, list[int]] = {}  # stored descriptors, by name
 
-    async def told(self) -> str:
+    async def next_state(self) -> str:
         """Return the next state; messages for the descriptor store are executed and skipped."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 try:
                     data, descriptors, _, _ = socket.recv_fds(self.sock, 4_096, 64)
@@ -425,7 +425,7 @@
 
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        manager = Manager(tmp_path)
+        manager = ServiceManager(tmp_path)
         daemon = Fleet(tmp_path, "127.0.0.1:9", instances=1)
         sock = socket.create_server(daemon.address)  # bound here, so the daemon cannot bind it itself
         names = {"LISTEN_FDS": "1", "LISTEN_FDNAMES": "http", "NOTIFY_SOCKET": str(manager.path)}
@@ -444,16 +444,16 @@
                 os.close(saved)
         sock.close()
         try:
-            assert (await manager.told()).split("\n")[0] == "READY=1"
+            assert (await manager.next_state()).split("\n")[0] == "READY=1"
             client = await connect(daemon.address)
             client.send(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await client.answer())[0] == 200
             os.kill(process.pid, signal.SIGHUP)
-            assert (await manager.told()).startswith("RELOADING=1\nMONOTONIC_USEC=")
-            assert await manager.told() == "READY=1"
+            assert (await manager.next_state()).startswith("RELOADING=1\nMONOTONIC_USEC=")
+            assert await manager.next_state() == "READY=1"
             os.kill(process.pid, signal.SIGTERM)
-            assert await manager.told() == "STOPPING=1"
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            assert await manager.next_state() == "STOPPING=1"
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
         finally:
             if process.returncode is None:
                 process.kill()
@@ -486,7 +486,7 @@
             ):  # fmt: skip
                 reader, writer = await asyncio.open_unix_connection(path)
                 writer.write(noise)
-                assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+                assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
                 writer.close()
             odds: list[dict[str, object]] = [
                 {}, {"op": 5}, {"op": "drain"}, {"op": "drain", "instance": ["i0"]}, {"op": "x" * 9_000},
@@ -536,7 +536,7 @@
             assert (await daemon.ask("reload"))["ok"]
             before = await daemon.ready()
             os.kill(before["i0"]["pid"], signal.SIGSTOP)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await daemon.status())["i0"]["run"] < 2:
                     await asyncio.sleep(0.02)
             after = await daemon.ready()
--- a/tests/daemon/test_gate.py
+++ b/tests/daemon/test_gate.py
@@ -7,13 +7,13 @@
 from functools import wraps
 from typing import Any, cast
 
-from sorrelfront.agent import Held
+from sorrelfront.agent import PendingRequest
 from sorrelfront.daemon import gate
 from sorrelfront.daemon.gate import MAX_WAITING, POLICY_HEADER, GatedAgent
 from sorrelfront.decisions.interface import Outcome
-from sorrelfront.fleet.council import Council, Standing
-from sorrelfront.lab.http1 import member, table
-from sorrelfront.messages import Address, Answer, Call, Ended, Failed, Refused
+from sorrelfront.fleet.council import LeaseStatus, PolicyMember
+from sorrelfront.lab.http1 import make_config, member
+from sorrelfront.messages import Address, Answer, AttemptResult, Call, Failed, Refused
 from sorrelfront.platform.config import parse
 
 
@@ -21,13 +21,13 @@
     """The parts of a policy member that the gate uses."""
 
     def __init__(self) -> None:
-        self.now, self.applied_version, self.free = Standing.LEASED, 1, False
+        self.now, self.applied_version, self.free = LeaseStatus.LEASED, 1, False
         self.valid = True  # the lease on the applied version
 
-    def standing(self) -> Standing:
+    def lease_status(self) -> LeaseStatus:
         return self.now
 
-    def may_go_on(self, version: int) -> bool:
+    def may_attempt(self, version: int) -> bool:
         return self.valid and version == self.applied_version
 
 
@@ -35,12 +35,14 @@
     """Attempts end with the result that the test sets, in order."""
 
     def __init__(self) -> None:
-        self.attempts: list[asyncio.Future[Ended]] = []
+        self.attempts: list[asyncio.Future[AttemptResult]] = []
 
     def begin(self, *arguments: Any) -> None:
         return None
 
-    async def attempt(self, call: Call, address: Address, timeout_us: int, fit: Callable[[], bool]) -> Ended:
+    async def attempt(
+        self, call: Call, address: Address, timeout_us: int, may_send: Callable[[], bool]
+    ) -> AttemptResult:
         self.attempts.append(asyncio.get_running_loop().create_future())
         return await self.attempts[-1]
 
@@ -65,18 +67,18 @@
     def __init__(self) -> None:
         self.policy_member, self.upstream = FakePolicyMember(), FakeUpstream()
         servers = [member("s1", "127.0.0.1:1"), member("s2", "127.0.0.1:2")]
-        config = parse(table("127.0.0.1:9", servers))
+        config = parse(make_config("127.0.0.1:9", servers))
         self.agent = GatedAgent(config, self.upstream, lambda *arguments: FakeSource())
-        self.agent.council = cast(Council, self.policy_member)
-        self.agent.header = True
+        self.agent.policy_member = cast(PolicyMember, self.policy_member)
+        self.agent.adds_policy_header = True
         self.agent.start()
         self.count = 0
 
-    def take(self, cls: str = "look") -> Held:
+    def take(self, cls: str = "look") -> PendingRequest:
         self.count += 1
-        return self.agent.take(Call(b"c%d" % self.count, cls, 4_000_000, None))
+        return self.agent.submit(Call(b"c%d" % self.count, cls, 4_000_000, None))
 
-    async def attempt(self, count: int) -> asyncio.Future[Ended]:
+    async def attempt(self, count: int) -> asyncio.Future[AttemptResult]:
         """Wait until `count` attempts have begun, and return the last of them."""
         async with asyncio.timeout(5):
             while len(self.upstream.attempts) < count:
@@ -100,7 +102,7 @@
     return run
 
 
-def header(held: Held) -> bytes:
+def header(held: PendingRequest) -> bytes:
     answer = held.answer.result()
     assert isinstance(answer, Answer)
     return dict(answer.headers)[POLICY_HEADER]
@@ -109,28 +111,30 @@
 @looped
 async def test_an_answer_names_the_version_that_it_was_decided_under(setup: Setup) -> None:
     held = setup.take()
-    assert not setup.agent.finished
-    (await setup.attempt(1)).set_result(Ended(Outcome.OK, Answer(200)))
+    assert not setup.agent.none_in_flight
+    (await setup.attempt(1)).set_result(AttemptResult(Outcome.OK, Answer(200)))
     await held.answer
-    assert header(held) == b"1" and setup.agent.finished and setup.agent.gate.inside == 1
+    assert header(held) == b"1" and setup.agent.none_in_flight and setup.agent.admission_counts.inside == 1
 
 
 @looped
 async def test_a_request_during_a_change_waits_and_is_decided_under_the_newer_version(setup: Setup) -> None:
-    setup.policy_member.now = Standing.WAIT
+    setup.policy_member.now = LeaseStatus.WAIT
     held = setup.take()
     await asyncio.sleep(0)
-    assert not setup.upstream.attempts and setup.agent.finished  # a waiting request does not delay the change
-    setup.policy_member.now, setup.policy_member.applied_version = Standing.LEASED, 2
-    setup.agent.opened()
-    (await setup.attempt(1)).set_result(Ended(Outcome.OK, Answer(200)))
+    assert (
+        not setup.upstream.attempts and setup.agent.none_in_flight
+    )  # a waiting request does not delay the change
+    setup.policy_member.now, setup.policy_member.applied_version = LeaseStatus.LEASED, 2
+    setup.agent.on_lease_granted()
+    (await setup.attempt(1)).set_result(AttemptResult(Outcome.OK, Answer(200)))
     await held.answer
     assert header(held) == b"2"
 
 
 @looped
 async def test_a_waiting_client_may_leave_and_the_queue_is_bounded(setup: Setup) -> None:
-    setup.policy_member.now = Standing.WAIT
+    setup.policy_member.now = LeaseStatus.WAIT
     first = setup.take()
     setup.agent.abandon(first)
     waiting = [setup.take() for _ in range(MAX_WAITING)]
@@ -138,15 +142,15 @@
     assert isinstance(refused.answer.result(), Refused)
     setup.agent.fail_all()
     assert all(isinstance(held.answer.result(), Failed) for held in waiting)
-    setup.policy_member.now = Standing.LEASED
-    setup.agent.opened()
+    setup.policy_member.now = LeaseStatus.LEASED
+    setup.agent.on_lease_granted()
     await asyncio.sleep(0)
-    assert not setup.upstream.attempts and setup.agent.owed == 0
+    assert not setup.upstream.attempts and setup.agent.pending_requests == 0
 
 
 @looped
 async def test_a_request_that_has_waited_too_long_is_refused(setup: Setup) -> None:
-    setup.policy_member.now = Standing.WAIT
+    setup.policy_member.now = LeaseStatus.WAIT
     before, gate.MAX_WAIT_S = gate.MAX_WAIT_S, 0.0
     try:
         answer = await setup.take().answer
@@ -158,12 +162,12 @@
 @looped
 async def test_while_cut_off_each_class_goes_on_or_is_refused_as_configured(setup: Setup) -> None:
     setup.agent.isolation = {"pay": "refuse", "look": "go-on"}
-    setup.policy_member.now, setup.policy_member.valid = Standing.CUT_OFF, False
+    setup.policy_member.now, setup.policy_member.valid = LeaseStatus.CUT_OFF, False
     assert isinstance(setup.take("pay").answer.result(), Refused)
     held = setup.take("look")
-    (await setup.attempt(1)).set_result(Ended(Outcome.OK, Answer(200)))
+    (await setup.attempt(1)).set_result(AttemptResult(Outcome.OK, Answer(200)))
     await held.answer
-    assert header(held) == b"1 outside" and setup.agent.gate.outside == 1
+    assert header(held) == b"1 outside" and setup.agent.admission_counts.outside == 1
 
 
 @looped
@@ -173,11 +177,11 @@
     held = setup.take()
     first = await setup.attempt(1)
     setup.policy_member.valid = False
-    first.set_result(Ended(Outcome.UNREACHABLE))
+    first.set_result(AttemptResult(Outcome.UNREACHABLE))
     assert isinstance(await held.answer, Failed)
     await asyncio.sleep(0)
-    assert len(setup.upstream.attempts) == 1 and setup.agent.gate.ended == 1
-    assert setup.agent.finished and not setup.agent.balancer.held and not setup.agent.balancer.attempts
+    assert len(setup.upstream.attempts) == 1 and setup.agent.admission_counts.ended == 1
+    assert setup.agent.none_in_flight and not setup.agent.balancer.held and not setup.agent.balancer.attempts
 
 
 @looped
@@ -191,13 +195,17 @@
 
 @looped
 async def test_all_is_admitted_before_a_fleet_has_a_policy_and_without_a_policy_member(setup: Setup) -> None:
-    setup.policy_member.now, setup.policy_member.free, setup.policy_member.valid = Standing.FREE, True, False
+    setup.policy_member.now, setup.policy_member.free, setup.policy_member.valid = (
+        LeaseStatus.FREE,
+        True,
+        False,
+    )
     held = setup.take()
-    (await setup.attempt(1)).set_result(Ended(Outcome.OK, Answer(200)))
+    (await setup.attempt(1)).set_result(AttemptResult(Outcome.OK, Answer(200)))
     await held.answer
     assert header(held) == b"0"
-    setup.agent.council = None
+    setup.agent.policy_member = None
     plain = setup.take()
-    (await setup.attempt(2)).set_result(Ended(Outcome.OK, Answer(200)))
+    (await setup.attempt(2)).set_result(AttemptResult(Outcome.OK, Answer(200)))
     answer = await plain.answer
     assert isinstance(answer, Answer) and not answer.headers
--- a/tests/daemon/test_ledger.py
+++ b/tests/daemon/test_ledger.py
@@ -8,11 +8,11 @@
 import pytest
 
 from sorrelfront.daemon import ledger, records
-from sorrelfront.daemon.ledger import Ledger
+from sorrelfront.daemon.ledger import ReplicaLog
 
 
-def start_log(path: Path, *payloads: bytes) -> Ledger:
-    replica_log = Ledger(path)
+def start_log(path: Path, *payloads: bytes) -> ReplicaLog:
+    replica_log = ReplicaLog(path)
     replica_log.load()
     replica_log.snapshot(list(payloads))
     return replica_log
@@ -22,7 +22,7 @@
     replica_log = start_log(tmp_path / "c", b"one", b"two")
     replica_log.write([b"three"])
     replica_log.write([b"four", b""])
-    assert Ledger(tmp_path / "c").load() == [b"one", b"two", b"three", b"four", b""]
+    assert ReplicaLog(tmp_path / "c").load() == [b"one", b"two", b"three", b"four", b""]
 
 
 @pytest.mark.parametrize("cut", range(1, 30))
@@ -33,7 +33,7 @@
     (tail,) = tmp_path.glob("c.tail-*")
     data = tail.read_bytes()
     tail.write_bytes(data[:-cut])
-    again = Ledger(tmp_path / "c")
+    again = ReplicaLog(tmp_path / "c")
     found = again.load()
     whole = [b"one", b"two", b"three"]
     frame = ledger.FRAME.size
@@ -47,7 +47,7 @@
     replica_log.write([b"two"])
     (tail,) = tmp_path.glob("c.tail-*")
     tail.write_bytes(tail.read_bytes() + bytes(40))
-    assert Ledger(tmp_path / "c").load() == [b"one", b"two"]
+    assert ReplicaLog(tmp_path / "c").load() == [b"one", b"two"]
 
 
 def test_a_new_snapshot_leaves_one_tail_and_replaces_all_earlier_changes(tmp_path: Path) -> None:
@@ -55,7 +55,7 @@
     replica_log.write([b"two"])
     replica_log.snapshot([b"both"])
     replica_log.write([b"three"])
-    assert Ledger(tmp_path / "c").load() == [b"both", b"three"]
+    assert ReplicaLog(tmp_path / "c").load() == [b"both", b"three"]
     assert len([*tmp_path.glob("c.tail-*")]) == 1
 
 
@@ -72,7 +72,7 @@
     with pytest.raises(OSError):
         replica_log.snapshot([b"both"])
     replica_log.write([b"three"])
-    assert Ledger(tmp_path / "c").load() == [b"one", b"two", b"three"]
+    assert ReplicaLog(tmp_path / "c").load() == [b"one", b"two", b"three"]
 
 
 def test_a_disk_that_fills_up_within_a_frame_closes_the_tail(
@@ -89,21 +89,21 @@
         patch.setattr(records, "disk", Full())
         with pytest.raises(OSError):
             replica_log.write([b"two"])
-    assert replica_log.wants_snapshot
+    assert replica_log.needs_snapshot
     replica_log.snapshot([b"one", b"two"])
-    assert Ledger(tmp_path / "c").load() == [b"one", b"two"]
+    assert ReplicaLog(tmp_path / "c").load() == [b"one", b"two"]
 
 
 def test_a_tail_that_has_grown_needs_a_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ledger, "MIN_COMPACTION_BYTES", 100)
     replica_log = start_log(tmp_path / "c", b"one")
-    assert not replica_log.wants_snapshot
+    assert not replica_log.needs_snapshot
     replica_log.write([b"x" * 200])
-    assert replica_log.wants_snapshot
+    assert replica_log.needs_snapshot
 
 
 def test_a_corrupt_snapshot_is_set_aside(tmp_path: Path) -> None:
     start_log(tmp_path / "c", b"one")
     (tmp_path / "c").write_bytes(b"nothing")
-    assert Ledger(tmp_path / "c").load() == []
+    assert ReplicaLog(tmp_path / "c").load() == []
     assert (tmp_path / "c.bad").exists()
--- a/tests/daemon/test_logs.py
+++ b/tests/daemon/test_logs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sorrelfront.daemon.logs import configure
-from sorrelfront.log_limits import BURST, MAX_KINDS, SPAN_S, RateLimit
+from sorrelfront.log_limits import MAX_KINDS, MAX_RECORDS_PER_WINDOW, WINDOW_S, RateLimit
 
 log = logging.getLogger("sorrelfront.test")
 
@@ -75,10 +75,13 @@
     def record(line: int) -> logging.LogRecord:
         return logging.LogRecord("n", logging.INFO, "place.py", line, "said", (), None)
 
-    passed = [filtered.filter(record(1)) for _ in range(BURST + 30)]
-    assert passed.count(True) == BURST and passed[:BURST] == [True] * BURST
+    passed = [filtered.filter(record(1)) for _ in range(MAX_RECORDS_PER_WINDOW + 30)]
+    assert (
+        passed.count(True) == MAX_RECORDS_PER_WINDOW
+        and passed[:MAX_RECORDS_PER_WINDOW] == [True] * MAX_RECORDS_PER_WINDOW
+    )
     assert filtered.filter(record(2))
-    now = SPAN_S
+    now = WINDOW_S
     later = record(1)
     assert filtered.filter(later) and later.__dict__["left_out"] == 30
     assert "left_out" not in record(2).__dict__
--- a/tests/daemon/test_policies.py
+++ b/tests/daemon/test_policies.py
@@ -44,7 +44,7 @@
 
 def test_an_encoded_policy_round_trips_and_its_digest_ignores_who_proposed_it() -> None:
     made = policy('out = ["s2", "s1", "s1"]\n' + LOOK)
-    found, envelope = policies.decode_envelope(policies.seal(made, "ann", 1.0, "p.toml"))
+    found, envelope = policies.decode_envelope(policies.encode_envelope(made, "ann", 1.0, "p.toml"))
     assert found == made and found.digest == made.digest and made.out == ("s1", "s2")
     assert policies.check(tomllib.loads(tomli_w.dumps(made.table())), Path("shown")) == made
     assert (envelope.who, envelope.file) == ("ann", "p.toml")
@@ -56,7 +56,7 @@
 
 
 def test_an_unknown_key_is_rejected_by_name() -> None:
-    made = policies.seal(policy(LOOK), "ann", 1.0, "p.toml").replace(b'"tries"', b'"attempts"')
+    made = policies.encode_envelope(policy(LOOK), "ann", 1.0, "p.toml").replace(b'"tries"', b'"attempts"')
     assert "[limits] attempts: is not a key known here" in policies.rejection_reason(
         made, instance_table(document(), 0)
     )
@@ -76,10 +76,12 @@
     )
     table = instance_table(document(classes), 0)
     applied: list[object] = []
-    governed = policies.Governed(table, lambda terms, made: applied.append(made))
-    assert governed.take(1, b"{") and not applied
+    governed = policies.PolicyOverlay(table, lambda terms, made: applied.append(made))
+    assert governed.apply_version(1, b"{") and not applied
     made = policy(LOOK)
-    assert governed.take(2, policies.seal(made, "ann", 1.0, "")) == "" and applied == [made]
+    assert governed.apply_version(2, policies.encode_envelope(made, "ann", 1.0, "")) == "" and applied == [
+        made
+    ]
     assert [item["name"] for item in governed.terms(table)["settings"]["grades"]] == ["look"]
 
 
--- a/tests/daemon/test_records.py
+++ b/tests/daemon/test_records.py
@@ -14,17 +14,17 @@
 from hypothesis import strategies as st
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.journal import Entry, Journal, NoFolder, RunFolder, StateMemory, decode, encode
+from sorrelfront.daemon.journal import Entry, Journal, RunFolder, RunFolderError, StateMemory, decode, encode
 from sorrelfront.daemon.records import (
     HEADER,
     MAX_PAYLOAD_BYTES,
-    Kind,
-    Spoilt,
+    InvalidRecord,
+    RecordKind,
     Writer,
     decode_record,
+    encode_record,
     read,
-    seal,
-    trusted,
+    read_or_set_aside,
     write,
 )
 from sorrelfront.daemon.state import Failures, Remembered
@@ -32,15 +32,15 @@
 from tests.loopback import until
 
 PAYLOAD = msgspec.msgpack.encode(Remembered(5, 3, b"[daemon]\n" * 150, {"i0": Failures(2, 7)}))
-WHOLE = seal(Kind.FLEET, PAYLOAD)
+WHOLE = encode_record(RecordKind.FLEET, PAYLOAD)
 JOURNAL = Journal("boot", 7, "digest", [Entry("i0", 1, 4_242, 99)])
 
 
 def test_a_record_cut_at_any_byte_is_refused() -> None:
-    assert decode_record(Kind.FLEET, WHOLE) == PAYLOAD
+    assert decode_record(RecordKind.FLEET, WHOLE) == PAYLOAD
     for length in range(len(WHOLE)):
-        with pytest.raises(Spoilt):
-            decode_record(Kind.FLEET, WHOLE[:length])
+        with pytest.raises(InvalidRecord):
+            decode_record(RecordKind.FLEET, WHOLE[:length])
 
 
 def test_a_record_with_any_bit_of_its_first_kilobyte_flipped_is_refused() -> None:
@@ -48,39 +48,39 @@
     for at in range(8 * 1_024):
         corrupt = bytearray(WHOLE)
         corrupt[at // 8] ^= 1 << at % 8
-        with pytest.raises(Spoilt):
-            decode_record(Kind.FLEET, bytes(corrupt))
+        with pytest.raises(InvalidRecord):
+            decode_record(RecordKind.FLEET, bytes(corrupt))
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.binary(max_size=300), st.booleans())
 def test_any_bytes_are_refused_or_checked(data: bytes, sealed: bool) -> None:
     """A record with a valid checksum may still have invalid contents, which must be refused as well."""
-    whole = seal(Kind.JOURNAL, data) if sealed else data
-    for kind, check in ((Kind.JOURNAL, decode), (Kind.FLEET, decode_fleet)):
+    whole = encode_record(RecordKind.JOURNAL, data) if sealed else data
+    for kind, check in ((RecordKind.JOURNAL, decode), (RecordKind.FLEET, decode_fleet)):
         try:
             check(decode_record(kind, whole))
-        except Spoilt:
+        except InvalidRecord:
             pass
         else:
-            assert sealed and kind is Kind.JOURNAL
+            assert sealed and kind is RecordKind.JOURNAL
 
 
 def test_another_version_kind_or_length_is_told_apart() -> None:
     for changed, why in (
         (WHOLE[:4] + b"\0\2" + WHOLE[6:], "version 2"),
-        (seal(Kind.LEARNT, PAYLOAD), "kind 3"),
+        (encode_record(RecordKind.LEARNT, PAYLOAD), "kind 3"),
         (WHOLE + b"x", "bytes and says"),
         (b"GIF8" + WHOLE[4:], "no record"),
     ):
-        with pytest.raises(Spoilt, match=why):
-            decode_record(Kind.FLEET, changed)
+        with pytest.raises(InvalidRecord, match=why):
+            decode_record(RecordKind.FLEET, changed)
 
 
 def test_anything_but_a_regular_file_of_this_user_is_set_aside(tmp_path: Path) -> None:
     good, place = tmp_path / "good", tmp_path / "place"
     write(good, WHOLE)
-    assert read(good, Kind.FLEET) == PAYLOAD and trusted(place, Kind.FLEET) is None
+    assert read(good, RecordKind.FLEET) == PAYLOAD and read_or_set_aside(place, RecordKind.FLEET) is None
 
     def link() -> None:
         place.symlink_to(good)
@@ -95,11 +95,11 @@
 
     for create in (link, writable, too_long, lambda: os.mkfifo(place), place.mkdir):
         create()
-        assert trusted(place, Kind.FLEET) is None
+        assert read_or_set_aside(place, RecordKind.FLEET) is None
         assert not os.path.lexists(place), create  # set aside
         aside = tmp_path / "place.bad"
         aside.rmdir() if aside.is_dir() and not aside.is_symlink() else aside.unlink()
-    assert read(good, Kind.FLEET) == PAYLOAD
+    assert read(good, RecordKind.FLEET) == PAYLOAD
 
 
 def test_a_write_replaces_all_or_nothing_and_a_link_is_not_followed(tmp_path: Path) -> None:
@@ -108,7 +108,7 @@
     (tmp_path / ".place.new").symlink_to(other)  # placed at the path of the temporary file
     write(place, WHOLE)
     write(place, WHOLE + b"")
-    assert read(place, Kind.FLEET) == PAYLOAD and other.read_text() == "mine"
+    assert read(place, RecordKind.FLEET) == PAYLOAD and other.read_text() == "mine"
     assert place.stat().st_mode & 0o777 == 0o600
     assert sorted(path.name for path in tmp_path.iterdir()) == ["other", "place"]
 
@@ -135,7 +135,7 @@
         refuses = False
         writer.put(place, WHOLE)
         assert await writer.wait_written(30.0)
-        assert writer.fault is None and writer.written == 1 and read(place, Kind.FLEET) == PAYLOAD
+        assert writer.fault is None and writer.written == 1 and read(place, RecordKind.FLEET) == PAYLOAD
         writer.close()
 
     asyncio.run(play())
@@ -206,5 +206,5 @@
     (tmp_path / "link").symlink_to(tmp_path / "d")
     (tmp_path / "file").write_text("")
     for name in ("open", "link", "file"):
-        with pytest.raises(NoFolder):
+        with pytest.raises(RunFolderError):
             RunFolder(tmp_path / name)
--- a/tests/daemon/test_replacement.py
+++ b/tests/daemon/test_replacement.py
@@ -12,8 +12,8 @@
 import pytest
 
 from sorrelfront.daemon import control
-from sorrelfront.lab.crowd import LOST, Crowd, ran_twice
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, connect, gate, member, request
+from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, connect, gated_script, member, request
 from tests.daemon.fleet import OK, Fleet, fleet
 from tests.loopback import until
 from tests.test_process import ROOT
@@ -21,7 +21,7 @@
 REPLACEMENTS = 4
 
 
-async def replacement(daemon: Fleet) -> asyncio.subprocess.Process:
+async def start_replacement(daemon: Fleet) -> asyncio.subprocess.Process:
     """Start a second daemon that is to replace the running one."""
     with daemon.log.open("ab") as log:
         return await asyncio.create_subprocess_exec(
@@ -30,21 +30,21 @@
         )  # fmt: skip
 
 
-async def answers_as(daemon: Fleet, pid: int) -> None:
+async def wait_for_control_socket(daemon: Fleet, pid: int) -> None:
     """Wait until this process answers on the control socket."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             try:
                 if (await daemon.ask("status"))["pid"] == pid:
                     return
-            except control.Unavailable:
+            except control.DaemonUnavailable:
                 pass
             await asyncio.sleep(0.01)
 
 
-async def replacing(daemon: Fleet) -> None:
+async def wait_for_handover(daemon: Fleet) -> None:
     """Wait until the running program has been asked to hand over."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not (await daemon.ask("status"))["replacing"]:
             await asyncio.sleep(0.002)
 
@@ -60,19 +60,19 @@
     async def scenario() -> None:
         backends = [await Backend(OK).start(), await Backend(OK).start()]
         async with fleet(tmp_path, *backends) as daemon:
-            crowd = Crowd(daemon.address, 40)
-            await crowd.more(200)
+            crowd = LoadGenerator(daemon.address, 40)
+            await crowd.wait_for_answers(200)
             for _ in range(REPLACEMENTS):
-                old, new = daemon.process, await replacement(daemon)
-                await answers_as(daemon, new.pid)
-                assert await asyncio.wait_for(old.wait(), PATIENCE_S) == 0
+                old, new = daemon.process, await start_replacement(daemon)
+                await wait_for_control_socket(daemon, new.pid)
+                assert await asyncio.wait_for(old.wait(), WAIT_TIMEOUT_S) == 0
                 daemon.process = new
-                await crowd.more(200)
+                await crowd.wait_for_answers(200)
             await crowd.finish()
             assert crowd.refused_connects == 0
         assert daemon.log.read_text().count("estimates of 2 servers are taken up") >= REPLACEMENTS
-        assert not crowd.lost and crowd.book[LOST] == 0, crowd.book
-        assert not ran_twice([whole for backend in backends for whole in backend.seen])
+        assert not crowd.lost and crowd.outcomes[LOST] == 0, crowd.outcomes
+        assert not ran_twice([whole for backend in backends for whole in backend.received])
 
     asyncio.run(scenario())
 
@@ -86,21 +86,21 @@
     async def scenario() -> None:
         backend = await Backend(OK).start()
         async with fleet(tmp_path, backend) as daemon:
-            crowd = Crowd(daemon.address, 20)
-            await crowd.more(100)
+            crowd = LoadGenerator(daemon.address, 20)
+            await crowd.wait_for_answers(100)
             text = daemon.path.read_text()
             daemon.path.write_text(text.replace("[listeners", "start_within_ms = 100\n[listeners").replace(
                 "instances = 2", "instances = 24"))  # fmt: skip
-            new = await replacement(daemon)
-            assert await asyncio.wait_for(new.wait(), PATIENCE_S) == 1
+            new = await start_replacement(daemon)
+            assert await asyncio.wait_for(new.wait(), WAIT_TIMEOUT_S) == 1
             daemon.path.write_text(text)
             assert (await daemon.ask("status"))["pid"] == daemon.process.pid
-            await crowd.more(200)
+            await crowd.wait_for_answers(200)
             assert (await daemon.ask("reload"))["ok"]
             await crowd.finish()
             assert crowd.refused_connects == 0
         assert "the replacement is off" in daemon.log.read_text()
-        assert not crowd.lost and not ran_twice(backend.seen)
+        assert not crowd.lost and not ran_twice(backend.received)
 
     asyncio.run(scenario())
 
@@ -113,22 +113,22 @@
     """
 
     async def scenario() -> None:
-        go, later = gate(OK)
+        go, later = gated_script(OK)
         backend = await Backend(later).start()
         async with fleet(tmp_path, backend) as daemon:
             client = await connect(daemon.address)
             client.send(request("r", "pay"))
-            await until(lambda: len(backend.seen) == 1)
+            await until(lambda: len(backend.received) == 1)
             daemon.write(instances=8)  # so that the start takes long enough
-            new = await replacement(daemon)
+            new = await start_replacement(daemon)
             try:
-                await replacing(daemon)
+                await wait_for_handover(daemon)
                 os.kill(new.pid, signal.SIGSTOP)
                 if how == "stopped":
                     daemon.signal(signal.SIGTERM)
                     await wait_for_log(daemon, "stopping")
                     os.kill(new.pid, signal.SIGCONT)
-                    assert await asyncio.wait_for(new.wait(), PATIENCE_S) != 0
+                    assert await asyncio.wait_for(new.wait(), WAIT_TIMEOUT_S) != 0
                     go.set()
                     assert (await client.answer())[0] == 200
                     assert await daemon.ended() == 0
@@ -139,7 +139,7 @@
                     assert (await client.answer())[0] == 200
                     client.send(request("again"))
                     assert (await client.answer())[0] == 200
-                    async with asyncio.timeout(PATIENCE_S):
+                    async with asyncio.timeout(WAIT_TIMEOUT_S):
                         while not (await daemon.ask("reload"))["ok"]:
                             await asyncio.sleep(0.02)
             finally:
@@ -155,8 +155,8 @@
 
     async def scenario() -> None:
         daemon = Fleet(tmp_path, "127.0.0.1:9")
-        new = await replacement(daemon)
-        assert await asyncio.wait_for(new.wait(), PATIENCE_S) == 2
+        new = await start_replacement(daemon)
+        assert await asyncio.wait_for(new.wait(), WAIT_TIMEOUT_S) == 2
         assert daemon.log.read_text().startswith(f"{daemon.path}: [daemon] control: ")
         assert not [*tmp_path.glob(".takeover*")]
 
@@ -175,18 +175,18 @@
 
         leaving, staying = await Backend(note).start(), await Backend(OK).start()
         async with fleet(tmp_path, leaving, staying) as daemon:
-            crowd = Crowd(daemon.address, 40)
-            await crowd.more(100)
-            old, new = daemon.process, await replacement(daemon)
-            await replacing(daemon)
+            crowd = LoadGenerator(daemon.address, 40)
+            await crowd.wait_for_answers(100)
+            old, new = daemon.process, await start_replacement(daemon)
+            await wait_for_handover(daemon)
             told = time.monotonic()
-            daemon.tell_registry(member("b0", leaving.address, "draining"))
-            await answers_as(daemon, new.pid)
-            assert await asyncio.wait_for(old.wait(), PATIENCE_S) == 0
+            daemon.update_registry(member("b0", leaving.address, "draining"))
+            await wait_for_control_socket(daemon, new.pid)
+            assert await asyncio.wait_for(old.wait(), WAIT_TIMEOUT_S) == 0
             daemon.process = new
-            await crowd.more(300)
+            await crowd.wait_for_answers(300)
             await crowd.finish()
         assert arrivals and max(arrivals) - told < 0.55
-        assert not crowd.lost and not ran_twice([*leaving.seen, *staying.seen])
+        assert not crowd.lost and not ran_twice([*leaving.received, *staying.received])
 
     asyncio.run(scenario())
--- a/tests/decisions/test_arriving.py
+++ b/tests/decisions/test_arriving.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sorrelfront.decisions.interface import Outcome, Request, Send, Whole
+from sorrelfront.decisions.interface import BodyReceived, Outcome, Request, Send
 from tests.helpers import SAFE, UNSAFE, balancer, ended, request, sends
 
 
@@ -17,7 +17,7 @@
     server = lb.servers["b000"]
     assert not server.pending
     assert server.load(30_000_000) == server.load(0)  # however long its body takes
-    lb.on_whole(Whole(1, 31_000_000), 30_000_000)
+    lb.on_body_received(BodyReceived(1, 31_000_000), 30_000_000)
     assert next(iter(server.pending.values()))[0] == 30_000_000
     ended(lb, 1, 0, Outcome.OK, 30_050_000)
     assert not server.pending and not lb.attempts and not lb.held
@@ -41,7 +41,7 @@
 def test_its_deadline_counts_from_its_last_byte() -> None:
     lb = balancer(3)
     lb.on_request(arriving(1, "read"), 0)
-    lb.on_whole(Whole(1, 30_400_000), 30_000_000)
+    lb.on_body_received(BodyReceived(1, 30_400_000), 30_000_000)
     (send,) = ended(lb, 1, 0, Outcome.REJECTED, 30_100_000)
     assert isinstance(send, Send) and send.timeout_us == 300_000
 
@@ -49,14 +49,14 @@
 def test_an_unsafe_request_that_may_have_run_is_not_repeated() -> None:
     lb = balancer(3)
     lb.on_request(arriving(1, UNSAFE.name), 0)
-    lb.on_whole(Whole(1, 2_000_000), 1_000_000)
+    lb.on_body_received(BodyReceived(1, 2_000_000), 1_000_000)
     assert sends(ended(lb, 1, 0, Outcome.RESET, 1_100_000)) == []
 
 
 def test_a_second_last_byte_or_one_of_an_unknown_request_changes_nothing() -> None:
     lb = balancer(1)
-    assert lb.on_whole(Whole(7, 1), 0) == []
+    assert lb.on_body_received(BodyReceived(7, 1), 0) == []
     request(lb, 1, SAFE, 0)
     before = dict(lb.servers["b000"].pending)
-    lb.on_whole(Whole(1, 99), 500)
+    lb.on_body_received(BodyReceived(1, 99), 500)
     assert lb.servers["b000"].pending == before
--- a/tests/decisions/test_learnt.py
+++ b/tests/decisions/test_learnt.py
@@ -15,9 +15,9 @@
     MAX_SERVERS,
     MAX_TEXT_LENGTH,
     VERSION,
-    Unusable,
-    adopt,
-    snapshot,
+    UnusableSnapshot,
+    restore_snapshot,
+    take_snapshot,
 )
 from tests.helpers import SAFE, balancer, ended, request, sends
 
@@ -37,9 +37,9 @@
 
 def test_a_restored_balancer_has_the_same_estimates() -> None:
     old = balancer_with_samples()
-    text = snapshot(old, 20_100_000, UNIX)
+    text = take_snapshot(old, 20_100_000, UNIX)
     new = balancer(4, now=NOW)
-    assert adopt(new, text, NOW + 1_000_000, UNIX + 1_000_000) == sum(
+    assert restore_snapshot(new, text, NOW + 1_000_000, UNIX + 1_000_000) == sum(
         server.updated_at >= 0 for server in old.servers.values()
     )
     for name, server in old.servers.items():
@@ -47,14 +47,14 @@
         assert restored.project(NOW + 1_000_000) == pytest.approx(server.project(21_100_000))
         assert restored.forecast(NOW + 1_000_000) == pytest.approx(server.forecast(21_100_000))
     assert new.baselines["read"].value == old.baselines["read"].value and new.usual_us == old.usual_us
-    assert snapshot(new, NOW + 1_000_000, UNIX).split("late")[0]
+    assert take_snapshot(new, NOW + 1_000_000, UNIX).split("late")[0]
 
 
 def test_a_server_that_was_restarted_or_left_the_list_is_not_restored() -> None:
-    text = snapshot(balancer_with_samples(), 20_100_000, UNIX)
+    text = take_snapshot(balancer_with_samples(), 20_100_000, UNIX)
     new = balancer(4, now=NOW)
     new.on_list(BackendList(ListKind.FULL, (Backend("b000", started_us=5), Backend("b001"))), NOW)
-    assert adopt(new, text, NOW, UNIX) <= 1
+    assert restore_snapshot(new, text, NOW, UNIX) <= 1
     assert new.servers["b000"].updated_at == -1 and set(new.servers) == {"b000", "b001"}
 
 
@@ -70,18 +70,18 @@
 )
 def test_a_corrupt_snapshot_is_refused_as_a_whole(corrupt: object, message: str) -> None:
     assert callable(corrupt)
-    text = corrupt(snapshot(balancer_with_samples(), 20_100_000, UNIX))
+    text = corrupt(take_snapshot(balancer_with_samples(), 20_100_000, UNIX))
     new = balancer(4, now=NOW)
-    before = snapshot(new, NOW, UNIX)
-    with pytest.raises(Unusable, match=message):
-        adopt(new, text, NOW, UNIX)
-    assert snapshot(new, NOW, UNIX) == before
+    before = take_snapshot(new, NOW, UNIX)
+    with pytest.raises(UnusableSnapshot, match=message):
+        restore_snapshot(new, text, NOW, UNIX)
+    assert take_snapshot(new, NOW, UNIX) == before
 
 
 def test_a_snapshot_that_is_too_old_is_refused() -> None:
-    text = snapshot(balancer_with_samples(), 20_100_000, UNIX)
-    with pytest.raises(Unusable, match="31 s old"):
-        adopt(balancer(4, now=NOW), text, NOW, UNIX + MAX_AGE_US + 1_000_000)
+    text = take_snapshot(balancer_with_samples(), 20_100_000, UNIX)
+    with pytest.raises(UnusableSnapshot, match="31 s old"):
+        restore_snapshot(balancer(4, now=NOW), text, NOW, UNIX + MAX_AGE_US + 1_000_000)
 
 
 def test_a_snapshot_is_bounded_whatever_the_names_and_their_number() -> None:
@@ -89,11 +89,11 @@
     lb.on_list(BackendList(ListKind.FULL, tuple(Backend("n" * 400 + str(at)) for at in range(2_000))), 0)
     for server in lb.servers.values():
         server.observe(1.0, 10)
-    text = snapshot(lb, 20, UNIX)
+    text = take_snapshot(lb, 20, UNIX)
     assert len(text) <= MAX_TEXT_LENGTH
     new = Balancer(balancer().settings, 1, 0)
     new.on_list(BackendList(ListKind.FULL, tuple(server.info for server in lb.servers.values())), 0)
-    assert 0 < adopt(new, text, 20, UNIX) <= MAX_SERVERS
+    assert 0 < restore_snapshot(new, text, 20, UNIX) <= MAX_SERVERS
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
@@ -102,5 +102,5 @@
     text = (
         f"{VERSION} {zlib.crc32(data.encode('utf-8', 'surrogatepass')):08x} {data}" if with_checksum else data
     )
-    with pytest.raises(Unusable):
-        adopt(balancer(2), text, NOW, UNIX)
+    with pytest.raises(UnusableSnapshot):
+        restore_snapshot(balancer(2), text, NOW, UNIX)
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -24,15 +24,15 @@
     Reread,
     ServerChanges,
     ServiceState,
+    Settings,
     Suspected,
-    Terms,
     Wake,
 )
 
 MS, S = 1_000, 1_000_000
 GRACE_US = 500 * MS
 OLD = 1_000 * S  # start time of the servers, before all events of the tests
-SETTINGS = Terms(suspect_us=20 * S, confirm_us=1 * S, doubt_us=10 * S)
+SETTINGS = Settings(suspect_us=20 * S, confirm_us=1 * S, doubt_us=10 * S)
 
 
 def server(name: str, version: int = 1, started_us: int = OLD, port: int = 0, drains: bool = False) -> Member:
@@ -43,7 +43,7 @@
 class Simulation:
     """Simulates the service, the source that reads it, and the list reported to the balancer."""
 
-    def __init__(self, settings: Terms = SETTINGS, seed: int = 1) -> None:
+    def __init__(self, settings: Settings = SETTINGS, seed: int = 1) -> None:
         self.now = 10_000 * S
         self.nodes: dict[str, Member | None] = {}
         self.answering: dict[str, Answering] = {}
@@ -408,7 +408,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.sim = Simulation(Terms(suspect_us=3 * S, confirm_us=200 * MS, doubt_us=2 * S)).begin(6)
+        self.sim = Simulation(Settings(suspect_us=3 * S, confirm_us=200 * MS, doubt_us=2 * S)).begin(6)
         self.version = 10
         self.missing: dict[str, int] = {}
 
--- a/tests/decisions/test_places.py
+++ b/tests/decisions/test_places.py
@@ -9,21 +9,21 @@
 
 from sorrelfront.decisions.places import (
     MAX_SEATS,
-    POINTS,
+    RING_POINTS,
     Action,
     Claim,
     Release,
     SeatAllocator,
     SeatChange,
     SessionState,
-    Terms,
+    Settings,
     Wake,
-    gaps,
-    point,
+    gap_ratios,
+    ring_point,
 )
 
 S = 1_000_000
-SETTINGS = Terms(hole_us=5 * S, keep_us=10 * S, spread_us=1)
+SETTINGS = Settings(hole_us=5 * S, keep_us=10 * S, spread_us=1)
 
 
 class Fleet:
@@ -89,13 +89,18 @@
 
 
 def test_points_never_move_and_cover_the_ring() -> None:
-    assert [point(seat) for seat in range(4)] == [0, POINTS // 2, POINTS // 4, 3 * POINTS // 4]
-    assert len({point(seat) for seat in range(MAX_SEATS)}) == MAX_SEATS
+    assert [ring_point(seat) for seat in range(4)] == [
+        0,
+        RING_POINTS // 2,
+        RING_POINTS // 4,
+        3 * RING_POINTS // 4,
+    ]
+    assert len({ring_point(seat) for seat in range(MAX_SEATS)}) == MAX_SEATS
     for count in range(1, 300):
-        least, most = gaps(range(count))
+        least, most = gap_ratios(range(count))
         assert most <= 2 * least + 1e-9 and most < 2.0
     with pytest.raises(ValueError):
-        point(POINTS)
+        ring_point(RING_POINTS)
 
 
 def test_fifty_instances_take_fifty_seats_and_a_join_moves_none() -> None:
--- a/tests/decisions/test_supervision.py
+++ b/tests/decisions/test_supervision.py
@@ -17,7 +17,7 @@
 
 
 def phase(made: Supervisor, name: str) -> Phase:
-    return next(item.phase for item in made.standings() if item.name == name)
+    return next(item.phase for item in made.instance_statuses() if item.name == name)
 
 
 def test_all_start_at_once_and_a_ready_one_is_killed_without_heartbeats() -> None:
@@ -25,20 +25,20 @@
     assert made.start(0) == [Start("i0", 1), Start("i1", 1), Start("i2", 1)]
     assert made.on_ready("i0", 1, S) == []
     assert made.ready == ["i0"]
-    assert made.on_time(S) == []
-    made.on_beat("i0", 1, 5 * S)
-    assert not any(isinstance(action, Kill) and action.name == "i0" for action in made.on_time(9 * S))
-    assert Kill("i0", 1, "it gave no sign of life in time") in made.on_time(10 * S)
+    assert made.on_timer(S) == []
+    made.on_heartbeat("i0", 1, 5 * S)
+    assert not any(isinstance(action, Kill) and action.name == "i0" for action in made.on_timer(9 * S))
+    assert Kill("i0", 1, "it gave no sign of life in time") in made.on_timer(10 * S)
 
 
 def test_one_that_does_not_become_ready_is_killed_and_started_only_after_its_end() -> None:
     made = supervisor(1)
     made.start(0)
-    kills = made.on_time(POLICY.start_within_us)
+    kills = made.on_timer(POLICY.start_within_us)
     assert kills[0] == Kill("i0", 1, "it did not become ready in time")
-    assert not any(isinstance(action, Start) for action in made.on_time(15 * S))
+    assert not any(isinstance(action, Start) for action in made.on_timer(15 * S))
     made.on_end("i0", 1, 16 * S)
-    assert made.on_time(17 * S) == [Start("i0", 2)]
+    assert made.on_timer(17 * S) == [Start("i0", 2)]
 
 
 def test_the_wait_doubles_and_a_settled_run_starts_over() -> None:
@@ -51,7 +51,7 @@
         assert at is not None
         waits.append(at - now)
         now = at
-        made.on_time(now)
+        made.on_timer(now)
     for index, wait in enumerate(waits):
         full = POLICY.first_wait_us * 2**index
         assert full // 2 <= wait <= full
@@ -70,17 +70,17 @@
         reports += sum(isinstance(action, Report) for action in made.on_end("i0", run, now))
         while phase(made, "i0") is Phase.BACKOFF:
             now += 100_000
-            made.on_beat("i1", 1, now)
-            made.on_time(now)
+            made.on_heartbeat("i1", 1, now)
+            made.on_timer(now)
     assert reports == 1
-    assert [item.looping for item in made.standings()] == [True, False]
+    assert [item.in_crash_loop for item in made.instance_statuses()] == [True, False]
     assert phase(made, "i1") is Phase.READY
-    run = made.standings()[0].run
+    run = made.instance_statuses()[0].run
     made.on_ready("i0", run, now)
     settled: list[Action] = []
     for _ in range(12):
         now += S
-        settled += made.on_beat("i0", run, now)
+        settled += made.on_heartbeat("i0", run, now)
     assert settled == [Report("i0", "has settled after its crash loop")]
 
 
@@ -88,7 +88,7 @@
     made = supervisor(1)
     made.start(0)
     made.on_end("i0", 1, 0)
-    made.on_time(S)
+    made.on_timer(S)
     assert made.on_ready("i0", 1, S) == [] and made.on_end("i0", 1, S) == []
     assert phase(made, "i0") is Phase.STARTING
 
@@ -102,7 +102,7 @@
     assert made.on_stop(2 * S, 5 * S) == []
     made.on_end("i0", 1, 2 * S)
     assert not made.ended
-    assert Kill("i1", 1, "it did not end in time") in made.on_time(6 * S)
+    assert Kill("i1", 1, "it did not end in time") in made.on_timer(6 * S)
     made.on_end("i1", 1, 6 * S)
     assert made.ended and made.next_us() is None
 
@@ -116,7 +116,7 @@
     assert made.on_end("i0", 1, 2 * S) == []
     assert made.on_restart("i1", 2 * S) == [Stop("i1", 1)]
     assert made.on_end("i1", 1, 2 * S) == [Start("i1", 2)]
-    assert made.on_time(4 * S) == [] and phase(made, "i0") is Phase.STOPPED
+    assert made.on_timer(4 * S) == [] and phase(made, "i0") is Phase.STOPPED
 
 
 def test_another_set_of_names_starts_the_new_and_drains_the_rest() -> None:
@@ -132,8 +132,8 @@
     actions: list[Action] = []
     while (at := made.next_us()) is not None and at <= until:
         now = max(now, at)
-        actions += made.on_time(now)
-    return actions + made.on_time(until)
+        actions += made.on_timer(now)
+    return actions + made.on_timer(until)
 
 
 def test_a_pause_of_this_program_is_not_taken_for_missed_heartbeats() -> None:
@@ -146,9 +146,9 @@
     assert run_until(made, S, 2 * S) == []
     # The host is suspended for ten minutes; the first event afterwards is a heartbeat, or an end.
     back = 602 * S
-    made.on_beat("i0", 1, back)
+    made.on_heartbeat("i0", 1, back)
     made.on_end("i1", 1, back)
-    acted = made.on_time(back) + run_until(made, back, back + S)
+    acted = made.on_timer(back) + run_until(made, back, back + S)
     assert not any(isinstance(action, Kill) for action in acted)
     # From here on each has the remainder of its time, and no more.
     acted = run_until(made, back + S, back + 9 * S)
@@ -163,8 +163,8 @@
     made.start(0)
     made.on_ready("i0", 1, 0)
     made.on_policy(Policy(silent_us=S, look_us=1_000 * S), S)
-    assert made.on_time(2 * S - 1) == []
-    assert Kill("i0", 1, "it gave no sign of life in time") in made.on_time(2 * S)
+    assert made.on_timer(2 * S - 1) == []
+    assert Kill("i0", 1, "it gave no sign of life in time") in made.on_timer(2 * S)
 
 
 def test_a_hang_is_detected_in_time_by_a_program_that_is_a_little_late() -> None:
@@ -176,7 +176,7 @@
         at = made.next_us()
         assert at is not None
         now = max(now, at) + Policy().look_us // 2  # a busy machine
-        made.on_time(now)
+        made.on_timer(now)
     assert Policy().silent_us <= now <= Policy().silent_us + 2 * Policy().look_us
 
 
@@ -196,7 +196,8 @@
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(EVENTS, st.sampled_from([Policy(), POLICY]))
 def test_there_is_never_more_than_one_process_and_each_wanted_one_comes_back(
-    events: list[tuple[str, int, int]], policy: Policy,
+    events: list[tuple[str, int, int]],
+    policy: Policy,
 ) -> None:
     """The model is the set of running processes.
 
@@ -223,7 +224,7 @@
         if what == "ready":
             carry_out(made.on_ready(name, run, now))
         elif what == "beat":
-            carry_out(made.on_beat(name, run, now))
+            carry_out(made.on_heartbeat(name, run, now))
         elif what == "end" and name in running:
             del running[name]
             carry_out(made.on_end(name, run, now))
@@ -236,16 +237,16 @@
             drained |= {"i0", "i1", "i2"}
             carry_out(made.on_stop(now, 5 * S))
         else:
-            carry_out(made.on_time(now))
+            carry_out(made.on_timer(now))
     for _ in range(8):  # every killed process ends, and time passes
         for name, run in [*running.items()]:
             if phase(made, name) is Phase.STOPPING:
                 del running[name]
                 carry_out(made.on_end(name, run, now))
         now += POLICY.longest_wait_us
-        carry_out(made.on_time(now))
+        carry_out(made.on_timer(now))
         for name, run in [*running.items()]:
             carry_out(made.on_ready(name, run, now))
-            carry_out(made.on_beat(name, run, now))
+            carry_out(made.on_heartbeat(name, run, now))
     assert set(running) == {"i0", "i1", "i2"} - drained
     assert made.ended == made.stopping
--- a/tests/fleet/test_copies.py
+++ b/tests/fleet/test_copies.py
@@ -8,95 +8,97 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.copies import filled
+from benchmarks.copies import fleet_with_entries
 from sorrelfront.decisions.fleet import copies
 from sorrelfront.decisions.fleet.copies import (
-    Book,
-    Copies,
     Delta,
+    Durable,
     Entry,
-    Kept,
     PersistAck,
     PersistRequest,
     Pull,
+    Replica,
     ReplicaId,
-    Row,
-    Say,
+    ReplicaStore,
+    Send,
     Settings,
+    Version,
     Write,
-    unpack,
+    decode,
 )
-from sorrelfront.decisions.fleet.words import Unreadable
-from sorrelfront.lab.fleet.copies import PLANTS, play
+from sorrelfront.decisions.fleet.words import MalformedMessage
+from sorrelfront.lab.fleet.copies import DEFECTS, run_seed
 from sorrelfront.lab.fleet.copies_explorer import explore
 
 SEEDS = 15
 FOUND_WITHIN = 30  # seeds; a third of them have the kind of fault that reveals the defect
 
 
-def make_store(name: str = "a/i0", **changes: int) -> Copies:
-    return Copies(name, Settings(**changes), Random(1), 0, (), "reg")
+def make_store(name: str = "a/i0", **changes: int) -> ReplicaStore:
+    return ReplicaStore(name, Settings(**changes), Random(1), 0, (), "reg")
 
 
-def start_store(name: str, **changes: int) -> Copies:
+def start_store(name: str, **changes: int) -> ReplicaStore:
     store = make_store(name, **changes)
-    store.on_time(store.settings.lone_us, [])
-    assert store.mine is not None
+    store.on_time(store.settings.alone_us, [])
+    assert store.own_replica is not None
     return store
 
 
 @pytest.mark.parametrize("seed", range(1, SEEDS + 1))
 def test_a_fleet_converges_and_keeps_acknowledged_entries(seed: int) -> None:
-    found, _ = play(seed)
+    found, _ = run_seed(seed)
     assert not found
 
 
-@pytest.mark.parametrize("plant", [name for name in PLANTS if name not in ("", "too-soon")])
+@pytest.mark.parametrize("plant", [name for name in DEFECTS if name not in ("", "too-soon")])
 def test_planted_defects_are_found(plant: str) -> None:
-    assert any(play(seed, make=PLANTS[plant])[0] for seed in range(1, FOUND_WITHIN + 1))
+    assert any(run_seed(seed, make=DEFECTS[plant])[0] for seed in range(1, FOUND_WITHIN + 1))
 
 
 def test_a_version_is_durable_before_it_is_acknowledged() -> None:
     owner, peer = start_store("a/i0"), start_store("b/i0")
     owner.on_time(owner.now + 1, ["a/i0", "b/i0"])
     owner.put("k", b"v", owner.now)
-    assert owner.mine is not None
-    version = owner.mine.version
-    delta = Delta(version, 0, "", version.seq, copies.LAST_KEY, tuple(owner.mine.after(0, "")), 0, True, True)
-    peer.on_word(
+    assert owner.own_replica is not None
+    version = owner.own_replica.version
+    delta = Delta(
+        version, 0, "", version.seq, copies.LAST_KEY, tuple(owner.own_replica.after(0, "")), 0, True, True
+    )
+    peer.on_message(
         "a/i0", Delta(version, 0, "", version.seq, copies.LAST_KEY, delta.entries, 0, True), peer.now
     )
-    assert peer.books[version.id].version == version
+    assert peer.replicas[version.id].version == version
     assert not [
-        item for item in peer.on_word("a/i0", PersistRequest(version), peer.now) if isinstance(item, Say)
+        item for item in peer.on_message("a/i0", PersistRequest(version), peer.now) if isinstance(item, Send)
     ]
     last = peer._writes
-    messages = [item.word for item in peer.on_written(last, peer.now) if isinstance(item, Say)]
+    messages = [item.message for item in peer.on_written(last, peer.now) if isinstance(item, Send)]
     assert messages == [PersistAck(version)]
-    owner.hold(2, owner.now)
-    actions = owner.on_word("b/i0", PersistAck(version), owner.now)
-    assert not [item for item in actions if isinstance(item, Kept)]  # its own write has not finished
+    owner.require_hosts(2, owner.now)
+    actions = owner.on_message("b/i0", PersistAck(version), owner.now)
+    assert not [item for item in actions if isinstance(item, Durable)]  # its own write has not finished
     actions = owner.on_written(owner._writes, owner.now)
-    assert [item for item in actions if isinstance(item, Kept)] == [Kept(version.seq, 2)]
+    assert [item for item in actions if isinstance(item, Durable)] == [Durable(version.seq, 2)]
 
 
 def test_sent_entries_are_bounded_in_bytes_per_second() -> None:
-    source = start_store("a/i0", give_bytes_s=10_000)
+    source = start_store("a/i0", send_bytes_s=10_000)
     for number in range(100):
         source.put(f"k{number}", b"x" * 1_000, source.now)
-    source._take()
-    assert source.mine is not None
-    pull = Pull(*source.mine.id, 0, "", True)
+    source._take_actions()
+    assert source.own_replica is not None
+    pull = Pull(*source.own_replica.id, 0, "", True)
     given = 0
     for step in range(100):  # ten seconds
-        actions = source.on_word("b/i0", pull, source.now + 100_000)
-        given += sum(copies.size(item) for message in _deltas(actions) for item in message.entries)
+        actions = source.on_message("b/i0", pull, source.now + 100_000)
+        given += sum(copies.entry_size(item) for message in _deltas(actions) for item in message.entries)
         assert given <= 10_000 * (step + 1) / 10 + 10_000 + copies.MAX_CHUNK_BYTES
     assert given > 50_000
 
 
 def _deltas(actions: list[copies.Action]) -> list[Delta]:
-    return [item.word for item in actions if isinstance(item, Say) and isinstance(item.word, Delta)]
+    return [item.message for item in actions if isinstance(item, Send) and isinstance(item.message, Delta)]
 
 
 def test_a_peer_behind_the_tombstones_gets_a_full_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -106,32 +108,34 @@
         source.put(f"k{number}", b"v", source.now)
     for number in range(6):
         source.delete(f"k{number}", source.now)
-    assert source.mine is not None and source.mine.tombstone_floor > 9
-    (behind,) = _deltas(source.on_word("b/i0", Pull(*source.mine.id, 8, copies.LAST_KEY, False), source.now))
+    assert source.own_replica is not None and source.own_replica.tombstone_floor > 9
+    (behind,) = _deltas(
+        source.on_message("b/i0", Pull(*source.own_replica.id, 8, copies.LAST_KEY, False), source.now)
+    )
     assert behind.full and {item.key for item in behind.entries if item.value} == {"k6", "k7"}
-    recent = Pull(*source.mine.id, source.mine.tombstone_floor, copies.LAST_KEY, False)
-    (close,) = _deltas(source.on_word("b/i0", recent, source.now))
+    recent = Pull(*source.own_replica.id, source.own_replica.tombstone_floor, copies.LAST_KEY, False)
+    (close,) = _deltas(source.on_message("b/i0", recent, source.now))
     assert not close.full and [item.key for item in close.entries] == ["k4", "k5"]
 
 
 def test_a_restored_store_is_what_was_written() -> None:
     store = start_store("a/i0")
-    written = [item.change for item in store._take() if isinstance(item, Write)]
+    written = [item.change for item in store._take_actions() if isinstance(item, Write)]
     for number in range(20):
         store.put(f"k{number % 7}", b"%d" % number, store.now)
         if number % 3 == 0:
             store.delete(f"k{number % 7}", store.now)
-    store.heard(5, True, {"s1": (b"x", b"here")}, store.now)
-    written += [item.change for item in store._take() if isinstance(item, Write)]
+    store.on_list(5, True, {"s1": (b"x", b"here")}, store.now)
+    written += [item.change for item in store._take_actions() if isinstance(item, Write)]
     full = [*store.snapshot()]
     for disk in (written, full):
-        other = Copies("b/i0", Settings(), Random(2), 0, disk, "reg")
-        versions = {replica.version for replica in store.books.values()}
-        assert {replica.version for replica in other.books.values()} >= versions if disk is full else True
-    again = Copies("b/i0", Settings(), Random(2), 0, full, "reg")
+        other = ReplicaStore("b/i0", Settings(), Random(2), 0, disk, "reg")
+        versions = {replica.version for replica in store.replicas.values()}
+        assert {replica.version for replica in other.replicas.values()} >= versions if disk is full else True
+    again = ReplicaStore("b/i0", Settings(), Random(2), 0, full, "reg")
     assert again.digest() == store.digest()
-    assert {id: replica.entries for id, replica in again.books.items()} == {
-        id: replica.entries for id, replica in store.books.items()
+    assert {id: replica.entries for id, replica in again.replicas.items()} == {
+        id: replica.entries for id, replica in store.replicas.items()
     }
 
 
@@ -144,7 +148,7 @@
     entries: list[tuple[str, int, bytes | None]], random: Random
 ) -> None:
     items = [Entry(key, seq, value) for key, seq, value in entries]
-    replica, other = Book(ReplicaId("a", 1, 1), 0), Book(ReplicaId("a", 1, 1), 0)
+    replica, other = Replica(ReplicaId("a", 1, 1), 0), Replica(ReplicaId("a", 1, 1), 0)
     for item in items:
         replica.apply(item)
     random.shuffle(items)
@@ -159,25 +163,25 @@
 @given(st.binary(max_size=200))
 def test_invalid_bytes_raise_unreadable_and_nothing_else(data: bytes) -> None:
     try:
-        message = unpack(data)
-    except Unreadable:
+        message = decode(data)
+    except MalformedMessage:
         return
-    make_store().on_word("b/i0", message, 1)
+    make_store().on_message("b/i0", message, 1)
 
 
 def test_a_version_from_a_retired_member_does_not_restore_its_map() -> None:
     store = start_store("a/i0")
     store.on_time(store.now + 1, ["a/i0", "b/i0"])
-    retired = Row("c/i0", 3, 77, 5, 9)
-    store.books[retired.id] = replica = Book(retired.id, 0)
+    retired = Version("c/i0", 3, 77, 5, 9)
+    store.replicas[retired.id] = replica = Replica(retired.id, 0)
     replica.seq = 5
     store._by_owner["c/i0"] = {retired.id}
     store._toggle_digest(replica)
     store.retire("c/i0", store.now)
     assert "c/i0" not in store.owners()
     versions = copies.Versions(tuple(range(copies.BUCKETS)), (retired,), 0, True, True)
-    actions = store.on_word("b/i0", versions, store.now)
-    assert not [item for item in actions if isinstance(item, Say) and isinstance(item.word, Pull)]
+    actions = store.on_message("b/i0", versions, store.now)
+    assert not [item for item in actions if isinstance(item, Send) and isinstance(item.message, Pull)]
 
 
 def test_a_map_of_many_chunks_is_fetched_while_all_other_members_lack_it() -> None:
@@ -186,20 +190,22 @@
     Members without the map have equal digests. Being in sync with each other must not end a fetch that is
     under way.
     """
-    fleet = filled(3_000, 4)
-    assert all(max(replica.seq for replica in node.copies.books.values()) >= 3_000 for node in fleet.up())
+    fleet = fleet_with_entries(3_000, 4)
+    assert all(max(replica.seq for replica in node.copies.replicas.values()) >= 3_000 for node in fleet.up())
 
 
 def test_every_order_of_two_events_is_consistent() -> None:
     found = explore(2)
-    assert not found.broken and found.states == 100
+    assert not found.violation and found.states == 100
 
 
 def test_exploring_finds_an_incarnation_that_forgets_the_earlier_one() -> None:
-    class ForgetsEarlierIncarnations(Copies):
-        def _begin(self) -> None:
-            for replica in [replica for replica in self._incarnations(self.me) if replica is not self.mine]:
+    class ForgetsEarlierIncarnations(ReplicaStore):
+        def _start_incarnation(self) -> None:
+            for replica in [
+                replica for replica in self._incarnations(self.member_name) if replica is not self.own_replica
+            ]:
                 replica.entries.clear()
-            super()._begin()
+            super()._start_incarnation()
 
-    assert explore(3, ForgetsEarlierIncarnations).broken
+    assert explore(3, ForgetsEarlierIncarnations).violation
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -9,13 +9,13 @@
 from sorrelfront.decisions.fleet.words import (
     Ack,
     Gossip,
+    MalformedMessage,
     Nack,
     NameConflict,
     Ping,
     PingRequest,
     PolicyFrame,
     ReplicationFrame,
-    Unreadable,
 )
 
 
@@ -24,7 +24,7 @@
     data = words.encode(ReplicationFrame("a/i0", "b/i0", b"word"))
     assert words.decode(data) == ReplicationFrame("a/i0", "b/i0", b"word")
     monkeypatch.setattr(words, "_datagram_decoder", older)
-    with pytest.raises(Unreadable):
+    with pytest.raises(MalformedMessage):
         words.decode(data)
 
 
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -14,24 +14,24 @@
 from sorrelfront.decisions.fleet.words import (
     MAX_DATAGRAM_BYTES,
     Ack,
+    FullState,
     Gossip,
+    MalformedMessage,
+    MemberUpdate,
+    Message,
     Nack,
     NameConflict,
-    News,
     Ping,
     PingRequest,
     State,
-    Unreadable,
-    Whole,
-    Word,
     decode,
     decode_stream,
     encode,
 )
-from sorrelfront.fleet.envelope import ENVELOPE_BYTES, BadKey, EnvelopeCodec, read_keys
+from sorrelfront.fleet.envelope import ENVELOPE_BYTES, EnvelopeCodec, InvalidKeyFile, read_keys
 from tests.fleet.test_view import make_view, member_update
 
-MESSAGES: list[Word] = [
+MESSAGES: list[Message] = [
     Ping(
         1, member_update("a"), "me", 5, [member_update("b", State.SUSPECT), member_update("c", State.LEFT, 9)]
     ),
@@ -46,9 +46,9 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-def test_messages_round_trip(message: Word) -> None:
+def test_messages_round_trip(message: Message) -> None:
     assert decode(encode(message)) == message
-    state = Whole(member_update("a"), [member_update(f"m{number}") for number in range(300)], True)
+    state = FullState(member_update("a"), [member_update(f"m{number}") for number in range(300)], True)
     assert decode_stream(encode(state)) == state
 
 
@@ -58,7 +58,7 @@
     for read in (decode, decode_stream):
         try:
             read(data)
-        except Unreadable as error:
+        except MalformedMessage as error:
             assert str(error)
     assert CODEC.unwrap(data) is None
 
@@ -87,14 +87,14 @@
         assert CODEC.unwrap(bytes(data)) is None
         try:
             message = decode(bytes(data))
-        except Unreadable:
+        except MalformedMessage:
             continue
         read += 1
-        if view.back:  # this process yielded its name: go on with another one
+        if view.yielded:  # this process yielded its name: go on with another one
             view = make_view(now, max_members=64)
-        view.on_word(message, now)
-        if view.next_us() <= now:
-            view.on_time(now)
+        view.on_message(message, now)
+        if view.next_timer_us() <= now:
+            view.on_timer(now)
         assert len(view.members) <= 64 and len(view._relayed_pings) <= 256
         assert len(view._broadcasts) <= 128 and len(view._conflicts) <= 16
     assert read > MUTATIONS // 50  # enough of them decoded
@@ -103,10 +103,10 @@
 def test_replayed_datagram_changes_nothing_and_costs_one_reply() -> None:
     view = make_view()
     ping = Ping(1, member_update("a"), "me", 0, [member_update("b", State.SUSPECT)])
-    view.on_word(ping, 0)
+    view.on_message(ping, 0)
     before = dict(view.members)
     for _ in range(1_000):
-        assert len([item for item in view.on_word(ping, 0) if isinstance(item, Send)]) == 1
+        assert len([item for item in view.on_message(ping, 0) if isinstance(item, Send)]) == 1
     assert view.members == before
 
 
@@ -119,24 +119,36 @@
 
 def test_every_datagram_fits_with_the_largest_updates() -> None:
     view = View(
-        News("n" * 128, "255.255.255.255", 65_535, State.ALIVE, 2**62, 2**62), Settings(), Random(1), 0
+        MemberUpdate("n" * 128, "255.255.255.255", 65_535, State.ALIVE, 2**62, 2**62),
+        Settings(),
+        Random(1),
+        0,
     )
-    view.seeded(
-        [News(f"{number}" * 40, "255.255.255.255", 65_535, State.ALIVE, 2**62, 2**62) for number in range(9)]
+    view.seed_members(
+        [
+            MemberUpdate(f"{number}" * 40, "255.255.255.255", 65_535, State.ALIVE, 2**62, 2**62)
+            for number in range(9)
+        ]
     )
     for number in range(200):
-        view.on_word(
+        view.on_message(
             Gossip(
-                [News(f"{number:0128}", "255.255.255.255", 65_535, State.SUSPECT, 2**62, 2**62, "b" * 128)]
+                [
+                    MemberUpdate(
+                        f"{number:0128}", "255.255.255.255", 65_535, State.SUSPECT, 2**62, 2**62, "b" * 128
+                    )
+                ]
             ),
             0,
         )
     now = 0
     sizes = []
     for _ in range(300):
-        now = view.next_us()
+        now = view.next_timer_us()
         sizes += [
-            len(encode(item.message)) + ENVELOPE_BYTES for item in view.on_time(now) if isinstance(item, Send)
+            len(encode(item.message)) + ENVELOPE_BYTES
+            for item in view.on_timer(now)
+            if isinstance(item, Send)
         ]
     assert sizes and max(sizes) <= MAX_DATAGRAM_BYTES
 
@@ -158,15 +170,15 @@
     path = tmp_path / "key"
     path.write_text("0123456789abcdef\nfedcba9876543210\n")
     path.chmod(0o644)
-    with pytest.raises(BadKey, match="0600"):
+    with pytest.raises(InvalidKeyFile, match="0600"):
         read_keys(str(path))
     path.chmod(0o600)
     assert read_keys(str(path)) == (b"0123456789abcdef", b"fedcba9876543210")
     path.write_text("short\n")
-    with pytest.raises(BadKey, match="16 to 64"):
+    with pytest.raises(InvalidKeyFile, match="16 to 64"):
         read_keys(str(path))
-    with pytest.raises(BadKey, match="No such file"):
+    with pytest.raises(InvalidKeyFile, match="No such file"):
         read_keys(str(tmp_path / "none"))
     (tmp_path / "link").symlink_to(path)
-    with pytest.raises(BadKey):
+    with pytest.raises(InvalidKeyFile):
         read_keys(str(tmp_path / "link"))
