--- a/tests/lab/test_zookeeper.py
+++ b/tests/lab/test_zookeeper.py
@@ -26,11 +26,11 @@
 from kazoo.handlers.threading import KazooTimeoutError
 from kazoo.security import make_digest_acl
 
-from sorrelfront.lab.http1 import PATIENCE_S
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
 from sorrelfront.lab.zookeeper.ensemble import Ensemble
 from sorrelfront.lab.zookeeper.tree import Refused, Tree
-from sorrelfront.net.jute import OPEN_TO_ALL, Err, Event
-from tests.loopback import looped
+from sorrelfront.net.jute import OPEN_ACL_UNSAFE, Err, Event
+from tests.loopback import async_test
 from tests.test_process import ROOT
 
 
@@ -48,7 +48,7 @@
 
     def run() -> None:
         client = KazooClient(hosts=env.hosts, timeout=5.0, **terms)
-        client.start(PATIENCE_S)
+        client.start(WAIT_TIMEOUT_S)
         try:
             use(client)
         finally:
@@ -58,7 +58,7 @@
     await asyncio.to_thread(run)
 
 
-@looped
+@async_test
 async def test_kazoo_creates_reads_changes_and_deletes() -> None:
     def use(client: Any) -> None:
         assert client.create("/a", b"1") == "/a"
@@ -85,10 +85,10 @@
 
     async with ensemble() as env:
         await with_kazoo(env, use)
-        assert env.open == 0 and env.asked["CREATE"] >= 5
+        assert env.open == 0 and env.request_counts["CREATE"] >= 5
 
 
-@looped
+@async_test
 async def test_kazoo_transactions_are_all_or_nothing() -> None:
     def use(client: Any) -> None:
         client.create("/t", b"0")
@@ -113,13 +113,13 @@
         good.create("/t/a", b"")
         good.set_data("/t", b"1")
         assert good.commit()[0] == "/t/a"
-        assert client.get("/t")[0] == b"1" and watch_fired.wait(PATIENCE_S) and len(fired) == 1
+        assert client.get("/t")[0] == b"1" and watch_fired.wait(WAIT_TIMEOUT_S) and len(fired) == 1
 
     async with ensemble() as env:
         await with_kazoo(env, use)
 
 
-@looped
+@async_test
 async def test_kazoo_watches_fire_once_and_ephemeral_nodes_go_with_their_session() -> None:
     async with ensemble() as env:
 
@@ -132,7 +132,7 @@
                 seen.append((event.type, event.path))
 
             other = KazooClient(hosts=env.hosts, timeout=5.0)
-            other.start(PATIENCE_S)
+            other.start(WAIT_TIMEOUT_S)
             other.create("/e/n", b"", ephemeral=True)
             assert client.exists("/e/n", watch=note).owner_session_id == other.client_id[0]
             client.get_children("/e", watch=note)
@@ -142,13 +142,13 @@
             client.create("/e/m")
             client.exists("/e/z", watch=lambda _: last.set())
             client.create("/e/z")
-            assert last.wait(PATIENCE_S)
+            assert last.wait(WAIT_TIMEOUT_S)
             assert sorted(seen) == [("CHILD", "/e"), ("DELETED", "/e/n")]
 
         await with_kazoo(env, use)
 
 
-@looped
+@async_test
 async def test_kazoo_is_refused_without_permission_and_served_with_it() -> None:
     def use(client: Any) -> None:
         client.create("/p", b"s", acl=[make_digest_acl("me", "word", all=True)])
@@ -166,7 +166,7 @@
         await with_kazoo(env, bad)
 
 
-@looped
+@async_test
 async def test_kazoo_survives_a_lost_member_and_learns_of_its_expiry() -> None:
     async with ensemble(3) as env:
         loop = asyncio.get_running_loop()
@@ -179,7 +179,7 @@
                 done.set()
 
             loop.call_soon_threadsafe(run)
-            assert done.wait(PATIENCE_S)
+            assert done.wait(WAIT_TIMEOUT_S)
 
         def use(client: Any) -> None:
             states: list[str] = []
@@ -197,16 +197,16 @@
             session = client.client_id[0]
             busy = next(member for member in env.members if member.open)
             run_in_loop(busy.vanish)
-            assert back.wait(PATIENCE_S) and client.client_id[0] == session
+            assert back.wait(WAIT_TIMEOUT_S) and client.client_id[0] == session
             assert client.exists("/mine") is not None
             run_in_loop(lambda: env.expire(session))
-            assert lost.wait(PATIENCE_S)
+            assert lost.wait(WAIT_TIMEOUT_S)
             assert client.retry(client.exists, "/mine") is None and client.client_id[0] != session
 
         await with_kazoo(env, use)
 
 
-@looped
+@async_test
 async def test_a_service_without_quorum_accepts_no_client() -> None:
     async with ensemble() as env:
         env.members[0].lose_quorum()
@@ -227,7 +227,7 @@
         await with_kazoo(env, use, read_only=True)
 
 
-@looped
+@async_test
 async def test_aiozk_works_with_the_ensemble() -> None:
     async with ensemble(2) as env:
         client = aiozk.ZKClient(env.hosts, session_timeout=5)
@@ -247,13 +247,13 @@
             watcher = client.recipes.DataWatcher()
             watcher.add_callback("/z", note)
             await client.set_data("/z", b"f")
-            assert await asyncio.wait_for(changed, PATIENCE_S) == b"f"
+            assert await asyncio.wait_for(changed, WAIT_TIMEOUT_S) == b"f"
             watcher.remove_callback("/z", note)
         finally:
             await client.close()
 
 
-@looped
+@async_test
 async def test_malformed_input_ends_only_its_own_connection() -> None:
     async with ensemble() as env:
         host, port = env.members[0].address.split(":")
@@ -263,29 +263,29 @@
         ):  # fmt: skip
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(junk)
-            assert await asyncio.wait_for(reader.read(100), PATIENCE_S) == b""
+            assert await asyncio.wait_for(reader.read(100), WAIT_TIMEOUT_S) == b""
             writer.close()
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"ruok")
-        assert await asyncio.wait_for(reader.read(100), PATIENCE_S) == b"imok"
+        assert await asyncio.wait_for(reader.read(100), WAIT_TIMEOUT_S) == b"imok"
         writer.close()
         await with_kazoo(env, lambda client: client.get_children("/"))
 
 
-@looped
+@async_test
 async def test_the_ensemble_runs_as_a_process_and_executes_commands() -> None:
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "sorrelfront.lab.zookeeper", *("--listen", "127.0.0.1:0") * 2,
         cwd=ROOT, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
     )  # fmt: skip
     assert process.stdin is not None and process.stdout is not None
-    hosts = json.loads(await asyncio.wait_for(process.stdout.readline(), PATIENCE_S))["hosts"]
+    hosts = json.loads(await asyncio.wait_for(process.stdout.readline(), WAIT_TIMEOUT_S))["hosts"]
     assert len(hosts.split(",")) == 2
 
     async def send_command(**order: Any) -> dict[str, Any]:
         assert process.stdin is not None and process.stdout is not None
         process.stdin.write(json.dumps(order).encode() + b"\n")
-        reply = json.loads(await asyncio.wait_for(process.stdout.readline(), PATIENCE_S))
+        reply = json.loads(await asyncio.wait_for(process.stdout.readline(), WAIT_TIMEOUT_S))
         assert isinstance(reply, dict)
         return reply
 
@@ -296,23 +296,23 @@
     for bad in ({"do": "nothing"}, {"do": "quorum", "how": "maybe"}, {"do": "drop", "member": 9}, {}):
         assert not (await send_command(**bad))["ok"]
     process.stdin.close()
-    assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+    assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
 
 
 def test_the_tree_refuses_what_zookeeper_refuses() -> None:
     tree = Tree()
     session = tree.open(5_000, 0)
-    tree.create("/e", b"", OPEN_TO_ALL, 1, session.id, set(), 0)
+    tree.create("/e", b"", OPEN_ACL_UNSAFE, 1, session.id, set(), 0)
     for err, path, acls, flags in (
-        (Err.NO_CHILDREN_FOR_EPHEMERALS, "/e/x", OPEN_TO_ALL, 0), (Err.INVALID_ACL, "/y", (), 0),
-        (Err.NO_NODE, "/q/x", OPEN_TO_ALL, 0), (Err.BAD_ARGUMENTS, "/z", OPEN_TO_ALL, 7),
+        (Err.NO_CHILDREN_FOR_EPHEMERALS, "/e/x", OPEN_ACL_UNSAFE, 0), (Err.INVALID_ACL, "/y", (), 0),
+        (Err.NO_NODE, "/q/x", OPEN_ACL_UNSAFE, 0), (Err.BAD_ARGUMENTS, "/z", OPEN_ACL_UNSAFE, 7),
     ):  # fmt: skip
         with pytest.raises(Refused) as refused:
             tree.create(path, b"", acls, flags, session.id, set(), 0)
         assert refused.value.err is err
     events: list[tuple[Event, str]] = []
-    tree.changed.append(lambda event, path, _: events.append((event, path)))
-    assert tree.overdue(5_000) == [] and tree.overdue(5_001) == [session.id]
+    tree.listeners.append(lambda event, path, _: events.append((event, path)))
+    assert tree.expired_sessions(5_000) == [] and tree.expired_sessions(5_001) == [session.id]
     tree.close(session.id)
     assert events == [(Event.DELETED, "/e"), (Event.CHILD, "/")] and "/e" not in tree.nodes
     assert tree.resume(session.id, session.password, 0) is None
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,16 +11,16 @@
 from sorrelfront.agent import Agent
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.lab.http1 import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Backend,
     Client,
     Registry,
     Script,
     answer,
     connect,
+    make_config,
     member,
     request,
-    table,
 )
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import parse
@@ -29,14 +29,26 @@
 from sorrelfront.upstreams.http1 import Upstream
 
 __all__ = [
-    "PATIENCE_S", "Backend", "Client", "Registry", "Script", "World", "answer", "connect", "looped", "member",
-    "request", "table", "until", "world",
+    "WAIT_TIMEOUT_S",
+    "AgentHarness",
+    "Backend",
+    "Client",
+    "Registry",
+    "Script",
+    "answer",
+    "async_test",
+    "connect",
+    "make_config",
+    "member",
+    "request",
+    "running_agent",
+    "until",
 ]  # fmt: skip
 
 P = ParamSpec("P")
 
 
-class World:
+class AgentHarness:
     """An agent in this process with its listener and its upstream."""
 
     def __init__(self, config: Config) -> None:
@@ -53,10 +65,12 @@
 
 
 @contextlib.asynccontextmanager
-async def world(*backends: Backend, registry: Registry | None = None, **changes: Any) -> AsyncIterator[World]:
+async def running_agent(
+    *backends: Backend, registry: Registry | None = None, **changes: Any
+) -> AsyncIterator[AgentHarness]:
     members = [member(f"b{index}", backend.address) for index, backend in enumerate(backends)]
     discovery = registry.address if registry else "127.0.0.1:9"
-    made = World(parse(table(discovery, members, **changes)))
+    made = AgentHarness(parse(make_config(discovery, members, **changes)))
     try:
         yield made
     finally:
@@ -67,7 +81,7 @@
             registry.stop()
 
 
-def looped(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
+def async_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
     """Run a coroutine test to its end in its own event loop."""
 
     @functools.wraps(test)
@@ -79,6 +93,6 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Poll until a condition holds that signals no event. Raises TimeoutError after PATIENCE_S."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -18,8 +18,8 @@
 
 from sorrelfront.decisions.interface import Outcome
 from sorrelfront.fronts import http1 as listener
-from sorrelfront.lab.crowd import Peer
-from sorrelfront.lab.http1 import gate, member
+from sorrelfront.lab.crowd import SocketClient
+from sorrelfront.lab.http1 import gated_script, member
 from sorrelfront.lists import parse_update
 from sorrelfront.messages import Answer, Call
 from sorrelfront.net.budget import Descriptors
@@ -27,7 +27,17 @@
 from sorrelfront.platform import __main__ as program
 from sorrelfront.platform import service
 from sorrelfront.upstreams.http1 import Upstream
-from tests.loopback import PATIENCE_S, Backend, World, answer, looped, request, table, until, world
+from tests.loopback import (
+    WAIT_TIMEOUT_S,
+    AgentHarness,
+    Backend,
+    answer,
+    async_test,
+    make_config,
+    request,
+    running_agent,
+    until,
+)
 
 MAX_ITERATIONS = 31  # of the event loop: 0 to 30
 OK = answer(b"served")
@@ -41,38 +51,38 @@
         self.clients = 0
 
 
-def stop(made: World, folder: Path) -> None:
+def stop(made: AgentHarness, folder: Path) -> None:
     made.listener._close_idle()
 
 
-def sweep(made: World, folder: Path) -> None:
+def sweep(made: AgentHarness, folder: Path) -> None:
     for client in [*made.listener._clients]:
         client._deadline = 0.0
         client.check_timeout(time.monotonic())
 
 
-def shed_idle(made: World, folder: Path) -> None:
+def shed_idle(made: AgentHarness, folder: Path) -> None:
     made.listener._max_active = 0
     made.listener._shed_idle()
 
 
-def evict(made: World, folder: Path) -> None:
+def evict(made: AgentHarness, folder: Path) -> None:
     made.listener._evict()
 
 
-def resize(made: World, folder: Path) -> None:
+def resize(made: AgentHarness, folder: Path) -> None:
     made.listener.resize(NoRoom(256), 64 << 20)
 
 
-def reload(made: World, folder: Path) -> None:
+def reload(made: AgentHarness, folder: Path) -> None:
     path = folder / "config.json"
-    path.write_text(json.dumps(table("127.0.0.1:9", [])))
+    path.write_text(json.dumps(make_config("127.0.0.1:9", [])))
     reloaded = service.Service(made.config, made.agent, made.upstream, None, None)
     reloaded.listener = made.listener
     program.reload({"BALANCER_CONFIG": str(path)}, reloaded)
 
 
-CLOSERS: dict[str, Callable[[World, Path], None]] = {
+CLOSERS: dict[str, Callable[[AgentHarness, Path], None]] = {
     "stop": stop, "sweep": sweep, "shed_idle": shed_idle, "evict": evict, "resize": resize, "reload": reload,
 }  # fmt: skip
 
@@ -98,8 +108,8 @@
 
 
 @contextlib.asynccontextmanager
-async def closable(backend: Backend) -> AsyncIterator[World]:
-    async with world(backend) as made:
+async def closable(backend: Backend) -> AsyncIterator[AgentHarness]:
+    async with running_agent(backend) as made:
         yield made
         made.listener._sweeping.cancel()
 
@@ -118,7 +128,7 @@
         async with closable(backend) as made:
             limits = made.listener._max_active
             for count in range(MAX_ITERATIONS):
-                peer = Peer(made.listener.address)
+                peer = SocketClient(made.listener.address)
                 if shape != "new":
                     peer.send(request(f"first{count}"))
                     assert await peer.answer() == b"HTTP/1.1 200 "
@@ -155,10 +165,10 @@
         async with closable(backend) as made:
             limits = made.listener._max_active
             for count in range(MAX_ITERATIONS):
-                peer = Peer(made.listener.address)
+                peer = SocketClient(made.listener.address)
                 peer.send(request(f"first{count}"))
                 assert await peer.answer() == b"HTTP/1.1 200 "
-                seen = len(backend.seen)
+                seen = len(backend.received)
                 data = request(f"r{count}", "pay", b"x")
                 peer.send(data[:40])
                 await iterations(count)
@@ -167,7 +177,7 @@
                     peer.send(data[40:])
                 got = await peer.answer()
                 assert got[:12] in (b"HTTP/1.1 200", b"HTTP/1.1 408", b"HTTP/1.1 503", b"reset"), (count, got)
-                assert len(backend.seen) - seen == got.startswith(b"HTTP/1.1 200")
+                assert len(backend.received) - seen == got.startswith(b"HTTP/1.1 200")
                 made.listener._max_active = limits
                 made.listener.resize(Descriptors(256), 64 << 20)
                 peer.close()
@@ -178,13 +188,13 @@
 @pytest.mark.parametrize("shape", ["whole", "new", "pieces", "pipelined", "behind"])
 def test_a_shutdown_answers_every_request_it_has_read(shape: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A whole shutdown, without the time in which new connections are still awaited."""
-    monkeypatch.setattr(listener, "GOING_AWAY_S", 0.0)
+    monkeypatch.setattr(listener, "SHUTDOWN_GRACE_S", 0.0)
 
     async def scenario() -> None:
         for count in range(MAX_ITERATIONS):
             backend = await Backend(OK).start()
             async with closable(backend) as made:
-                peer = Peer(made.listener.address)
+                peer = SocketClient(made.listener.address)
                 if shape != "new":
                     peer.send(request("first"))
                     assert await peer.answer() == b"HTTP/1.1 200 "
@@ -198,35 +208,37 @@
                 got = [await peer.answer() for _ in range(expected)]
                 assert got in ([b"HTTP/1.1 200 "] * expected, [b"reset"] * expected), (count, got)
                 peer.close()
-                await asyncio.wait_for(closing, PATIENCE_S)
-                assert made.agent.owed == 0 and made.listener.connections == 0
+                await asyncio.wait_for(closing, WAIT_TIMEOUT_S)
+                assert made.agent.pending_requests == 0 and made.listener.connections == 0
 
     asyncio.run(scenario())
 
 
-@looped
+@async_test
 async def test_requests_in_flight_at_the_end_of_a_shutdown_are_answered_and_their_attempts_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that arrives late in a shutdown has a deadline past the end of the shutdown."""
-    go, script = gate(OK)
+    go, script = gated_script(OK)
     backend = await Backend(script).start()
-    async with world(backend) as made:
-        monkeypatch.setattr(listener, "GOING_AWAY_S", 0.0)
-        monkeypatch.setattr(listener, "GOING_AWAY_MORE_S", -made.agent.longest_deadline_us / 1e6)
-        monkeypatch.setattr(listener, "LAST_ANSWERS_S", PATIENCE_S)
+    async with running_agent(backend) as made:
+        monkeypatch.setattr(listener, "SHUTDOWN_GRACE_S", 0.0)
+        monkeypatch.setattr(listener, "SHUTDOWN_MARGIN_S", -made.agent.longest_deadline_us / 1e6)
+        monkeypatch.setattr(listener, "LAST_ANSWERS_S", WAIT_TIMEOUT_S)
         in_flight, partial = await made.client(), await made.client()
         in_flight.send(request("in_flight", "pay", b"x") + request("behind", "pay", b"x"))
         partial.send(request("partial", "pay", b"x")[:-1])
-        await until(lambda: len(backend.seen) == 2 and any(one.unfinished for one in made.listener._clients))
+        await until(
+            lambda: len(backend.received) == 2 and any(one.unfinished for one in made.listener._clients)
+        )
         closing = asyncio.create_task(made.listener.close())
         assert [(await in_flight.answer())[0] for _ in range(2)] == [500, 500]
         assert (await partial.answer())[0] == 503
         for client in (in_flight, partial):
-            assert await client.ended()
+            assert await client.wait_closed()
             client.close()
         await closing
-        assert made.listener.connections == 0 and made.agent.owed == 0
+        assert made.listener.connections == 0 and made.agent.pending_requests == 0
         await until(lambda: made.agent.attempts == 0)
         go.set()
 
@@ -235,13 +247,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request arrives between check and close, while the end of stream is on its way to the client."""
-    monkeypatch.setattr(listener, "GOING_AWAY_S", 0.0)
+    monkeypatch.setattr(listener, "SHUTDOWN_GRACE_S", 0.0)
     shutdown = Wire.shutdown
 
     async def scenario() -> None:
         backend = await Backend(OK).start()
         async with closable(backend) as made:
-            peer = Peer(made.listener.address)
+            peer = SocketClient(made.listener.address)
             peer.send(request("first"))
             assert await peer.answer() == b"HTTP/1.1 200 "
 
@@ -253,8 +265,8 @@
             monkeypatch.setattr(Wire, "shutdown", crossing)
             closing = asyncio.create_task(made.listener.close())
             assert await peer.answer() == b"reset"
-            await asyncio.wait_for(closing, PATIENCE_S)
-            assert len(backend.seen) == 1
+            await asyncio.wait_for(closing, WAIT_TIMEOUT_S)
+            assert len(backend.received) == 1
             peer.close()
 
     asyncio.run(scenario())
@@ -277,9 +289,9 @@
                 if done:
                     assert reading.result() == b"bytes"
                 else:
-                    assert not wire.quiet()
-                    assert await asyncio.wait_for(wire.receive(), PATIENCE_S) == b"bytes"
-                assert wire.quiet()
+                    assert not wire.nothing_unread()
+                    assert await asyncio.wait_for(wire.receive(), WAIT_TIMEOUT_S) == b"bytes"
+                assert wire.nothing_unread()
                 wire.close()
 
     asyncio.run(scenario())
@@ -303,9 +315,9 @@
             await iterations(5)
             sock.send(OK)
             time.sleep(0.4)  # blocks the event loop, as a busy core would
-            ended = await asyncio.wait_for(attempt, PATIENCE_S)
+            ended = await asyncio.wait_for(attempt, WAIT_TIMEOUT_S)
             assert ended.outcome is Outcome.OK and ended.answer is not None and ended.answer.body == b"served"
-            assert upstream.open == 1
+            assert upstream.open_connections == 1
             upstream.close()
             sock.close()
 
@@ -323,17 +335,17 @@
             writer.write(OK)
 
         backend = await Backend(later).start()
-        async with world(backend) as made:
-            peer = Peer(made.listener.address)
+        async with running_agent(backend) as made:
+            peer = SocketClient(made.listener.address)
             peer.send(request("a", "pay", more="Connection: close\r\n"))
-            await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
+            await asyncio.wait_for(backend.arrived.wait(), WAIT_TIMEOUT_S)
             peer.send(request("b", "pay"))
             for _ in range(MAX_ITERATIONS):
                 await asyncio.sleep(0)
-            assert made.agent.offered == 1  # it was read, and not accepted
+            assert made.agent.requests_taken == 1  # it was read, and not accepted
             go.set()
             assert (await peer.answer()).startswith(b"HTTP/1.1 200")
-            assert peer.told_to_close and len(backend.seen) == 1
+            assert peer.close_requested and len(backend.received) == 1
             peer.close()
 
     asyncio.run(scenario())
@@ -342,16 +354,16 @@
 def test_a_server_removed_before_the_first_step_of_its_attempt_causes_no_refusal() -> None:
     async def scenario() -> None:
         leaving, other = await Backend(OK).start(), await Backend(OK).start()
-        async with world(leaving) as made:
+        async with running_agent(leaving) as made:
             headers = [(b"host", b"a"), (b"x-call-id", b"r")]
             call = Call(b"r", "look", 4_000_000, Payload(b"GET", b"/look", headers), repeatable=True)
-            held = made.agent.take(call)  # chooses the only server listed; nothing is sent yet
+            held = made.agent.submit(call)  # chooses the only server listed; nothing is sent yet
             members = [member("b1", other.address)]
             made.agent._on_update(parse_update({"revision": 9, "complete": True, "members": members}))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 answer = await held.answer
             assert isinstance(answer, Answer) and answer.status == 200
-            assert len(other.seen) == 1 and not leaving.seen
+            assert len(other.received) == 1 and not leaving.received
         other.stop()
 
     asyncio.run(scenario())
--- a/tests/net/test_connecting.py
+++ b/tests/net/test_connecting.py
@@ -12,7 +12,17 @@
 
 from sorrelfront.messages import Address
 from sorrelfront.net.http import Wire
-from tests.loopback import Backend, Registry, World, answer, looped, member, request, until, world
+from tests.loopback import (
+    AgentHarness,
+    Backend,
+    Registry,
+    answer,
+    async_test,
+    member,
+    request,
+    running_agent,
+    until,
+)
 
 OK = answer(b"served")
 WINDOW_US = 4_000_000  # deduplication window of class book
@@ -21,7 +31,7 @@
 class DelayedConnects:
     """Delays each connect to these addresses, or to all if none is given, until `go` is set."""
 
-    def __init__(self, made: World, *addresses: str) -> None:
+    def __init__(self, made: AgentHarness, *addresses: str) -> None:
         self.waiting = 0
         self.go = asyncio.Event()
         self._addresses = addresses
@@ -41,7 +51,7 @@
         return wire
 
 
-@looped
+@async_test
 async def test_keyed_request_is_not_retried_if_the_connect_ends_after_its_window() -> None:
     """The first attempt may have run, and the second connect ends after the deduplication window."""
 
@@ -49,7 +59,7 @@
         writer.transport.abort()
 
     first, second = await Backend(resets).start(), await Backend(OK).start()
-    async with world(first, second, connectTimeoutUs=0) as made:
+    async with running_agent(first, second, connectTimeoutUs=0) as made:
         delayed = DelayedConnects(made, second.address)
         made.agent.balancer.servers["b1"].observe(1_000.0, made.agent.now())  # tried second
         client = await made.client()
@@ -60,34 +70,34 @@
         delayed.go.set()
         assert (await client.answer())[0] == 503
         await until(lambda: made.agent.attempts == 0)
-        assert len(first.seen) == 1 and second.seen == []
+        assert len(first.received) == 1 and second.received == []
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@looped
+@async_test
 async def test_nothing_is_sent_for_a_client_that_left_during_the_connect(may_cancel: bool) -> None:
     backend = await Backend(OK).start()
-    async with world(backend, connectTimeoutUs=0, mayCancel=may_cancel) as made:
+    async with running_agent(backend, connectTimeoutUs=0, mayCancel=may_cancel) as made:
         delayed = DelayedConnects(made)
         client = await made.client()
         client.send(request("a", "pay", b"x"))
         await until(lambda: delayed.waiting == 1)
         client.close()
-        await until(lambda: made.agent.owed == 0)
+        await until(lambda: made.agent.pending_requests == 0)
         delayed.go.set()
         await until(lambda: made.agent.attempts == 0)
         next_one = await made.client()
         next_one.send(request("b", "pay", b"x"))
         assert (await next_one.answer())[0] == 200
-        assert [b"x-call-id: b\r" in seen.lower() for seen in backend.seen] == [True]
-        assert made.upstream.open == 1  # the unused connection is closed
+        assert [b"x-call-id: b\r" in seen.lower() for seen in backend.received] == [True]
+        assert made.upstream.open_connections == 1  # the unused connection is closed
 
 
-@looped
+@async_test
 async def test_nothing_is_sent_for_a_client_whose_close_is_not_reported_yet() -> None:
     """The client's close has arrived, but the event loop has not reported it before the connect completes."""
     backend = await Backend(OK).start()
-    async with world(backend, connectTimeoutUs=0) as made:
+    async with running_agent(backend, connectTimeoutUs=0) as made:
         delayed = DelayedConnects(made)
         client = await made.client()
         client.send(request("a", "pay", b"x"))
@@ -98,21 +108,21 @@
         await until(connection.wire.hung_up)
         delayed.go.set()
         await until(lambda: made.agent.attempts == 0)
-        assert backend.seen == [] and made.upstream.open == 0
+        assert backend.received == [] and made.upstream.open_connections == 0
         connection.cancel()
         await until(lambda: made.listener.connections == 0)
-        assert made.agent.owed == 0
+        assert made.agent.pending_requests == 0
 
 
 @pytest.mark.parametrize("more", ["", "Connection: close\r\n"])
-@looped
+@async_test
 async def test_nothing_is_sent_for_a_client_that_left_before_it_was_accepted(more: str) -> None:
     """With no free descriptors, the request and the close wait in the accept queue.
 
     Depending on its headers, the request is then handled directly or by a task.
     """
     backend = await Backend(OK).start()
-    async with world(backend) as made:
+    async with running_agent(backend) as made:
         made.listener._pause()
         client = await made.client()
         client.send(request("a", "pay", b"x", more=more))
@@ -120,31 +130,31 @@
         await client.writer.wait_closed()
         made.listener._resume()
         await until(lambda: made.listener._accepted == 1 and made.listener.connections == 0)
-        assert made.agent.offered == 0 and backend.seen == []
+        assert made.agent.requests_taken == 0 and backend.received == []
 
 
-@looped
+@async_test
 async def test_nothing_is_sent_to_a_server_that_drains_by_the_end_of_the_connect() -> None:
     draining, other = await Backend(OK).start(), await Backend(OK).start()
     registry = await Registry().start()
-    async with world(draining, other, registry=registry, connectTimeoutUs=0) as made:
+    async with running_agent(draining, other, registry=registry, connectTimeoutUs=0) as made:
         delayed = DelayedConnects(made, draining.address)
         made.agent.balancer.servers["b1"].observe(1_000.0, made.agent.now())
         client = await made.client()
         client.send(request("a", "pay", b"x"))
         await until(lambda: delayed.waiting == 1)
-        await registry.asked.wait()
-        registry.change(member("b0", draining.address, "draining"))
+        await registry.watch_opened.wait()
+        registry.update(member("b0", draining.address, "draining"))
         await until(lambda: made.agent.balancer.servers["b0"] not in made.agent.balancer.ready)
         delayed.go.set()
         assert (await client.answer())[0] == 200
-        assert draining.seen == [] and len(other.seen) == 1
+        assert draining.received == [] and len(other.received) == 1
 
 
-@looped
+@async_test
 async def test_server_gets_the_budget_left_after_the_connect() -> None:
     backend = await Backend(OK).start()
-    async with world(backend, connectTimeoutUs=0) as made:
+    async with running_agent(backend, connectTimeoutUs=0) as made:
         delayed = DelayedConnects(made)
         client = await made.client()
         since = made.agent.now()
@@ -154,5 +164,7 @@
         elapsed_us = made.agent.now() - since
         delayed.go.set()
         assert (await client.answer())[0] == 200
-        (left,) = (int(line[10:-1]) for line in backend.seen[0].split(b"\r\n") if line[:10] == b"X-Budget: ")
+        (left,) = (
+            int(line[10:-1]) for line in backend.received[0].split(b"\r\n") if line[:10] == b"X-Budget: "
+        )
         assert 0 < left <= 4_500_000 - elapsed_us  # the client's own budget is the upper bound
--- a/tests/net/test_heads.py
+++ b/tests/net/test_heads.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sorrelfront.net.heads import HEAD_MOST, answer_head, framed, request_head
+from sorrelfront.net.heads import MAX_HEAD_BYTES, answer_head, frame_message, request_head
 
 REQUEST = (
     b"POST /book/1?k=v HTTP/1.1\r\nHost: a.example\r\nX-Call-Id: r1\r\nX-Budget: 2000m\r\n"
@@ -64,7 +64,7 @@
 
 def h11_request(head: bytes, length: int) -> tuple[h11.Request, bytes, bool]:
     """Return what h11 parses from the head and a body of this length. Raises the errors of h11."""
-    parser = h11.Connection(h11.SERVER, HEAD_MOST)
+    parser = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
     parser.receive_data(head + b"b" * length)
     request = parser.next_event()
     assert isinstance(request, h11.Request)
@@ -77,7 +77,7 @@
 
 
 def h11_answer(head: bytes, length: int) -> tuple[h11.Response, bytes, bool]:
-    parser = h11.Connection(h11.CLIENT, HEAD_MOST)
+    parser = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
     parser.send(h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"a")]))
     parser.send(h11.EndOfMessage())
     parser.receive_data(head + b"b" * length)
@@ -187,4 +187,4 @@
     parser.next_event()
     events = (h11.Response(status_code=200, headers=headers), h11.Data(data=body), h11.EndOfMessage())
     whole = b"".join(parser.send(event) or b"" for event in events)
-    assert framed(b"HTTP/1.1 200 \r\n", headers, body) == whole
+    assert frame_message(b"HTTP/1.1 200 \r\n", headers, body) == whole
--- a/tests/net/test_jute.py
+++ b/tests/net/test_jute.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from sorrelfront.net.jute import (
-    FRAME_MOST,
+    MAX_FRAME_BYTES,
     MAX_VECTOR_ELEMENTS,
     Acl,
     Malformed,
     Reader,
     Stat,
     Writer,
-    checked_path,
     frame_length,
-    parent,
+    parent_path,
+    validated_path,
 )
 
 LONGS = st.integers(-(2**63), 2**63 - 1)
@@ -53,12 +53,12 @@
 def test_any_bytes_are_decoded_or_malformed(data: bytes, reads: list[str]) -> None:
     reader = Reader(data)
     for read in reads:
-        before = reader.left
+        before = reader.remaining_bytes
         try:
             getattr(reader, read)()
         except Malformed:
             return
-        assert 0 <= reader.left <= before
+        assert 0 <= reader.remaining_bytes <= before
 
 
 @pytest.mark.parametrize("count", [MAX_VECTOR_ELEMENTS + 1, 2**31 - 1, -2, 3])
@@ -69,15 +69,15 @@
         Reader(struct.pack(">i", count) + bytes(20)).acls()
 
 
-@pytest.mark.parametrize("length", [-1, FRAME_MOST + 1, 2**31 - 1, -(2**31)])
+@pytest.mark.parametrize("length", [-1, MAX_FRAME_BYTES + 1, 2**31 - 1, -(2**31)])
 def test_an_invalid_frame_length_is_refused(length: int) -> None:
     with pytest.raises(Malformed):
         frame_length(struct.pack(">i", length))
 
 
 def test_paths() -> None:
-    assert checked_path("/") == "/" and checked_path("/a/b") == "/a/b"
-    assert parent("/a/b") == "/a" and parent("/a") == "/"
+    assert validated_path("/") == "/" and validated_path("/a/b") == "/a/b"
+    assert parent_path("/a/b") == "/a" and parent_path("/a") == "/"
     for bad in ("", "a", "/a/", "//a", "/a/../b", "/./a", "/a\x00"):
         with pytest.raises(Malformed):
-            checked_path(bad)
+            validated_path(bad)
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -13,10 +13,20 @@
 
 from sorrelfront.fronts import http1 as front
 from sorrelfront.lab.http1 import member
-from sorrelfront.net.budget import BODY_MOST, STREAM_MOST
+from sorrelfront.net.budget import MAX_BUFFERED_BODY, MAX_STREAMED_BODY
 from sorrelfront.platform.config import parse
 from sorrelfront.upstreams import http1 as upstream
-from tests.loopback import PATIENCE_S, Backend, Client, World, answer, request, table, until, world
+from tests.loopback import (
+    WAIT_TIMEOUT_S,
+    AgentHarness,
+    Backend,
+    Client,
+    answer,
+    make_config,
+    request,
+    running_agent,
+    until,
+)
 
 LONG = bytes(range(256)) * 8_192  # 2 MB, so that a shift or a gap shows
 
@@ -78,9 +88,9 @@
 
 
 @contextlib.asynccontextmanager
-async def world_of(*servers: Server, **changes: int) -> AsyncIterator[World]:
+async def world_of(*servers: Server, **changes: int) -> AsyncIterator[AgentHarness]:
     members = [member(f"b{at}", server.address) for at, server in enumerate(servers)]
-    made = World(parse(table("127.0.0.1:9", members, **changes)))
+    made = AgentHarness(parse(make_config("127.0.0.1:9", members, **changes)))
     try:
         yield made
     finally:
@@ -96,12 +106,12 @@
     for line in head.split(b"\r\n"):
         if line.startswith(b"content-length:"):
             wanted = client.reader.readexactly(int(line[15:]))
-            return status, await asyncio.wait_for(wanted, PATIENCE_S)
+            return status, await asyncio.wait_for(wanted, WAIT_TIMEOUT_S)
     if b"transfer-encoding: chunked" not in head:
-        return status, await asyncio.wait_for(client.reader.read(-1), PATIENCE_S)
+        return status, await asyncio.wait_for(client.reader.read(-1), WAIT_TIMEOUT_S)
     body = b""
-    while size := int(await asyncio.wait_for(client.reader.readline(), PATIENCE_S), 16):
-        body += await asyncio.wait_for(client.reader.readexactly(size), PATIENCE_S)
+    while size := int(await asyncio.wait_for(client.reader.readline(), WAIT_TIMEOUT_S), 16):
+        body += await asyncio.wait_for(client.reader.readexactly(size), WAIT_TIMEOUT_S)
         await client.reader.readexactly(2)
     await client.reader.readexactly(2)
     return status, body
@@ -118,7 +128,7 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-@pytest.mark.parametrize("length", [BODY_MOST, BODY_MOST + 1, len(LONG)])
+@pytest.mark.parametrize("length", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, len(LONG)])
 def test_a_long_answer_arrives_unchanged_and_its_connections_are_reused(framing: str, length: int) -> None:
     async def scenario() -> None:
         body = LONG[:length]
@@ -131,7 +141,7 @@
             for number in range(3):
                 client.send(request(f"r{number}"))
                 assert await body_of(client) == (200, body)
-            assert made.upstream.opened == 1  # the same connection each time
+            assert made.upstream.connections_opened == 1  # the same connection each time
             assert made.agent.served == 3
 
     asyncio.run(scenario())
@@ -157,7 +167,7 @@
             client.send(request("r"))
             head = await client.head()
             assert b"%d" % len(LONG) in head
-            assert await asyncio.wait_for(client.reader.readexactly(500), PATIENCE_S) == LONG[:500]
+            assert await asyncio.wait_for(client.reader.readexactly(500), WAIT_TIMEOUT_S) == LONG[:500]
 
     asyncio.run(scenario())
 
@@ -172,13 +182,13 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = "{}:{}".format(*server.sockets[0].getsockname())
-        made = World(parse(table("127.0.0.1:9", [member("b0", address)])))
+        made = AgentHarness(parse(make_config("127.0.0.1:9", [member("b0", address)])))
         client = await made.client()
         client.send(request("r"))
         await client.head()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
-            await asyncio.wait_for(client.reader.readexactly(len(LONG)), PATIENCE_S)
-        await until(lambda: made.upstream.open == 0)
+            await asyncio.wait_for(client.reader.readexactly(len(LONG)), WAIT_TIMEOUT_S)
+        await until(lambda: made.upstream.open_connections == 0)
         made.agent.close()
         server.close()
 
@@ -194,15 +204,15 @@
             await client.head()
             await asyncio.sleep(0.5)  # until the kernel buffers are full and the agent waits to write
             client.writer.transport.abort()
-            await until(lambda: made.upstream.open == 0 and made.listener.connections == 0)
-            assert made.listener.taken == 0
+            await until(lambda: made.upstream.open_connections == 0 and made.listener.connections == 0)
+            assert made.listener.in_flight == 0
 
     asyncio.run(scenario())
 
 
 def test_an_answer_above_the_maximum_length_is_a_failed_attempt() -> None:
     async def scenario() -> None:
-        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (STREAM_MOST + 1)
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_STREAMED_BODY + 1)
         server = await Server(reply=head + bytes(1_000)).start()
         async with world_of(server) as made:
             client = await made.client()
@@ -212,7 +222,7 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("length", [BODY_MOST, BODY_MOST + 1, len(LONG)])
+@pytest.mark.parametrize("length", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, len(LONG)])
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize("cls", ["book", "pay"])
 def test_a_long_request_reaches_one_server_once_and_unchanged(cls: str, framing: str, length: int) -> None:
@@ -226,7 +236,7 @@
                 client.send(chunked(name, cls, body) if framing == "chunked" else request(name, cls, body))
                 assert await body_of(client) == (200, b"served")
             assert [got == body for server in servers for got in server.bodies] == [True] * 3
-            assert made.upstream.written == 3
+            assert made.upstream.requests_written == 3
             await until(lambda: not made.listener.uploading)
 
     asyncio.run(scenario())
@@ -256,7 +266,7 @@
             client = await made.client()
             body = LONG * 12
             client.send(request("r", "pay", body))
-            await asyncio.wait_for(server.began.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.began.wait(), WAIT_TIMEOUT_S)
             (one,) = made.listener._clients
             before = -1
             # Until nothing is received for a quarter of a second: the kernel buffers are full then.
@@ -301,7 +311,7 @@
         async with world_of(server, mostHeld=1) as made:
             first, client = await made.client(), await made.client()
             first.send(request("first", "pay", b"x"))
-            await until(lambda: made.agent.owed == 1)
+            await until(lambda: made.agent.pending_requests == 1)
             client.send(request("r", "pay", LONG))
             assert (await client.answer())[0] == 503
             server.go.set()
@@ -335,17 +345,17 @@
         async with world_of(server, mayCancel=may_cancel) as made:
             client = await made.client()
             client.send(request("r", "pay", LONG)[:-1])
-            await asyncio.wait_for(server.began.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.began.wait(), WAIT_TIMEOUT_S)
             client.close()
-            await until(lambda: made.agent.owed == 0 and made.agent.attempts == 0)
-            await until(lambda: made.upstream.open == 0)
-            assert server.bodies == [] and made.upstream.written == 0
+            await until(lambda: made.agent.pending_requests == 0 and made.agent.attempts == 0)
+            await until(lambda: made.upstream.open_connections == 0)
+            assert server.bodies == [] and made.upstream.requests_written == 0
 
     asyncio.run(scenario())
 
 
 def test_a_stalled_long_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "WHOLE_S", 0.3)
+    monkeypatch.setattr(front, "REQUEST_TIMEOUT_S", 0.3)
     monkeypatch.setattr(front, "MAX_BODY_PAUSE_S", 0.3)
 
     async def scenario() -> None:
@@ -353,8 +363,8 @@
         async with world_of(server) as made:
             client = await made.client()
             client.send(request("r", "pay", LONG)[:-1])
-            assert await client.ended()
-            await until(lambda: made.agent.owed == 0 and not made.listener.uploading)
+            assert await client.wait_closed()
+            await until(lambda: made.agent.pending_requests == 0 and not made.listener.uploading)
             assert server.bodies == []
 
     asyncio.run(scenario())
@@ -362,9 +372,9 @@
 
 def test_a_slow_body_that_keeps_arriving_does_not_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """It takes several times the request timeout, at more than the minimum rate throughout."""
-    monkeypatch.setattr(front, "WHOLE_S", 0.3)
+    monkeypatch.setattr(front, "REQUEST_TIMEOUT_S", 0.3)
     monkeypatch.setattr(front, "MAX_BODY_PAUSE_S", 5.0)
-    monkeypatch.setattr(front, "UPLOAD_RATE_LEAST", 1_000)
+    monkeypatch.setattr(front, "MIN_UPLOAD_RATE", 1_000)
     monkeypatch.setattr(front, "SWEEP_S", 0.05)
 
     async def scenario() -> None:
@@ -392,7 +402,7 @@
             client = await made.client()
             data = request("r", "pay", LONG)
             client.send(data[:200_000])
-            await asyncio.wait_for(server.began.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.began.wait(), WAIT_TIMEOUT_S)
             await asyncio.sleep(1.0)
             client.send(data[200_000:])
             assert await body_of(client) == (200, b"served")
@@ -409,7 +419,7 @@
             client = await made.client()
             data = request("r", "pay", LONG)
             client.send(data[:-1])
-            await asyncio.wait_for(server.began.wait(), PATIENCE_S)
+            await asyncio.wait_for(server.began.wait(), WAIT_TIMEOUT_S)
             (one,) = made.agent.balancer.servers.values()
             assert not one.pending
             client.send(data[-1:])
@@ -453,7 +463,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = "{}:{}".format(*server.sockets[0].getsockname())
-        made = World(parse(table("127.0.0.1:9", [member("b0", address)])))
+        made = AgentHarness(parse(make_config("127.0.0.1:9", [member("b0", address)])))
         client = await made.client()
         client.send(request("r"))
         assert await body_of(client) == (200, LONG)
@@ -479,8 +489,8 @@
         async with world_of(server) as made:
             client = await made.client()
             client.send(request("r"))
-            assert await client.ended()
-            await until(lambda: made.upstream.open == 0)
+            assert await client.wait_closed()
+            await until(lambda: made.upstream.open_connections == 0)
 
     asyncio.run(scenario())
 
@@ -495,7 +505,7 @@
             writer.write(answer(b"served")[10:])
 
         backend = await Backend(slowly).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(request("r"))
             assert (await client.answer())[0] == 200
@@ -504,13 +514,13 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("length", [BODY_MOST // 2, 300_000])
+@pytest.mark.parametrize("length", [MAX_BUFFERED_BODY // 2, 300_000])
 @pytest.mark.parametrize("sent_before_pause", [True, False])
 def test_a_pause_of_this_process_does_not_time_out_a_sending_client(
     length: int, sent_before_pause: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The pause exceeds the request timeout; the rest of the request is unread by then, or arrives later."""
-    for name, seconds in (("WHOLE_S", 0.5), ("MAX_BODY_PAUSE_S", 0.2), ("SWEEP_S", 0.05)):
+    for name, seconds in (("REQUEST_TIMEOUT_S", 0.5), ("MAX_BODY_PAUSE_S", 0.2), ("SWEEP_S", 0.05)):
         monkeypatch.setattr(front, name, seconds)
 
     async def scenario() -> None:
@@ -531,7 +541,9 @@
                     await asyncio.sleep(0.1)  # several timeout sweeps
                     rest.start()
                 peer.setblocking(False)
-                got = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(peer, 4_096), PATIENCE_S)
+                got = await asyncio.wait_for(
+                    asyncio.get_running_loop().sock_recv(peer, 4_096), WAIT_TIMEOUT_S
+                )
                 await asyncio.to_thread(rest.join)
             assert got.startswith(b"HTTP/1.1 200"), got
             assert server.bodies == [body]
--- a/tests/net/test_quick.py
+++ b/tests/net/test_quick.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sorrelfront.decisions.interface import Outcome
-from sorrelfront.messages import Call, Ended
+from sorrelfront.messages import AttemptResult, Call
 from sorrelfront.net.http import Payload, Wire
 from sorrelfront.upstreams import http1
 from sorrelfront.upstreams.http1 import Upstream
@@ -27,12 +27,12 @@
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.address = self.listening.getsockname()
         self.upstream = Upstream(8, 30_000_000, 1_000_000)
-        self.ended: list[Ended] = []
+        self.ended: list[AttemptResult] = []
 
     async def open(self) -> IdleConnection:
         wire = await self.upstream.connect(self.address)
         self.server, _ = self.listening.accept()
-        self.upstream.rest(self.address, wire)
+        self.upstream.release(self.address, wire)
         return self
 
     def begin(self, repeatable: bool, fit: Callable[[], bool] = lambda: True) -> Any:
@@ -79,7 +79,7 @@
         running = made.begin(repeatable=True)
         made.server.send(OK)
         time.sleep(0.05)  # the event loop is blocked, so nothing reads the answer
-        running._time_up()
+        running._on_timeout()
         assert await made.outcome() is Outcome.OK
 
     asyncio.run(scenario())
@@ -117,6 +117,6 @@
         running.cancel()
         assert made.ended == []
         assert await made.outcome() is Outcome.CANCELLED
-        assert made.upstream.open == 0
+        assert made.upstream.open_connections == 0
 
     asyncio.run(scenario())
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sorrelfront.net import streams
-from sorrelfront.net.streams import end_stream
+from sorrelfront.net.streams import close_stream
 from tests.loopback import until
 
 LARGE = b"x" * 8_000_000  # more than the kernel buffers for a peer that reads nothing
@@ -36,7 +36,7 @@
         writer, peer = await accepted()
         with peer:
             writer.write(LARGE)
-            await end_stream(writer)
+            await close_stream(writer)
             await until(lambda: is_closed(writer))
 
     asyncio.run(scenario())
@@ -48,7 +48,7 @@
         peer.setblocking(False)
         with peer:
             writer.write(LARGE)
-            ending = asyncio.create_task(end_stream(writer))
+            ending = asyncio.create_task(close_stream(writer))
             got = 0
             while data := await asyncio.get_running_loop().sock_recv(peer, 1_000_000):
                 got += len(data)
@@ -65,7 +65,7 @@
         writer, peer = await accepted()
         with peer:
             writer.write(LARGE)
-            ending = asyncio.create_task(end_stream(writer, abort))
+            ending = asyncio.create_task(close_stream(writer, abort))
             await asyncio.sleep(0)
             if not abort:
                 assert not is_closed(writer)
@@ -91,7 +91,7 @@
         for _ in range(3):
             writer.write(LARGE)
             await asyncio.sleep(0)
-        await end_stream(writer)
+        await close_stream(writer)
         assert is_closed(writer)
         del writer
         gc.collect()
--- a/tests/net/test_wire.py
+++ b/tests/net/test_wire.py
@@ -8,11 +8,11 @@
 import pytest
 
 from sorrelfront.decisions.interface import Outcome
-from sorrelfront.lab.crowd import Peer
+from sorrelfront.lab.crowd import SocketClient
 from sorrelfront.messages import Address, Call
 from sorrelfront.net.http import Payload, Wire
 from sorrelfront.upstreams.http1 import Upstream, _Exchange, _Writer
-from tests.loopback import PATIENCE_S, Backend, answer, request, until, world
+from tests.loopback import WAIT_TIMEOUT_S, Backend, answer, request, running_agent, until
 
 OK = answer(b"served")
 REQUEST = request("r", "book", b"a body of some bytes")
@@ -21,21 +21,21 @@
 def test_a_request_cut_at_any_byte_is_one_request() -> None:
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             for cut in range(1, len(REQUEST)):
                 name = f"r{cut}"
                 whole = request(name, "book", b"a body of some bytes")
                 at = min(cut, len(whole) - 1)
-                peer = Peer(made.listener.address)
+                peer = SocketClient(made.listener.address)
                 peer.send(whole[:at])
                 for _ in range(3):
                     await asyncio.sleep(0)
                 peer.send(whole[at:])
                 assert (await peer.answer()).startswith(b"HTTP/1.1 200"), cut
                 peer.close()
-            assert made.agent.offered == len(REQUEST) - 1
-        assert len(backend.seen) == len(REQUEST) - 1
-        assert all(whole.endswith(b"a body of some bytes") for whole in backend.seen)
+            assert made.agent.requests_taken == len(REQUEST) - 1
+        assert len(backend.received) == len(REQUEST) - 1
+        assert all(whole.endswith(b"a body of some bytes") for whole in backend.received)
 
     asyncio.run(scenario())
 
@@ -43,8 +43,8 @@
 def test_requests_in_single_bytes_and_pipelined_are_answered_in_order() -> None:
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
-            peer = Peer(made.listener.address)
+        async with running_agent(backend) as made:
+            peer = SocketClient(made.listener.address)
             for at in range(len(REQUEST)):
                 peer.send(REQUEST[at : at + 1])
                 await asyncio.sleep(0)
@@ -56,7 +56,7 @@
             peer.send(three[2][40:] + three[3])
             for _ in range(4):
                 assert (await peer.answer()).startswith(b"HTTP/1.1 200")
-            assert made.agent.offered == 5
+            assert made.agent.requests_taken == 5
             peer.close()
 
     asyncio.run(scenario())
@@ -69,7 +69,7 @@
         chunks = b"1\r\nc\r\n" * pieces + b"0\r\n\r\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         backend = await Backend(ahead + head + chunks).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(request("r"))
             status, _, body = await client.answer()
@@ -85,7 +85,7 @@
 def test_bytes_after_a_complete_answer_reach_no_other_request(stray: bytes) -> None:
     async def scenario() -> None:
         backend = await Backend(OK + stray).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             for number in range(5):
                 client.send(request(f"r{number}"))
@@ -97,7 +97,7 @@
 
 
 def _writer(exchange: _Exchange, wire: Wire, data: bytes) -> _Writer:
-    return _Writer(exchange, wire, data, rested=False, at_once=False)
+    return _Writer(exchange, wire, data, reused=False, without_delay=False)
 
 
 def _exchange(fit: bool = True) -> _Exchange:
@@ -123,7 +123,7 @@
 
 async def _read_all(sock: socket.socket, count: int) -> bytes:
     data = b""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while len(data) < count:
             data += await asyncio.get_running_loop().sock_recv(sock, 65_536)
     return data
@@ -193,20 +193,20 @@
             await asyncio.Event().wait()
 
         backend = await Backend(never).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             headers = [(b"host", b"a")]
             held = []
             for number in range(1_000):
                 payload = Payload(b"GET", b"/look", headers)
                 call = Call(b"c%d" % number, "look", 400_000, payload, repeatable=True)
-                held.append(made.agent.take(call))
+                held.append(made.agent.submit(call))
             finished: list[int] = []
             for item in held:
                 item.answer.add_done_callback(lambda _, item=item: finished.append(item.id))  # type: ignore[misc]
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await asyncio.gather(*(item.answer for item in held))
             await until(lambda: made.agent.attempts == 0)
-            assert made.agent.owed == 0 and len(finished) == len(set(finished)) == len(held)
+            assert made.agent.pending_requests == 0 and len(finished) == len(set(finished)) == len(held)
             assert made.agent.refused + made.agent.failed == 1_000 and made.agent.served == 0
 
     asyncio.run(scenario())
@@ -221,7 +221,7 @@
             writer.write(OK)
 
         backend = await Backend(later).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             outcomes: list[Outcome] = []
             handle = made.agent.balancer.on_attempt_ended
 
@@ -233,9 +233,9 @@
             for number in range(20):
                 go.clear()
                 call = Call(b"r%d" % number, "look", 4_000_000, Payload(b"GET", b"/look", [(b"host", b"a")]))
-                seen = len(backend.seen)
-                held = made.agent.take(call)
-                await until(lambda seen=seen: len(backend.seen) > seen)  # type: ignore[misc]
+                seen = len(backend.received)
+                held = made.agent.submit(call)
+                await until(lambda seen=seen: len(backend.received) > seen)  # type: ignore[misc]
                 go.set()
                 for _ in range(number):
                     await asyncio.sleep(0)
--- a/tests/net/test_zookeeper.py
+++ b/tests/net/test_zookeeper.py
@@ -12,12 +12,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from sorrelfront.lab.http1 import PATIENCE_S
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
 from sorrelfront.lab.zookeeper.ensemble import Ensemble
 from sorrelfront.lists import parse_address
 from sorrelfront.net import zookeeper as net
-from sorrelfront.net.jute import FRAME_MOST, OPEN_TO_ALL, Err, Event, Flag, Writer
-from tests.loopback import looped, until
+from sorrelfront.net.jute import MAX_FRAME_BYTES, OPEN_ACL_UNSAFE, Err, Event, Flag, Writer
+from tests.loopback import async_test, until
 
 CONNECT_RESPONSE = Writer().int32(0).int32(1_000).int64(7).buffer(bytes(16)).flag(False).frame()
 
@@ -43,18 +43,18 @@
 
     def session(self) -> net.Session:
         address = self.server.sockets[0].getsockname()[:2]
-        return net.Session(net.Terms((address,), 1.0), 1, lambda _: None, lambda *_: None)
+        return net.Session(net.SessionSettings((address,), 1.0), 1, lambda _: None, lambda *_: None)
 
 
 async def request_result(server: Server) -> str:
     """Return the result of one request: the number of names, or the type of the exception."""
     session = server.session()
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             try:
                 names, _ = await session.children("/a", watch=True)
                 return f"{len(names)} names"
-            except (net.Lost, net.NotDone) as fault:
+            except (net.ConnectionLost, net.ZooKeeperError) as fault:
                 return type(fault).__name__
     finally:
         session.abandon()
@@ -73,7 +73,7 @@
         # A valid response header, followed by arbitrary bytes.
         st.binary(max_size=200).map(lambda body: Writer().int32(1).int64(5).int32(0).raw(body).frame()),
         st.binary(max_size=60).map(lambda body: Writer().int32(-1).int64(-1).int32(0).raw(body).frame()),
-        st.integers(FRAME_MOST + 1, 2**31 - 1).map(lambda length: struct.pack(">i", length) + bytes(99)),
+        st.integers(MAX_FRAME_BYTES + 1, 2**31 - 1).map(lambda length: struct.pack(">i", length) + bytes(99)),
     )
 )
 def test_whatever_a_server_sends_a_request_fails_cleanly(
@@ -84,7 +84,7 @@
     async def scenario() -> str:
         return await request_result(await Server(sends).start())
 
-    assert asyncio.run(scenario()) in ("Lost", "NotDone")
+    assert asyncio.run(scenario()) in ("ConnectionLost", "ZooKeeperError")
     ours = [record for record in caplog.records if record.name.startswith("sorrelfront")]
     assert not [record for record in ours if record.exc_info or record.levelno >= logging.ERROR], caplog.text
     assert "never retrieved" not in caplog.text
@@ -119,18 +119,18 @@
 
 class Client:
     def __init__(self, ensemble: Ensemble, timeout_s: float = 1.0, **terms: str) -> None:
-        self.states: list[net.Life] = []
+        self.states: list[net.SessionState] = []
         self.events: list[tuple[Event, str]] = []
         hosts = tuple(parse_address(host) for host in ensemble.hosts.split(","))
         self.session = net.Session(
-            net.Terms(hosts, timeout_s, **terms), 3, self.states.append,
+            net.SessionSettings(hosts, timeout_s, **terms), 3, self.states.append,
             lambda event, path: self.events.append((event, path)),
         )  # fmt: skip
 
     async def get(self, path: str) -> bytes:
         """Read the data of a node, and retry until there is a connection."""
         while True:
-            with contextlib.suppress(net.Lost):
+            with contextlib.suppress(net.ConnectionLost):
                 return (await self.session.get(path, watch=False))[0]
 
 
@@ -140,7 +140,7 @@
         try:
             done = scenario(ensemble)
             assert asyncio.iscoroutine(done)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await done
         finally:
             await ensemble.stop()
@@ -159,9 +159,9 @@
         ensemble.tree.set("/a", b"2", -1, set(), 0)
         for member in busy:
             member.drop()
-        ensemble.tree.create("/b", b"", OPEN_TO_ALL, 0, 0, set(), 0)  # while there is no connection
+        ensemble.tree.create("/b", b"", OPEN_ACL_UNSAFE, 0, 0, set(), 0)  # while there is no connection
         await until(lambda: {(Event.CHANGED, "/a"), (Event.CHILD, "/")} <= set(client.events))
-        assert client.session.id == number and net.Life.EXPIRED not in client.states
+        assert client.session.id == number and net.SessionState.EXPIRED not in client.states
         assert await client.get("/a") == b"2"
         client.session.abandon()
 
@@ -177,7 +177,9 @@
         await client.session.create("/a", b"1")  # written by some member: the session has seen a new zxid
         good.drop()
         lagging.drop()
-        await until(lambda: good.connections > good_before and client.session.state is net.Life.CONNECTED)
+        await until(
+            lambda: good.connections > good_before and client.session.state is net.SessionState.CONNECTED
+        )
         assert await client.get("/a") == b"1" and lagging.open == 0
         client.session.abandon()
 
@@ -192,7 +194,7 @@
         await client.session.create("/a", b"1")
         first = client.session.connections
         ensemble.tree.zxid -= 1
-        with pytest.raises(net.Lost):
+        with pytest.raises(net.ConnectionLost):
             await client.session.get("/a", watch=False)
         ensemble.tree.zxid += 1
         await until(lambda: client.session.connections > first)
@@ -208,10 +210,10 @@
         await client.session.create("/a", b"1")
         number = client.session.id
         ensemble.restore_from_nothing()
-        await until(lambda: net.Life.EXPIRED in client.states)
-        await until(lambda: client.session.state is net.Life.CONNECTED)
+        await until(lambda: net.SessionState.EXPIRED in client.states)
+        await until(lambda: client.session.state is net.SessionState.CONNECTED)
         assert client.session.id != number
-        with pytest.raises(net.NotDone) as refused:
+        with pytest.raises(net.ZooKeeperError) as refused:
             await client.session.get("/a", watch=False)
         assert refused.value.err == Err.NO_NODE
         client.session.abandon()
@@ -225,12 +227,16 @@
         await client.session.create("/mine", b"", Flag.EPHEMERAL)
         ensemble.stall()
         waiting = asyncio.create_task(client.session.get("/mine", watch=False))
-        await until(lambda: net.Life.DISCONNECTED in client.states)
-        with pytest.raises(net.Lost):
+        await until(lambda: net.SessionState.DISCONNECTED in client.states)
+        with pytest.raises(net.ConnectionLost):
             await waiting
-        assert client.states == [net.Life.CONNECTED, net.Life.SLOW, net.Life.DISCONNECTED]
-        ensemble.go_on()
-        await until(lambda: client.session.state is net.Life.CONNECTED)
+        assert client.states == [
+            net.SessionState.CONNECTED,
+            net.SessionState.SLOW,
+            net.SessionState.DISCONNECTED,
+        ]
+        ensemble.resume()
+        await until(lambda: client.session.state is net.SessionState.CONNECTED)
         assert (await client.session.get("/mine", watch=False))[1].ephemeral_owner == client.session.id
         await client.session.close()
         assert "/mine" not in ensemble.tree.nodes
@@ -261,7 +267,7 @@
 
     async def scenario(ensemble: Ensemble) -> None:
         client = Client(ensemble)
-        await until(lambda: client.session.state is net.Life.CONNECTED)
+        await until(lambda: client.session.state is net.SessionState.CONNECTED)
         ensemble.stall()
         waiting = [asyncio.create_task(client.session.get("/", watch=False)) for _ in range(5)]
         await asyncio.sleep(0)
@@ -269,9 +275,9 @@
         with pytest.raises(net.TooManyRequests):
             await client.session.get("/", watch=False)
         waiting.pop().cancel()
-        ensemble.go_on()
+        ensemble.resume()
         done = await asyncio.gather(*waiting, return_exceptions=True)
-        assert all(isinstance(item, (tuple, net.Lost)) for item in done)
+        assert all(isinstance(item, (tuple, net.ConnectionLost)) for item in done)
         client.session.abandon()
 
     run(scenario)
@@ -280,18 +286,18 @@
 def test_invalid_settings_are_refused() -> None:
     for hosts, timeout, chroot in (((), 1.0, ""), ((("127.0.0.1", 1),), 0.0, "")):
         with pytest.raises(ValueError):
-            net.Terms(hosts, timeout, chroot)
+            net.SessionSettings(hosts, timeout, chroot)
 
 
-@looped
+@async_test
 async def test_an_abandoned_session_leaves_no_request_waiting() -> None:
     ensemble = await Ensemble().start()
     client = Client(ensemble)
-    await until(lambda: client.session.state is net.Life.CONNECTED)
+    await until(lambda: client.session.state is net.SessionState.CONNECTED)
     ensemble.stall()
     waiting = asyncio.create_task(client.session.get("/", watch=False))
     await asyncio.sleep(0)
     client.session.abandon()
-    with pytest.raises(net.Lost):
+    with pytest.raises(net.ConnectionLost):
         await waiting
     await ensemble.stop()
--- a/tests/platform/test_control.py
+++ b/tests/platform/test_control.py
@@ -15,9 +15,9 @@
 from sorrelfront.lab.http1 import Client, Registry, connect, member
 from sorrelfront.platform import control
 from sorrelfront.platform.control import ControlPort, handle_request
-from sorrelfront.platform.orders_file import Full
+from sorrelfront.platform.orders_file import TooManyDisabled
 from sorrelfront.platform.service import Service
-from tests.loopback import PATIENCE_S, Backend, World, request, until, world
+from tests.loopback import WAIT_TIMEOUT_S, AgentHarness, Backend, request, running_agent, until
 from tests.loopback import answer as reply
 
 OK = reply(b"served")
@@ -76,7 +76,7 @@
         handle_request(agent, "GET", "/metrics").text
         == "app.success.look=3\napp.concurrent=0\napp.share=0.25\n"
     )
-    for fault in (OSError("no room"), Full("too many")):
+    for fault in (OSError("no room"), TooManyDisabled("too many")):
         agent.fault = fault
         assert handle_request(agent, "POST", "/backends/disable?target=a").status == 503
 
@@ -105,7 +105,7 @@
     client.send(call(target, method))
     status, head, body = await client.answer()
     assert b"connection: close" in head.lower()
-    assert await client.ended()
+    assert await client.wait_closed()
     client.close()
     return status, body
 
@@ -123,7 +123,7 @@
                 assert (await send_request(made.address, "/ready"))[0] == 200
             assert len(made._tasks) <= control.MAX_CONNECTIONS
             for client in idle[: control.MAX_CONNECTIONS]:
-                assert await client.ended()
+                assert await client.wait_closed()
             for client in idle:
                 client.close()
             await until(lambda: not made._tasks and not made._reading)
@@ -139,7 +139,7 @@
         async with port(agent) as made:
             client = await connect(made.address)
             client.send(call("/drain", "POST")[:-2])
-            assert await client.ended()
+            assert await client.wait_closed()
             assert not agent.drained and not made._tasks
 
     asyncio.run(play())
@@ -172,8 +172,10 @@
 
 
 @contextlib.asynccontextmanager
-async def agent_with_port(*backends: Backend, registry: Registry) -> AsyncIterator[tuple[World, ControlPort]]:
-    async with world(*backends, registry=registry) as made:
+async def agent_with_port(
+    *backends: Backend, registry: Registry
+) -> AsyncIterator[tuple[AgentHarness, ControlPort]]:
+    async with running_agent(*backends, registry=registry) as made:
         service = Service(made.config, made.agent, made.upstream, None, None)
         service.listener = made.listener
         async with port(service) as calls:  # type: ignore[arg-type]
@@ -213,18 +215,18 @@
                 client.send(request(f"a{number}", "book" if number % 2 else "look"))
                 assert (await client.answer())[0] == 200
             other.send(request("p", "pay", b"x"))
-            await until(lambda: sum(len(backend.seen) for backend in backends) == 6)
+            await until(lambda: sum(len(backend.received) for backend in backends) == 6)
             values = await metrics(calls)
             assert values["concurrent"] == 1
             go.set()
             assert (await other.answer())[0] == 500
             values = await metrics(calls)
             assert (values["success.look"], values["success.book"], values["error.pay"]) == (3, 2, 1)
-            assert values["dispatches"] == sum(len(backend.seen) for backend in backends) == 6
+            assert values["dispatches"] == sum(len(backend.received) for backend in backends) == 6
             assert values["concurrent"] == 0
             made.agent.balancer.retries = 0.0
             # Refused: the list is empty, and the time that the class aims at passes.
-            registry.tell(9, complete=True)
+            registry.send_update(9, complete=True)
             await until(lambda: not made.agent.balancer.ready)
             client.send(request("late", budget="100m"))
             assert (await client.answer())[0] == 503
@@ -240,7 +242,7 @@
         registry = await Registry().start()
         entries = [member(f"b{at}", backend.address) for at, backend in enumerate(backends)]
         async with agent_with_port(*backends, registry=registry) as (made, calls):
-            await asyncio.wait_for(registry.asked.wait(), PATIENCE_S)
+            await asyncio.wait_for(registry.watch_opened.wait(), WAIT_TIMEOUT_S)
             client = await made.client()
 
             async def send_requests(name: str) -> None:
@@ -249,37 +251,37 @@
                     assert (await client.answer())[0] == 200
 
             await send_requests("before")
-            assert all(backend.seen for backend in backends)
+            assert all(backend.received for backend in backends)
             for _ in range(2):
                 assert (await send_request(calls.address, "/backends/disable?target=b0", "POST"))[0] == 200
             assert (await metrics(calls))["targets_disabled"] == 1
-            before = len(backends[0].seen)
+            before = len(backends[0].received)
             await send_requests("out")
-            registry.tell(5, *entries)
-            registry.tell(6, *entries, complete=True)
-            await until(lambda: made.agent.listed)
+            registry.send_update(5, *entries)
+            registry.send_update(6, *entries, complete=True)
+            await until(lambda: made.agent.list_received)
             await send_requests("told")
-            assert len(backends[0].seen) == before
+            assert len(backends[0].received) == before
             # It leaves the list and comes back: the override applies to its id.
-            registry.tell(7, entries[1], complete=True)
+            registry.send_update(7, entries[1], complete=True)
             await until(lambda: made.agent.targets == 1)
             assert (await send_request(calls.address, "/backends/disable?target=b0", "POST"))[0] == 200
-            registry.tell(8, *entries, complete=True)
+            registry.send_update(8, *entries, complete=True)
             await until(lambda: made.agent.targets == 2)
             await send_requests("again")
-            assert len(backends[0].seen) == before
+            assert len(backends[0].received) == before
             assert (await send_request(calls.address, "/backends/enable?target=b0", "POST"))[0] == 200
             await send_requests("back")
-            assert len(backends[0].seen) > before
+            assert len(backends[0].received) > before
             assert (await send_request(calls.address, "/backends/enable?target=b9", "POST"))[0] == 404
 
     asyncio.run(play())
 
 
 def test_a_drained_agent_closes_its_connections_and_loses_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "GOING_AWAY_S", 0.1)
+    monkeypatch.setattr(front, "SHUTDOWN_GRACE_S", 0.1)
     monkeypatch.setattr(front, "IDLE_S", 1_000.0)  # no connection is closed as idle
-    monkeypatch.setattr(front, "WHOLE_S", 1_000.0)
+    monkeypatch.setattr(front, "REQUEST_TIMEOUT_S", 1_000.0)
 
     async def play() -> None:
         go = asyncio.Event()
@@ -296,18 +298,18 @@
             idle.send(request("first"))
             assert (await idle.answer())[0] == 200
             held.send(request("held", "pay", b"x"))
-            await until(lambda: made.agent.owed == 1)
+            await until(lambda: made.agent.pending_requests == 1)
             assert (await send_request(calls.address, "/drain", "POST"))[0] == 200
             assert (await send_request(calls.address, "/ready"))[0] == 503
             late = await made.client()  # a new connection is served, and closed with its answer
             late.send(request("late"))
             status, head, _ = await late.answer()
             assert status == 200 and b"connection: close" in head.lower()
-            assert await idle.ended() and await silent.ended()
+            assert await idle.wait_closed() and await silent.wait_closed()
             go.set()
             status, head, _ = await held.answer()
             assert status == 200 and b"connection: close" in head.lower()
-            assert await held.ended()
+            assert await held.wait_closed()
             await until(lambda: made.listener.connections == 0)
             assert await health(made) == 503
             assert (await send_request(calls.address, "/undrain", "POST"))[0] == 200
@@ -323,7 +325,7 @@
 
 
 def test_a_new_connection_to_a_drained_agent_has_time_for_a_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "GOING_AWAY_S", 5.0)
+    monkeypatch.setattr(front, "SHUTDOWN_GRACE_S", 5.0)
 
     async def play() -> None:
         backend = await Backend(OK).start()
@@ -341,7 +343,7 @@
     asyncio.run(play())
 
 
-async def health(made: World) -> int:
+async def health(made: AgentHarness) -> int:
     client: Client = await made.client()
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
     status = (await client.answer())[0]
@@ -353,9 +355,9 @@
     async def play() -> None:
         backends = [await Backend(OK).start() for _ in range(2)]
         registry = await Registry().start()
-        async with world(*backends, registry=registry) as made:
+        async with running_agent(*backends, registry=registry) as made:
             first = Service(made.config, made.agent, made.upstream, tmp_path, None)
-            other = World(made.config)
+            other = AgentHarness(made.config)
             second = Service(other.config, other.agent, other.upstream, tmp_path, None)
             first.set_disabled("b0", True)
             await until(lambda: [item.info.id for item in other.agent.balancer.ready] == ["b1"])
@@ -363,7 +365,7 @@
             await until(lambda: not made.agent.balancer.ready)
             second.set_disabled("b0", False)
             await until(lambda: [item.info.id for item in made.agent.balancer.ready] == ["b0"])
-            third = World(made.config)  # a version that starts later
+            third = AgentHarness(made.config)  # a version that starts later
             Service(third.config, third.agent, third.upstream, tmp_path, None)
             assert [item.info.id for item in third.agent.balancer.ready] == ["b0"]
             other.agent.close()
--- a/tests/platform/test_orders_file.py
+++ b/tests/platform/test_orders_file.py
@@ -11,23 +11,23 @@
 
 import pytest
 
-from sorrelfront.decisions.orders import ID_MOST, OUT_MOST
+from sorrelfront.decisions.orders import MAX_DISABLED_SERVERS, MAX_ID_LENGTH
 from sorrelfront.platform import orders_file
-from sorrelfront.platform.orders_file import Full, OrdersFile
+from sorrelfront.platform.orders_file import OverridesFile, TooManyDisabled
 from tests.test_process import ROOT
 
 NAME = "out-by-hand.json"
 
 
 def test_overrides_are_seen_by_another_process_and_by_a_later_one(tmp_path: Path) -> None:
-    first, second = OrdersFile(tmp_path), OrdersFile(tmp_path)
+    first, second = OverridesFile(tmp_path), OverridesFile(tmp_path)
     first.set_disabled("a", True)
     assert second.refresh() and second.disabled == {"a"}
     assert not second.refresh()
     second.set_disabled("b", True)
     first.set_disabled("a", False)  # changes the content of the file, not the set known before
     assert second.refresh() and second.disabled == {"b"}
-    assert OrdersFile(tmp_path).disabled == {"b"}
+    assert OverridesFile(tmp_path).disabled == {"b"}
 
 
 def test_concurrent_overrides_of_several_processes_are_all_kept(tmp_path: Path) -> None:
@@ -46,32 +46,42 @@
     started = [sys.executable, "-c", code, str(tmp_path)]
     running = [subprocess.Popen([*started, str(name)], cwd=ROOT) for name in range(4)]
     assert [process.wait(60) for process in running] == [0] * 4
-    assert len(OrdersFile(tmp_path).disabled) == 200
+    assert len(OverridesFile(tmp_path).disabled) == 200
 
 
 def test_without_a_folder_overrides_are_kept_in_memory() -> None:
-    made = OrdersFile(None)
+    made = OverridesFile(None)
     made.set_disabled("a", True)
     assert made.disabled == {"a"} and not made.refresh()
 
 
-@pytest.mark.parametrize("data", [
-    b"", b"{", b"{}", b"[1]", b"null", b"[" * 100_000, b'["\xff"]',
-    json.dumps(["x" * (ID_MOST + 1)]).encode(),
-    json.dumps([str(number) for number in range(OUT_MOST + 1)]).encode(), b" " * (4 * 1024 * 1024 + 1),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"{",
+        b"{}",
+        b"[1]",
+        b"null",
+        b"[" * 100_000,
+        b'["\xff"]',
+        json.dumps(["x" * (MAX_ID_LENGTH + 1)]).encode(),
+        json.dumps([str(number) for number in range(MAX_DISABLED_SERVERS + 1)]).encode(),
+        b" " * (4 * 1024 * 1024 + 1),
+    ],
+)
 def test_an_unreadable_file_enables_no_server(data: bytes, tmp_path: Path) -> None:
-    made = OrdersFile(tmp_path)
+    made = OverridesFile(tmp_path)
     made.set_disabled("a", True)
     (tmp_path / NAME).write_bytes(data)
     assert not made.refresh() and made.disabled == {"a"}
-    assert OrdersFile(tmp_path).disabled == frozenset()  # a new process starts with no server disabled
+    assert OverridesFile(tmp_path).disabled == frozenset()  # a new process starts with no server disabled
     made.set_disabled("b", True)  # the next override writes a valid file again
-    assert OrdersFile(tmp_path).disabled == {"a", "b"}
+    assert OverridesFile(tmp_path).disabled == {"a", "b"}
 
 
 def test_a_removed_file_enables_no_server(tmp_path: Path) -> None:
-    made = OrdersFile(tmp_path)
+    made = OverridesFile(tmp_path)
     made.set_disabled("a", True)
     (tmp_path / NAME).unlink()
     assert not made.refresh() and made.disabled == {"a"}
@@ -80,7 +90,7 @@
 def test_a_failed_write_raises_and_changes_nothing(tmp_path: Path) -> None:
     folder = tmp_path / "gone"
     folder.mkdir()
-    made = OrdersFile(folder)
+    made = OverridesFile(folder)
     folder.rmdir()
     with pytest.raises(OSError):
         made.set_disabled("a", True)
@@ -91,7 +101,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(orders_file, "LOCK_ATTEMPTS", 3)
-    made = OrdersFile(tmp_path)
+    made = OverridesFile(tmp_path)
     made.set_disabled("a", True)
     holder = os.open(tmp_path / "out-by-hand.lock", os.O_RDWR)
     fcntl.flock(holder, fcntl.LOCK_EX)
@@ -104,14 +114,14 @@
 
 
 def test_the_number_of_disabled_servers_and_their_ids_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(orders_file, "OUT_MOST", 2)
-    made = OrdersFile(None)
+    monkeypatch.setattr(orders_file, "MAX_DISABLED_SERVERS", 2)
+    made = OverridesFile(None)
     made.set_disabled("a", True)
     made.set_disabled("b", True)
-    with pytest.raises(Full):
+    with pytest.raises(TooManyDisabled):
         made.set_disabled("c", True)
-    with pytest.raises(Full):
-        made.set_disabled("x" * (ID_MOST + 1), True)
+    with pytest.raises(TooManyDisabled):
+        made.set_disabled("x" * (MAX_ID_LENGTH + 1), True)
     made.set_disabled("a", False)
     made.set_disabled("c", True)
     assert made.disabled == {"b", "c"}
--- a/tests/platform/test_upgrade.py
+++ b/tests/platform/test_upgrade.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from sorrelfront.lab.crowd import LOST, RESET, Crowd, Peer, ran_twice
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, Registry, answer, member, request, table
+from sorrelfront.lab.crowd import LOST, RESET, LoadGenerator, SocketClient, ran_twice
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, Registry, answer, make_config, member, request
 from sorrelfront.platform import upgrade
 from sorrelfront.platform.upgrade import Successor, find_predecessor
 from tests.loopback import until
@@ -50,7 +50,7 @@
         return self
 
     async def ready(self) -> Version:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
                     if (await send_request(self.control, "/ready"))[0] == 200:
@@ -63,7 +63,7 @@
         return {name.removeprefix("app."): float(value) for name, value in pairs}
 
     async def ended(self) -> int:
-        return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
     async def stop(self) -> int:
         os.kill(self.process.pid, signal.SIGTERM)
@@ -91,8 +91,8 @@
         self.registry = await Registry().start()
         entries = [member(f"b{at}", server.address) for at, server in enumerate(self.servers)]
         for entry in entries:
-            self.registry.change(entry)
-        config = table(self.registry.address, entries)
+            self.registry.update(entry)
+        config = make_config(self.registry.address, entries)
         config["settings"]["rules"]["askWithinUs"] = limits.pop("ask_within_us", 200_000)
         config["limits"].update(limits)
         self.path.write_text(json.dumps(config))
@@ -113,7 +113,7 @@
 
     @property
     def seen(self) -> list[bytes]:
-        return [whole for server in self.servers for whole in server.seen]
+        return [whole for server in self.servers for whole in server.received]
 
 
 @contextlib.asynccontextmanager
@@ -126,13 +126,13 @@
         await made.end()
 
 
-def check_nothing_lost(crowd: Crowd, made: Deployment) -> None:
+def check_nothing_lost(crowd: LoadGenerator, made: Deployment) -> None:
     """Check that no request was lost or ran twice, and that no connection was refused."""
-    assert crowd.lost == [] and not crowd.book[LOST]
+    assert crowd.lost == [] and not crowd.outcomes[LOST]
     assert crowd.refused_connects == 0
-    assert set(crowd.book) <= {b"HTTP/1.1 200 ", RESET}, crowd.book
+    assert set(crowd.outcomes) <= {b"HTTP/1.1 200 ", RESET}, crowd.outcomes
     # A connection that closes while a request is on its way is reset unread, and its client sends it again.
-    assert crowd.book[RESET] <= 2
+    assert crowd.outcomes[RESET] <= 2
     assert ran_twice(made.seen) == []
 
 
@@ -140,13 +140,13 @@
     async def play() -> None:
         async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
-            crowd = Crowd(made.address, 12, pause_s=0.002)
-            await crowd.more(100)
+            crowd = LoadGenerator(made.address, 12, pause_s=0.002)
+            await crowd.wait_for_answers(100)
             for _ in range(3):
                 new = await (await made.version()).ready()
-                await crowd.more(100)
+                await crowd.wait_for_answers(100)
                 assert await old.stop() == 0
-                await crowd.more(100)
+                await crowd.wait_for_answers(100)
                 assert (await new.metrics())["success.look"] > 0
                 old = new
             await crowd.finish()
@@ -162,19 +162,19 @@
     async def play() -> None:
         async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
-            peer = Peer(made.address)
+            peer = SocketClient(made.address)
             peer.send(request("first"))
-            assert await peer.answer() == b"HTTP/1.1 200 " and not peer.told_to_close
+            assert await peer.answer() == b"HTTP/1.1 200 " and not peer.close_requested
             new = await (await made.version()).ready()
             await until(lambda: "the next version serves" in old.log.read_text())
             for number in range(40):
-                other = Peer(made.address)
+                other = SocketClient(made.address)
                 other.send(request(f"new{number}"))
                 assert await other.answer() == b"HTTP/1.1 200 "
                 other.close()
             assert (await new.metrics())["success.look"] == 40
             peer.send(request("last"))
-            assert await peer.answer() == b"HTTP/1.1 200 " and peer.told_to_close
+            assert await peer.answer() == b"HTTP/1.1 200 " and peer.close_requested
             assert (await old.metrics())["success.look"] == 2
 
     asyncio.run(play())
@@ -187,7 +187,7 @@
         async with deployment(tmp_path, ask_within_us=600_000_000) as made:
             await (await made.version()).ready()
             await until(lambda: made.registry.watches == 1)
-            made.registry.change(member("b9", made.servers[0].address))
+            made.registry.update(member("b9", made.servers[0].address))
             new = await (await made.version()).ready()
             assert made.registry.watches == 2
             assert (await new.metrics())["targets"] == SERVERS + 1
@@ -208,7 +208,7 @@
                 waiting = []
                 for number in range(60):
                     sock = socket.create_connection(made.address, 0.9)  # the SYN is retransmitted after 1 s
-                    waiting.append(Peer(made.address, sock))
+                    waiting.append(SocketClient(made.address, sock))
                     waiting[-1].send(request(f"w{number}"))
             finally:
                 os.kill(new.process.pid, signal.SIGCONT)
@@ -223,12 +223,12 @@
     async def play() -> None:
         async with deployment(tmp_path, shared=False) as made:
             old = await (await made.version()).ready()
-            crowd = Crowd(made.address, 6, pause_s=0.002)
-            await crowd.more(50)
+            crowd = LoadGenerator(made.address, 6, pause_s=0.002)
+            await crowd.wait_for_answers(50)
             await (await made.version()).ready()
-            await crowd.more(50)
+            await crowd.wait_for_answers(50)
             assert await old.stop() == 0
-            await crowd.more(50)
+            await crowd.wait_for_answers(50)
             await crowd.finish()
             assert crowd.lost == [] and ran_twice(made.seen) == []
 
@@ -241,20 +241,20 @@
     async def play() -> None:
         async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
-            crowd = Crowd(made.address, 6, pause_s=0.002)
+            crowd = LoadGenerator(made.address, 6, pause_s=0.002)
             for wait in (False, True):
                 new = await made.version()
                 if wait:
                     await new.ready()
-                    await crowd.more(30)
+                    await crowd.wait_for_answers(30)
                 else:
                     await until(lambda: "has come" in old.log.read_text())
                 await new.kill()
-                await crowd.more(100)  # served by the old version alone
+                await crowd.wait_for_answers(100)  # served by the old version alone
                 assert old.process.returncode is None
             last = await (await made.version()).ready()
             assert await old.stop() == 0
-            await crowd.more(50)
+            await crowd.wait_for_answers(50)
             await crowd.finish()
             assert (await last.metrics())["success.look"] > 0
             assert ran_twice(made.seen) == []
@@ -273,18 +273,18 @@
             assert (await new.metrics())["targets_disabled"] == 1
             # While both serve, an override given to either applies to both.
             assert (await send_request(new.control, "/backends/disable?target=b2", "POST"))[0] == 200
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await old.metrics())["targets_disabled"] != 2:
                     await asyncio.sleep(0.02)
-            before = [len(server.seen) for server in made.servers]
-            crowd = Crowd(made.address, 4, pause_s=0.002)
-            await crowd.more(60)
+            before = [len(server.received) for server in made.servers]
+            crowd = LoadGenerator(made.address, 4, pause_s=0.002)
+            await crowd.wait_for_answers(60)
             assert await old.stop() == 0
-            await crowd.more(60)
-            assert [len(server.seen) for server in made.servers[1:]] == before[1:]
+            await crowd.wait_for_answers(60)
+            assert [len(server.received) for server in made.servers[1:]] == before[1:]
             assert (await send_request(new.control, "/backends/enable?target=b1", "POST"))[0] == 200
-            await until(lambda: len(made.servers[1].seen) > before[1])
-            assert len(made.servers[2].seen) == before[2]
+            await until(lambda: len(made.servers[1].received) > before[1])
+            assert len(made.servers[2].received) == before[2]
             await crowd.finish()
             check_nothing_lost(crowd, made)
 
@@ -295,16 +295,16 @@
     async def play() -> None:
         async with deployment(tmp_path) as made:
             old = await (await made.version()).ready()
-            crowd = Crowd(made.address, 6, pause_s=0.002)
-            await crowd.more(30)
+            crowd = LoadGenerator(made.address, 6, pause_s=0.002)
+            await crowd.wait_for_answers(30)
             new = await (await made.version()).ready()
-            made.registry.change(member("b0", made.servers[0].address, "draining"))
+            made.registry.update(member("b0", made.servers[0].address, "draining"))
             await asyncio.sleep(0.6)
-            count = len(made.servers[0].seen)
-            await crowd.more(100)
+            count = len(made.servers[0].received)
+            await crowd.wait_for_answers(100)
             assert await old.stop() == 0
-            await crowd.more(100)
-            assert len(made.servers[0].seen) == count
+            await crowd.wait_for_answers(100)
+            assert len(made.servers[0].received) == count
             await crowd.finish()
             check_nothing_lost(crowd, made)
             assert (await new.metrics())["targets"] == SERVERS
@@ -318,21 +318,21 @@
     async def play() -> None:
         async with deployment(tmp_path, sockets=128) as made:
             old = await (await made.version()).ready()
-            idle: list[Peer] = []
+            idle: list[SocketClient] = []
             for _ in range(40):
-                peer = Peer(made.address)
+                peer = SocketClient(made.address)
                 peer.send(request(f"r{len(idle)}"))
                 assert await peer.answer() == b"HTTP/1.1 200 "
                 idle.append(peer)
             new = await (await made.version()).ready()
-            crowd = Crowd(made.address, 80, pause_s=0.01)
+            crowd = LoadGenerator(made.address, 80, pause_s=0.01)
             most = 0
             for _ in range(20):
-                await crowd.more(20)
+                await crowd.wait_for_answers(20)
                 most = max(most, sum(len(os.listdir(f"/proc/{item.process.pid}/fd")) for item in (old, new)))
             assert most <= 128
             assert await old.stop() == 0
-            await crowd.more(100)
+            await crowd.wait_for_answers(100)
             await crowd.finish()
             assert crowd.lost == [] and ran_twice(made.seen) == []
             for peer in idle:
--- a/tests/programs/test_clock_steps.py
+++ b/tests/programs/test_clock_steps.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from sorrelfront.lab.faults.wall_clock import WallClock
-from tests.loopback import Backend, Client, Registry, answer, looped, member, request, table
+from tests.loopback import Backend, Client, Registry, answer, async_test, make_config, member, request
 from tests.test_process import Program
 
 HOUR_S = 3_600.0
@@ -36,16 +36,16 @@
         self.servers = [await Backend(answer(b"served")).start() for _ in range(SERVERS + 1)]
         await self.registry.start()
         listed = enumerate(self.servers[:SERVERS])
-        self.registry.known = [
+        self.registry.members = [
             started_now(f"b{number}", server) if cold else member(f"b{number}", server.address)
             for number, server in listed
         ]
-        config = table(self.registry.address, self.registry.known)
+        config = make_config(self.registry.address, self.registry.members)
         config["settings"]["rules"].update(self._rules)
         self._program = Program(self._folder, config, self._clock.environ)
         await self._program.start()
         self._client: Client = await self._program.ready()
-        await asyncio.wait_for(self.registry.asked.wait(), 30)
+        await asyncio.wait_for(self.registry.watch_opened.wait(), 30)
 
     async def send_requests(self, count: int) -> list[int]:
         """Send so many requests, one after the other, and return their statuses."""
@@ -65,7 +65,7 @@
         self.registry.stop()
 
 
-@looped
+@async_test
 async def test_servers_whose_start_lies_in_the_future_become_warm_in_time(
     tmp_path: Path, wall_clock: WallClock
 ) -> None:
@@ -79,7 +79,7 @@
         await made.stop()
 
 
-@looped
+@async_test
 async def test_a_newly_listed_server_starts_slowly_whatever_the_wall_clock_says(
     tmp_path: Path, wall_clock: WallClock
 ) -> None:
@@ -89,8 +89,8 @@
     try:
         await made.send_requests(20)
         newcomer = made.servers[SERVERS]
-        made.registry.change(started_now("a-newcomer", newcomer))
+        made.registry.update(started_now("a-newcomer", newcomer))
         await made.send_requests(300)
-        assert len(newcomer.seen) <= 15  # a fair share is 60
+        assert len(newcomer.received) <= 15  # a fair share is 60
     finally:
         await made.stop()
--- a/tests/programs/test_copies.py
+++ b/tests/programs/test_copies.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from tests.daemon.fleet import Fleet
-from tests.loopback import PATIENCE_S, Backend, Registry, answer, connect, looped, member, request
+from tests.loopback import WAIT_TIMEOUT_S, Backend, Registry, answer, async_test, connect, member, request
 from tests.test_process import free_address
 
 
@@ -26,8 +26,8 @@
     def __init__(self, folder: Path, name: str, registry: str, listen: str, join: str) -> None:
         folder.mkdir()
         self.fleet = Fleet(folder, registry, instances=1)
-        self.fleet.more = f'name = "{name}"\nstate_dir = "state"'
-        self.fleet.tables = (
+        self.fleet.extra_daemon_lines = f'name = "{name}"\nstate_dir = "state"'
+        self.fleet.extra_tables = (
             f'[fleet]\nname = "copies"\nlisten = "{listen}"\njoin = ["{join}"]\ncopies = true\n'
             'probe_ms = 200\nanswer_ms = 100\ngossip_ms = 50\n[log]\nformat = "json"\n'
         )
@@ -42,13 +42,13 @@
         await self.fleet.start()
 
     async def notified(self, state: str) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while state.encode() not in await asyncio.get_running_loop().sock_recv(self._manager, 4_096):
                 pass
 
     async def logged(self, text: str) -> None:
         """Wait for an event in the log, after those that were waited for before."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 lines = self.fleet.log.read_text().splitlines() if self.fleet.log.exists() else []
                 for at in range(self._next_line, len(lines)):
@@ -91,21 +91,21 @@
             await host.end()
 
 
-@looped
+@async_test
 async def test_a_host_restarted_while_the_list_is_down_serves_by_its_peers_replica(
     tmp_path: Path,
 ) -> None:
     server, drained = await Backend(answer(b"served")).start(), await Backend(answer(b"served")).start()
     registry = await Registry().start()
-    registry.change(member("s1", server.address), member("s2", drained.address))
+    registry.update(member("s1", server.address), member("s2", drained.address))
     async with two_hosts(tmp_path, registry) as (a, b):
         await a.fleet.ready()
         await b.fleet.ready()
         await b.power_off()
-        registry.change(member("s2", drained.address, "draining"))  # sent only to the daemon that is up
+        registry.update(member("s2", drained.address, "draining"))  # sent only to the daemon that is up
         await wait_until_excluded(a)
         registry.stop()
-        before = len(drained.seen)
+        before = len(drained.received)
         await b.start()
         await b.notified("READY=1")
         await b.logged("serving by the fleet's copy of the list")
@@ -113,10 +113,10 @@
         for number in range(20):
             client.send(request(f"r{number}"))
             assert (await client.answer())[0] == 200
-        assert len(drained.seen) == before  # its own disk had it as ready
+        assert len(drained.received) == before  # its own disk had it as ready
         # On a busy machine the process may have been suspended for longer than two comparison intervals. It
         # has to be in sync with its peers again before it reports that it has caught up.
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not (status := (await b.fleet.status())["i0"]["fleet"]["copies"])["level"]:
                 await asyncio.sleep(0.02)
         assert status["by_copy"] and not status["forked"]
@@ -125,17 +125,17 @@
 
 
 async def wait_until_excluded(host: Host) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while (await host.fleet.status())["i0"]["ready_servers"] != 1:
             await asyncio.sleep(0.02)
 
 
-@looped
+@async_test
 async def test_without_the_setting_nothing_is_replicated(tmp_path: Path) -> None:
     server, registry = await Backend(answer(b"served")).start(), await Registry().start()
-    registry.change(member("s1", server.address))
+    registry.update(member("s1", server.address))
     host = Host(tmp_path / "a", "a", registry.address, "{}:{}".format(*free_address()), "127.0.0.1:1")
-    host.fleet.tables = host.fleet.tables.replace("copies = true\n", "")
+    host.fleet.extra_tables = host.fleet.extra_tables.replace("copies = true\n", "")
     host.fleet.write()
     await host.start()
     try:
--- a/tests/programs/test_failing_calls.py
+++ b/tests/programs/test_failing_calls.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sorrelfront.lab.faults.system_calls import Call, SystemCalls
-from tests.loopback import Backend, Registry, answer, connect, looped, member, request, table, until
+from tests.loopback import Backend, Registry, answer, async_test, connect, make_config, member, request, until
 from tests.programs.test_lists import stop
 from tests.test_process import Program, free_address
 
@@ -17,13 +17,13 @@
 
 
 @pytest.mark.parametrize("also_control", [False, True])
-@looped
+@async_test
 async def test_a_start_retries_while_sockets_cannot_be_created(
     tmp_path: Path, calls: SystemCalls, also_control: bool
 ) -> None:
     """Without descriptors or memory for a socket at the start, the program ended instead of retrying."""
     server, registry = await Backend(answer(b"served")).start(), await Registry().start()
-    config = table(registry.address, [member("b0", server.address)])
+    config = make_config(registry.address, [member("b0", server.address)])
     if also_control:
         config["control"] = "{}:{}".format(*free_address())
     made = Program(tmp_path, config, calls.environ)
@@ -44,13 +44,13 @@
         stop(made, server, registry)
 
 
-@looped
+@async_test
 async def test_the_budget_passed_to_a_server_excludes_the_wait_to_be_accepted(
     tmp_path: Path, calls: SystemCalls
 ) -> None:
     """Accepting fails for half a second, while the time of the client's deadline runs."""
     server, registry = await Backend(answer(b"served")).start(), await Registry().start()
-    made = Program(tmp_path, table(registry.address, [member("b0", server.address)]), calls.environ)
+    made = Program(tmp_path, make_config(registry.address, [member("b0", server.address)]), calls.environ)
     await made.start()
     try:
         (await made.ready()).close()
@@ -63,7 +63,7 @@
         calls.set(Call.ACCEPT, 0.0)
         accepted = time.monotonic()
         assert (await client.answer())[0] == 200
-        (budget,) = (line for line in server.seen[0].split(b"\r\n") if line.startswith(b"X-Budget: "))
+        (budget,) = (line for line in server.received[0].split(b"\r\n") if line.startswith(b"X-Budget: "))
         assert 0 < int(budget[10:-1]) <= 4_000_000 - (accepted - sent) * 1e6 + SLACK_US
         assert await made.end() == 0
     finally:
--- a/tests/programs/test_lists.py
+++ b/tests/programs/test_lists.py
@@ -11,20 +11,20 @@
 from pathlib import Path
 from typing import Any
 
-from sorrelfront.lab.http1 import gate
+from sorrelfront.lab.http1 import gated_script
 from sorrelfront.net.budget import Descriptors
 from sorrelfront.platform.config import MIN_SOCKETS
 from tests.loopback import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Backend,
     Client,
     Registry,
     answer,
+    async_test,
     connect,
-    looped,
+    make_config,
     member,
     request,
-    table,
 )
 from tests.test_process import Program
 
@@ -32,7 +32,7 @@
 
 
 async def start_program(folder: Path, registry: Registry, known: list[dict[str, Any]], mode: str) -> Program:
-    config = table(registry.address, known)
+    config = make_config(registry.address, known)
     config["settings"]["registryMode"] = mode
     # Longer than the test, so that polling alone would come too late.
     config["settings"]["rules"]["askWithinUs"] = 3_600_000_000
@@ -41,7 +41,7 @@
     return made
 
 
-@looped
+@async_test
 async def test_a_new_process_waits_for_a_pushed_list(tmp_path: Path) -> None:
     """The list in its configuration is old: by it, requests would go to a server that drains."""
     old, new = await Backend(OK).start(), await Backend(OK).start()
@@ -52,15 +52,15 @@
             await super()._serve(reader, writer)
 
     registry = await Late().start()
-    registry.change(member("b0", old.address, "draining"), member("b1", new.address))
+    registry.update(member("b0", old.address, "draining"), member("b1", new.address))
     made = await start_program(tmp_path, registry, [member("b0", old.address)], "automatic")
     try:
         client = await made.ready()
         for number in range(20):
             client.send(request(f"r{number}"))
             assert (await client.answer())[0] == 200
-        assert not old.seen and len(new.seen) == 20
-        registry.change(member("b1", new.address, "draining"), member("b0", old.address))
+        assert not old.received and len(new.received) == 20
+        registry.update(member("b1", new.address, "draining"), member("b0", old.address))
         await wait_until_used(client, old)
         assert await made.end() == 0
     finally:
@@ -70,13 +70,13 @@
 async def wait_until_used(client: Any, server: Backend) -> None:
     """Send requests until the server gets one, once a change was pushed on the open watch."""
     number = 0
-    while not server.seen:
+    while not server.received:
         number += 1
         client.send(request(f"later{number}"))
         await client.answer()
 
 
-@looped
+@async_test
 async def test_a_new_process_serves_while_a_pushed_list_is_unavailable(tmp_path: Path) -> None:
     """It serves by the list in its configuration, and applies missed changes once the service is back."""
     server = await Backend(OK).start()
@@ -89,20 +89,20 @@
         client = await made.ready()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
-        registry.known = [member("b0", server.address, "draining")]
+        registry.members = [member("b0", server.address, "draining")]
         registry.server = await asyncio.start_server(registry._serve, *_parse_address(address))
-        await asyncio.wait_for(registry.asked.wait(), 30)
+        await asyncio.wait_for(registry.watch_opened.wait(), 30)
         while True:
-            before = len(server.seen)
+            before = len(server.received)
             client.send(request(f"next{before}"))
-            if (await client.answer())[0] == 503 and len(server.seen) == before:
+            if (await client.answer())[0] == 503 and len(server.received) == before:
                 break
         assert await made.end() == 0
     finally:
         stop(made, server, registry)
 
 
-@looped
+@async_test
 async def test_idle_clients_that_use_up_the_descriptors_block_neither_discovery_nor_servers(
     tmp_path: Path,
 ) -> None:
@@ -116,7 +116,7 @@
     address = registry.address
     registry.stop()
     await registry.server.wait_closed()
-    config = table(address, [member("b0", draining.address)])
+    config = make_config(address, [member("b0", draining.address)])
     config["limits"]["sockets"] = MIN_SOCKETS
     made = Program(tmp_path, config)
     await made.start()
@@ -127,17 +127,17 @@
         at_rest = len([*descriptors.iterdir()])
         while len([*descriptors.iterdir()]) < at_rest + Descriptors(MIN_SOCKETS).clients - 1:
             idle_clients.append(await connect(made.address))
-        registry.known = [member("b0", draining.address, "draining"), member("b1", remaining.address)]
+        registry.members = [member("b0", draining.address, "draining"), member("b1", remaining.address)]
         registry.server = await asyncio.start_server(registry._serve, *_parse_address(address))
-        await asyncio.wait_for(registry.asked.wait(), PATIENCE_S)
+        await asyncio.wait_for(registry.watch_opened.wait(), WAIT_TIMEOUT_S)
         number = 0
-        while not remaining.seen:  # until the list has been read
+        while not remaining.received:  # until the list has been read
             number += 1
             asker = await _ask(asker, made, f"r{number}")
-        draining.seen.clear()
+        draining.received.clear()
         for number in range(10):
             asker = await _ask(asker, made, f"s{number}")
-        assert not draining.seen and len(remaining.seen) >= 10
+        assert not draining.received and len(remaining.received) >= 10
         assert await made.end() == 0
     finally:
         for client in idle_clients:
@@ -157,45 +157,45 @@
         return client
 
 
-@looped
+@async_test
 async def test_a_second_sigterm_does_not_abort_requests_in_flight(tmp_path: Path) -> None:
-    go, script = gate(OK)
+    go, script = gated_script(OK)
     server, registry = await Backend(script).start(), await Registry().start()
     made = await start_program(tmp_path, registry, [member("b0", server.address)], "subscribe")
     try:
         idle, client = await made.ready(), await made.ready()
         client.send(request("held", "pay", b"x"))
-        await asyncio.wait_for(server.arrived.wait(), PATIENCE_S)
+        await asyncio.wait_for(server.arrived.wait(), WAIT_TIMEOUT_S)
         made.process.send_signal(signal.SIGTERM)
-        assert await idle.ended()  # the first signal was handled
+        assert await idle.wait_closed()  # the first signal was handled
         made.process.send_signal(signal.SIGTERM)
         made.process.send_signal(signal.SIGHUP)
         await made.logged(b"a new configuration is in force")  # and so was the one after the second
         go.set()
         assert (await client.answer())[0] == 200
-        assert await made.end() == 0 and len(server.seen) == 1
+        assert await made.end() == 0 and len(server.received) == 1
     finally:
         stop(made, server, registry)
 
 
-@looped
+@async_test
 async def test_after_a_kill_a_new_process_serves_at_the_same_address(tmp_path: Path) -> None:
     """The client's connection ends, and its repeated request is served by the next process."""
-    go, script = gate(OK)
+    go, script = gated_script(OK)
     server, registry = await Backend(script).start(), await Registry().start()
     made = await start_program(tmp_path, registry, [member("b0", server.address)], "subscribe")
     try:
         client = await made.ready()
         client.send(request("held"))
-        await asyncio.wait_for(server.arrived.wait(), PATIENCE_S)
+        await asyncio.wait_for(server.arrived.wait(), WAIT_TIMEOUT_S)
         made.process.kill()
-        assert await client.ended()
+        assert await client.wait_closed()
         await made.process.wait()
         go.set()
         await made.start()
         again = await made.ready()
         again.send(request("held"))
-        assert (await again.answer())[0] == 200 and len(server.seen) == 2
+        assert (await again.answer())[0] == 200 and len(server.received) == 2
         assert await made.end() == 0
     finally:
         stop(made, server, registry)
@@ -206,7 +206,7 @@
     return host, int(port)
 
 
-@looped
+@async_test
 async def test_connections_that_send_during_a_shutdown_get_one_answer_per_request(tmp_path: Path) -> None:
     """After SIGTERM 40 clients go on sending every 20 ms on each connection that stays open.
 
@@ -248,7 +248,7 @@
         await asyncio.gather(*clients)
         ran = [
             line.split(b" ")[1]
-            for seen in server.seen
+            for seen in server.received
             for line in seen.split(b"\r\n")
             if b"X-Call-Id" in line
         ]
@@ -267,7 +267,7 @@
         other.stop()
 
 
-@looped
+@async_test
 async def test_the_program_reads_an_indented_list(tmp_path: Path) -> None:
     server, configured = await Backend(OK).start(), await Backend(OK).start()
 
@@ -277,13 +277,13 @@
             self._chunk(writer, json.dumps(update, indent=2).encode() + b"\n")
 
     registry = await Indented().start()
-    registry.known = [member("b0", server.address)]
+    registry.members = [member("b0", server.address)]
     made = await start_program(tmp_path, registry, [member("b1", configured.address)], "automatic")
     try:
         client = await made.ready()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
-        assert len(server.seen) == 1 and not configured.seen
+        assert len(server.received) == 1 and not configured.received
         assert await made.end() == 0
     finally:
         stop(made, server, configured, registry)
--- a/tests/programs/test_sites.py
+++ b/tests/programs/test_sites.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from sorrelfront.sites.keys import make
+from sorrelfront.sites.keys import create_key_file
 from tests.daemon.fleet import Fleet
-from tests.loopback import PATIENCE_S, Backend, answer, connect, looped, request
+from tests.loopback import WAIT_TIMEOUT_S, Backend, answer, async_test, connect, request
 from tests.test_process import free_address
 
 NAMES = ("bole", "hawassa", "mekelle")
@@ -37,8 +37,8 @@
         folder.mkdir()
         self.name = name
         self.fleet = Fleet(folder, "127.0.0.1:1", instances=1)
-        self.fleet.more = f'name = "{name}"\nstate_dir = "state"'
-        self.public = make(folder / "site.key")
+        self.fleet.extra_daemon_lines = f'name = "{name}"\nstate_dir = "state"'
+        self.public = create_key_file(folder / "site.key")
         self.exchange, self.gateway = free_address(), free_address()
         self.listen = free_address()
         self.offer = ""
@@ -72,7 +72,7 @@
                     f'relation = "{relation or INVERSE[inverse or ""]}"\n'
                     f'at = ["{_host_port(other.exchange)}"]\n'
                 )
-        self.fleet.tables = text + self.offer
+        self.fleet.extra_tables = text + self.offer
         self.fleet.write()
 
     async def set_offer(self, offer: str) -> None:
@@ -88,7 +88,7 @@
 
     async def wait_for_paths(self, *wanted: list[str]) -> None:
         """Wait until exactly these routes are in use."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 with contextlib.suppress(KeyError):
                     routes = (await self.status())["routes"]
@@ -97,7 +97,7 @@
                 await asyncio.sleep(0.02)
 
     async def wait_for_counts(self, way: str, **wanted: int) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while wanted.items() - (await self.status())["requests"][way].items():
                 await asyncio.sleep(0.02)
 
@@ -145,7 +145,7 @@
             site.server.stop()
 
 
-@looped
+@async_test
 async def test_requests_that_own_servers_cannot_serve_follow_the_routes_that_terms_allow(
     tmp_path: Path,
 ) -> None:
@@ -162,8 +162,8 @@
             status, _, body = await bole.send_request(f"a{number}", cls)
             assert (status, body) == (200, b"of mekelle")
             assert (await hawassa.send_request(f"b{number}", cls))[2] == b"of mekelle"
-        assert len(mekelle.server.seen) == 6
-        assert not any(b"sorrelfront" in whole.lower() for whole in mekelle.server.seen)
+        assert len(mekelle.server.received) == 6
+        assert not any(b"sorrelfront" in whole.lower() for whole in mekelle.server.received)
         # A site with servers of its own forwards nothing.
         assert (await mekelle.send_request("c"))[2] == b"of mekelle"
         assert (await mekelle.status())["requests"]["out"]["sent"] == 0
@@ -176,10 +176,10 @@
         await hawassa.wait_for_paths()
         status, head, _ = await hawassa.send_request("f", "pay")
         assert status == 503 and b"Retry-After" in head
-        assert len(mekelle.server.seen) == 8
+        assert len(mekelle.server.received) == 8
 
 
-@looped
+@async_test
 async def test_a_gateway_enforces_a_withdrawal_that_a_partner_has_not_received(tmp_path: Path) -> None:
     """Guards against serving a request under a withdrawn offer. The partner's process is stopped during the
     withdrawal, so it still has the route when it continues."""
@@ -199,12 +199,12 @@
             os.kill(instance, signal.SIGCONT)
         status, _, _ = await client.answer()
         # Nothing ran: the route went with a change notice, or the gateway refused the request.
-        assert status == 503 and not mekelle.server.seen
+        assert status == 503 and not mekelle.server.received
         client.close()
 
 
 @pytest.mark.parametrize("cls", ["pay", "book"])
-@looped
+@async_test
 async def test_a_forwarded_request_that_may_have_run_is_not_run_elsewhere(tmp_path: Path, cls: str) -> None:
     """Guards against an effect that happens twice: a partner's server takes the request and closes the
     connection without an answer, and another site could serve it."""
@@ -221,18 +221,18 @@
 
         mekelle.server.script = abort_connection  # takes the request, and does not answer
         assert (await hawassa.send_request("a", cls))[0] == 500
-        assert mekelle.server.seen and not bole.server.seen
-        assert cls == "book" or len(mekelle.server.seen) == 1
+        assert mekelle.server.received and not bole.server.received
+        assert cls == "book" or len(mekelle.server.received) == 1
         if cls == "book":
             # The key is remembered: a repeat goes to the site that may have run it, not to another.
-            seen = len(mekelle.server.seen)
+            seen = len(mekelle.server.received)
             mekelle.server.script = answer(b"again")
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while (await hawassa.send_request("a", cls))[2] != b"again":
-                    assert len(mekelle.server.seen) >= seen and not bole.server.seen
+                    assert len(mekelle.server.received) >= seen and not bole.server.received
 
 
-@looped
+@async_test
 async def test_a_gateway_restarted_without_its_disk_is_trusted_again(tmp_path: Path) -> None:
     """Guards against a gateway that starts with an old epoch after the loss of its disk: partners would take
     its advertisements for old ones until someone steps in."""
@@ -252,7 +252,7 @@
             path.unlink()
         await mekelle.fleet.start()
         await mekelle.fleet.ready()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (await mekelle.status())["life"] <= first:
                 await asyncio.sleep(0.02)
         await bole.wait_for_paths(["hawassa", "mekelle"])
@@ -260,7 +260,7 @@
         assert mekelle.has_logged("knows of life")
 
 
-@looped
+@async_test
 async def test_without_a_site_table_no_code_for_sites_is_loaded(tmp_path: Path) -> None:
     """Guards against loading the code for partner sites, and its memory, in a daemon without [site]."""
     fleet = Fleet(tmp_path, "127.0.0.1:1", instances=1)
@@ -276,14 +276,14 @@
     server.stop()
 
 
-@looped
+@async_test
 async def test_a_key_that_others_may_read_ends_the_start_and_names_the_remedy(tmp_path: Path) -> None:
     """Guards against a start with a private key that other users can read, and against an error that does not
     name the remedy."""
     site = Site(tmp_path / "bole", "bole")
     (tmp_path / "bole" / "site.key").chmod(0o644)
     await site.start([], b"x")
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not (site.fleet.log.exists() and site.has_logged("others may read it")):
             await asyncio.sleep(0.02)
     events = [json.loads(line)["event"] for line in site.fleet.log.read_text().splitlines() if line[0] == "{"]
--- a/tests/programs/test_stale_lists.py
+++ b/tests/programs/test_stale_lists.py
@@ -25,7 +25,17 @@
 import pytest
 
 from sorrelfront.lab.faults.wall_clock import WallClock
-from tests.loopback import PATIENCE_S, Backend, Client, Registry, answer, looped, member, request, table
+from tests.loopback import (
+    WAIT_TIMEOUT_S,
+    Backend,
+    Client,
+    Registry,
+    answer,
+    async_test,
+    make_config,
+    member,
+    request,
+)
 from tests.test_process import Program
 
 PACE_S = 0.01  # between requests
@@ -86,8 +96,8 @@
     async def start(self) -> None:
         self.servers = [await Backend(answer(b"served")).start() for _ in range(6)]
         await self.discovery.start()
-        self.discovery.known = [self.entry(number) for number in range(6)]
-        config = table(self.discovery.address, self.discovery.known)
+        self.discovery.members = [self.entry(number) for number in range(6)]
+        config = make_config(self.discovery.address, self.discovery.members)
         config["seed"] = self.seed
         config["settings"]["rules"]["askWithinUs"] = 10_000_000
         self.program = Program(self.folder, config, self.clock.environ)
@@ -99,7 +109,7 @@
 
     def drain(self, number: int) -> None:
         """List the server as draining from now on. Open watches are not notified; later calls get it."""
-        self.discovery.known[number] = self.entry(number, "draining")
+        self.discovery.members[number] = self.entry(number, "draining")
         self.discovery.revision += 1
 
     async def send_requests(self, until: int) -> None:
@@ -112,7 +122,7 @@
 
     def last_at(self, number: int) -> int:
         """Return the number of the last request that this server got, or -1."""
-        names = [line[10:] for seen in self.servers[number].seen for line in seen.split(b"\r\n")
+        names = [line[10:] for seen in self.servers[number].received for line in seen.split(b"\r\n")
                  if line.lower().startswith(b"x-call-id:")]  # fmt: skip
         return max((int(name.strip()[1:]) for name in names), default=-1)
 
@@ -120,7 +130,7 @@
         assert self.clock.reads > 0
         if self.program.process.returncode is None:
             self.program.process.kill()
-            await asyncio.wait_for(self.program.process.wait(), PATIENCE_S)
+            await asyncio.wait_for(self.program.process.wait(), WAIT_TIMEOUT_S)
         for server in self.servers:
             server.stop()
         self.discovery.stop()
@@ -137,7 +147,7 @@
 
 
 @pytest.mark.parametrize("step_s", [0.0, -HOUR_S, HOUR_S])
-@looped
+@async_test
 async def test_a_restarted_process_learns_of_a_drain_as_soon_as_one_that_calls_at_once(
     tmp_path: Path, wall_clock: WallClock, step_s: float
 ) -> None:
@@ -151,7 +161,7 @@
         assert all(made.last_at(number) > CALL_DELAY + GRACE for number in range(1, 6))
 
 
-@looped
+@async_test
 async def test_rejected_calls_are_repeated_within_the_grace(tmp_path: Path, wall_clock: WallClock) -> None:
     """Each watch ends just as a server begins to drain, and the next two calls are rejected.
 
--- a/tests/sites/test_passage.py
+++ b/tests/sites/test_passage.py
@@ -5,24 +5,24 @@
 import pytest
 
 from sorrelfront.decisions.sites.offers import Relation
-from sorrelfront.decisions.sites.passage import Away, In, Passage, Rejection, parse_path
-from sorrelfront.decisions.sites.routes import Lent, Partner
+from sorrelfront.decisions.sites.passage import Admission, Admitted, Rejected, Rejection, parse_path
+from sorrelfront.decisions.sites.routes import OfferConfig, Partner
 from sorrelfront.decisions.sites.terms import MAX_RATE, terms
 
 SECOND = 1_000_000
 PARTNERS = {name: Partner(name, Relation.PEER) for name in ("a", "b", "d")}
 
 
-def lent(rate: int = MAX_RATE, capacity: int = 100) -> dict[str, Lent]:
-    return {"x": Lent("x", terms(["a"], ["b"], ["look"], rate), 1, capacity)}
+def lent(rate: int = MAX_RATE, capacity: int = 100) -> dict[str, OfferConfig]:
+    return {"x": OfferConfig("x", terms(["a"], ["b"], ["look"], rate), 1, capacity)}
 
 
 def judge(
-    passage: Passage, partner: str | None, path: str, cls: str = "look", through: bool = False,
-    offers: dict[str, Lent] | None = None, now: int = 0,
-) -> In | Away:  # fmt: skip
+    passage: Admission, partner: str | None, path: str, cls: str = "look", through: bool = False,
+    offers: dict[str, OfferConfig] | None = None, now: int = 0,
+) -> Admitted | Rejected:  # fmt: skip
     told = lent() if offers is None else offers
-    return passage.judge(partner, parse_path(path), cls, PARTNERS, told, through, now)
+    return passage.admit(partner, parse_path(path), cls, PARTNERS, told, through, now)
 
 
 @pytest.mark.parametrize(
@@ -43,49 +43,49 @@
     ],
 )
 def test_rejections(partner: str | None, path: str, cls: str, why: Rejection) -> None:
-    passage = Passage("c")
+    passage = Admission("c")
     found = judge(passage, partner, path, cls)
-    assert isinstance(found, Away) and found.why is why and found.retry_after_us > 0
-    assert passage.counts[why.name.lower()] == 1 and not passage.inside
+    assert isinstance(found, Rejected) and found.reason is why and found.retry_after_us > 0
+    assert passage.counts[why.name.lower()] == 1 and not passage.in_flight
 
 
 def test_direct_and_forwarded_requests_are_admitted() -> None:
-    passage = Passage("c")
-    assert judge(passage, "a", "a") == In("x") and judge(passage, "b", "a,b") == In("x")
-    assert passage.inside == {"x": 2}
-    passage.left("x")
-    passage.left("x")
-    passage.left("x")
-    assert passage.inside == {}
+    passage = Admission("c")
+    assert judge(passage, "a", "a") == Admitted("x") and judge(passage, "b", "a,b") == Admitted("x")
+    assert passage.in_flight == {"x": 2}
+    passage.finished("x")
+    passage.finished("x")
+    passage.finished("x")
+    assert passage.in_flight == {}
 
 
 def test_a_request_for_another_site_is_forwarded_if_there_is_a_route() -> None:
-    assert judge(Passage("c"), "b", "b", through=True) == In(None)
+    assert judge(Admission("c"), "b", "b", through=True) == Admitted(None)
 
 
 def test_a_full_gateway_rejects_or_forwards() -> None:
-    passage, offers = Passage("c"), lent(capacity=1)
-    assert judge(passage, "a", "a", offers=offers) == In("x")
+    passage, offers = Admission("c"), lent(capacity=1)
+    assert judge(passage, "a", "a", offers=offers) == Admitted("x")
     found = judge(passage, "a", "a", offers=offers)
-    assert isinstance(found, Away) and found.why is Rejection.FULL
-    assert judge(passage, "a", "a", offers=offers, through=True) == In(None)
-    passage.left("x")
-    assert judge(passage, "a", "a", offers=offers) == In("x")
+    assert isinstance(found, Rejected) and found.reason is Rejection.FULL
+    assert judge(passage, "a", "a", offers=offers, through=True) == Admitted(None)
+    passage.finished("x")
+    assert judge(passage, "a", "a", offers=offers) == Admitted("x")
 
 
 @pytest.mark.parametrize("rate", [1, 2, 3, 10, 47, 200])
 def test_no_second_has_more_than_the_rate(rate: int) -> None:
-    passage, offers = Passage("c"), lent(rate, 1_000_000)
+    passage, offers = Admission("c"), lent(rate, 1_000_000)
     taken = [
         now
         for now in range(0, 5 * SECOND, 2_500)
-        if judge(passage, "a", "a", offers=offers, now=now) == In("x")
+        if judge(passage, "a", "a", offers=offers, now=now) == Admitted("x")
     ]
     for at, began in enumerate(taken):
         assert sum(began <= other < began + SECOND for other in taken[at:]) <= rate
     assert len(taken) >= 0.45 * rate * 5
     now = 5 * SECOND
-    while isinstance(away := judge(passage, "a", "a", offers=offers, now=now), In):
+    while isinstance(away := judge(passage, "a", "a", offers=offers, now=now), Admitted):
         pass
-    assert away.why is Rejection.RATE
-    assert judge(passage, "a", "a", offers=offers, now=now + away.retry_after_us + 1) == In("x")
+    assert away.reason is Rejection.RATE
+    assert judge(passage, "a", "a", offers=offers, now=now + away.retry_after_us + 1) == Admitted("x")
--- a/tests/sites/test_routes.py
+++ b/tests/sites/test_routes.py
@@ -14,14 +14,14 @@
     Hop,
     OfferId,
     Relation,
-    Why,
-    circle,
+    UnusedReason,
+    add_hop,
     content_digest,
-    passed_on,
-    prove,
-    signed,
+    provider_cycle,
+    sign_offer,
+    verify_chains,
 )
-from sorrelfront.decisions.sites.routes import MAX_OWN_OFFERS, Newest, later, settle
+from sorrelfront.decisions.sites.routes import MAX_OWN_OFFERS, OfferState, build_table, join_states
 from sorrelfront.decisions.sites.terms import ANYTHING, terms
 from tests.sites.borders import LEFT_MS, SECOND, SIGN, VERIFY, ask, border, lent, told, ways
 
@@ -39,7 +39,7 @@
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
     first = told(a, c, SECOND)
     told(a, c, 2 * SECOND)
-    assert not a.on_tell("c/i", first, 2 * SECOND) and ways(a, 2 * SECOND) == []
+    assert not a.on_advertisement("c/i", first, 2 * SECOND) and ways(a, 2 * SECOND) == []
 
 
 def test_an_unchanged_advertisement_renews_lifetimes_without_chains() -> None:
@@ -61,7 +61,7 @@
     ask(a, c, 2 * SECOND)
     assert ways(a, 2 * SECOND) == []
     ask(a, b, 2 * SECOND)
-    assert ways(a, 2 * SECOND) == [] and [route.state for route in a.table] == [Why.WITHDRAWN]
+    assert ways(a, 2 * SECOND) == [] and [route.state for route in a.table] == [UnusedReason.WITHDRAWN]
 
 
 def test_an_offer_that_its_gateway_does_not_advertise_is_refused_from_others() -> None:
@@ -86,7 +86,7 @@
     c.configure(c.partners.values(), [lent(terms=terms(None, [], ["look"], left_ms=LEFT_MS))], 2 * SECOND)
     ask(a, c, 2 * SECOND)
     assert {route.sites for route in a.table if route.state is None} == {("c",)}
-    assert next(route for route in a.table if route.sites == ("b", "c")).state is Why.OLD
+    assert next(route for route in a.table if route.sites == ("b", "c")).state is UnusedReason.OLD
 
 
 def test_a_delayed_advertisement_withdraws_nothing() -> None:
@@ -97,7 +97,7 @@
     assert a.peers["c/i"].refused == {"EXPIRED": 1}
     c.on_time(26 * SECOND)
     ask(a, c, 26 * SECOND)
-    assert ways(a, 26 * SECOND) == [("c",)] and c.life == (1, 7)  # and no new incarnation is requested
+    assert ways(a, 26 * SECOND) == [("c",)] and c.incarnation == (1, 7)  # and no new incarnation is requested
 
 
 def test_a_replayed_message_starts_no_new_lifetime() -> None:
@@ -107,8 +107,8 @@
     ask(b, c, SECOND)
     first = ask(a, b, SECOND)
     again = told(a, b, 8 * SECOND)
-    old = msgspec.structs.replace(again, chains=first.chains, ages_ms=(0,), have=b"other")
-    a.on_tell("b/i", old, 8 * SECOND)
+    old = msgspec.structs.replace(again, chains=first.chains, ages_ms=(0,), digest=b"other")
+    a.on_advertisement("b/i", old, 8 * SECOND)
     assert ways(a, 10 * SECOND) == [("b", "c")] and ways(a, 11 * SECOND) == []
 
 
@@ -122,11 +122,11 @@
         ask(b, c, second * SECOND)
         tell = told(a, b, second * SECOND)
         if second in (1, 19):
-            a.on_tell("b/i", tell, second * SECOND)  # the freshest stamp has been received
+            a.on_advertisement("b/i", tell, second * SECOND)  # the freshest stamp has been received
         kept.append(tell)
     late = told(a, b, 40 * SECOND)
-    replayed = msgspec.structs.replace(late, chains=kept[3].chains, ages_ms=(0,), have=b"other")
-    a.on_tell("b/i", replayed, 40 * SECOND)
+    replayed = msgspec.structs.replace(late, chains=kept[3].chains, ages_ms=(0,), digest=b"other")
+    a.on_advertisement("b/i", replayed, 40 * SECOND)
     assert ways(a, 40 * SECOND) == [] and a.peers["b/i"].refused == {"EXPIRED": 1}
 
 
@@ -136,12 +136,14 @@
     other = border("c", {"a": "peer"}, [lent(cost=2)])
     a = border("a", {"c": "peer"})
     for clone in (one, other)[:: 1 - 2 * first]:
-        tell = a.ask("c/i", SECOND)
-        answer = clone.on_ask("a", tell, b"", SECOND)
+        tell = a.query("c/i", SECOND)
+        answer = clone.on_query("a", tell, b"", SECOND)
         assert answer is not None
-        a.on_tell("c/i", answer, SECOND)
+        a.on_advertisement("c/i", answer, SECOND)
     assert ways(a, SECOND) == [] and a.counts["forked"] == 1
-    assert one.outlived(a.ask("c/i", SECOND)) == 1  # its gateway has to continue as another incarnation
+    assert (
+        one.epoch_to_exceed(a.query("c/i", SECOND)) == 1
+    )  # its gateway has to continue as another incarnation
 
 
 def test_a_gateway_that_lost_its_disk_raises_its_epoch_above_the_remembered_one() -> None:
@@ -150,18 +152,23 @@
     fresh = border("c", {"a": "peer"}, [lent()], now=2 * SECOND, life=(1, 2))
     ask(a, fresh, 2 * SECOND)
     ask(a, fresh, 3 * SECOND)
-    assert fresh.life == (6, 2) and ways(a, 3 * SECOND) == [("c",)]
+    assert fresh.incarnation == (6, 2) and ways(a, 3 * SECOND) == [("c",)]
 
 
 def test_joining_states_is_commutative_associative_and_idempotent() -> None:
     found = [
-        Newest(1, 1, b"x", 1), Newest(1, 1, b"y", 2), Newest(1, 1, b"", 1), Newest(1, 2, b"z", 1),
-        Newest(2, 1, b"x", 1),
-    ]  # fmt: skip
+        OfferState(1, 1, b"x", 1),
+        OfferState(1, 1, b"y", 2),
+        OfferState(1, 1, b"", 1),
+        OfferState(1, 2, b"z", 1),
+        OfferState(2, 1, b"x", 1),
+    ]
     for rows in permutations(found, 3):
-        assert later(later(rows[0], rows[1]), rows[2]) == later(rows[0], later(rows[2], rows[1]))
-        assert later(rows[0], rows[0]) == rows[0]
-    assert later(found[0], found[1]).forked and not later(found[0], found[2]).content
+        assert join_states(join_states(rows[0], rows[1]), rows[2]) == join_states(
+            rows[0], join_states(rows[2], rows[1])
+        )
+        assert join_states(rows[0], rows[0]) == rows[0]
+    assert join_states(found[0], found[1]).forked and not join_states(found[0], found[2]).content
 
 
 def chain_of(*sites: str, **told: object) -> Chain:
@@ -171,7 +178,7 @@
     way = [*reversed(sites), "a"]
     for at in range(1, len(way) - 1):
         hop = Hop(way[at], way[at + 1], Relation.CUSTOMER, Relation.PEER, 1, chain.terms)
-        chain = passed_on(chain, hop, SIGN[way[at]])
+        chain = add_hop(chain, hop, SIGN[way[at]])
     return chain
 
 
@@ -180,8 +187,8 @@
     a = border("a", {"b": "peer", "c": "peer", "d": "peer", teller: relation})
     teller_border = border(teller, {"a": {"peer": "peer", "provider": "customer"}[relation]})
     tell = told(a, teller_border, SECOND)
-    tell = msgspec.structs.replace(tell, chains=(chain,), ages_ms=(0,), have=b"h")
-    assert a.on_tell(f"{teller}/i", tell, SECOND)
+    tell = msgspec.structs.replace(tell, chains=(chain,), ages_ms=(0,), digest=b"h")
+    assert a.on_advertisement(f"{teller}/i", tell, SECOND)
     return "".join(a.peers[f"{teller}/i"].refused)
 
 
@@ -190,7 +197,7 @@
         "import_relation": Relation.CUSTOMER, "export_relation": Relation.PEER,
         "cost": 1, "terms": chain.terms, **more,
     }  # fmt: skip
-    return passed_on(chain, Hop(site, to, **told), SIGN[site])  # type: ignore[arg-type]
+    return add_hop(chain, Hop(site, to, **told), SIGN[site])  # type: ignore[arg-type]
 
 
 def test_manipulated_chains_are_refused() -> None:
@@ -210,7 +217,7 @@
     assert refusal(hop(hop(good, "b", "a"), "a", "b")) == "ADDRESSEE"
     assert refusal(hop(chain_of("a"))) == "LOOP"
     forged = msgspec.structs.replace(good.offer, version=9, terms=ANYTHING)
-    assert refusal(hop(Chain(signed(forged, SIGN["b"])))) == "SIGNATURE"
+    assert refusal(hop(Chain(sign_offer(forged, SIGN["b"])))) == "SIGNATURE"
     taken = hop(good)
     swapped = (msgspec.structs.replace(taken.hops[0], terms=narrowed),)
     assert refusal(Chain(good.offer, swapped)) == "SIGNATURE"
@@ -218,14 +225,14 @@
     spelt = msgspec.structs.replace(loose, classes=("look", "look"))
     assert refusal(hop(good, terms=spelt)) == "SPELLING"
     assert refusal(hop(good, terms=msgspec.structs.replace(loose, to=()))) == "EMPTY"
-    assert all(REMEDY[why].endswith(".") for why in Why)
+    assert all(REMEDY[why].endswith(".") for why in UnusedReason)
 
 
 def test_a_chain_through_a_site_without_a_known_key_is_refused() -> None:
     a, b = border("a", {"b": "peer"}), border("b", {"a": "peer"})
     tell = told(a, b, SECOND)
-    tell = msgspec.structs.replace(tell, chains=(hop(chain_of("c")),), ages_ms=(0,), have=b"h")
-    a.on_tell("b/i", tell, SECOND)
+    tell = msgspec.structs.replace(tell, chains=(hop(chain_of("c")),), ages_ms=(0,), digest=b"h")
+    a.on_advertisement("b/i", tell, SECOND)
     assert a.peers["b/i"].refused == {"UNKNOWN_SITE": 1}
 
 
@@ -265,7 +272,7 @@
     ask(a, border("b", {"a": "peer"}, [lent(cost=3)]), SECOND)
     ask(a, border("d", {"a": "peer"}, [lent(cost=3)]), SECOND)
     assert ways(a, SECOND) == [("c",)]
-    a.drop("c/i")
+    a.remove_peer("c/i")
     assert ways(a, SECOND) == [("b",), ("d",)]  # routes of equal rank together
 
 
@@ -274,7 +281,7 @@
     for other, what in (("b", "peer"), ("c", "provider"), ("d", "peer")):
         ask(a, border(other, {"a": what}, [lent("x"), lent("y", 2)]), SECOND)
     held = [item for peer in a.peers.values() for item in peer.held.values()]
-    assert len({settle(rows, a.partners, {}) for rows in permutations(held)}) == 1
+    assert len({build_table(rows, a.partners, {}) for rows in permutations(held)}) == 1
 
 
 def test_a_flapping_route_is_damped_and_used_only_as_a_last_resort() -> None:
@@ -286,7 +293,7 @@
         c.configure(c.partners.values(), [lent(cost=2 + step)], now)
         ask(a, c, now)
     assert ways(a, 2 * SECOND) == [("b",)] and a.counts["damped"] == 1
-    a.drop("b/i")
+    a.remove_peer("b/i")
     assert ways(a, 2 * SECOND) == [("c",)]
     for second in range(3, 30):
         a.on_time(second * SECOND)
@@ -299,9 +306,9 @@
     ask(a, border("c", {"a": "provider"}, [lent()]), SECOND)
     ask(a, border("b", {"a": "peer"}, [lent()]), SECOND)
     assert ways(a, SECOND) == [("c",)]
-    a.silent("c/i", 2 * SECOND)
+    a.on_silence("c/i", 2 * SECOND)
     assert ways(a, 2 * SECOND) == [("b",)]
-    a.silent("b/i", 2 * SECOND)
+    a.on_silence("b/i", 2 * SECOND)
     assert ways(a, 2 * SECOND) == [("c",)]  # there is nothing better
     a.on_time(7 * SECOND)
     assert a.table == () and ways(a, 7 * SECOND) == []
@@ -320,16 +327,16 @@
 
 
 def test_a_cycle_of_providers_is_named_and_stops_re_advertisement() -> None:
-    assert circle({"a": frozenset("b"), "b": frozenset("c"), "c": frozenset("a")}) == ["a", "b", "c"]
-    assert circle({"a": frozenset("bc"), "b": frozenset("c"), "c": frozenset()}) == []
+    assert provider_cycle({"a": frozenset("b"), "b": frozenset("c"), "c": frozenset("a")}) == ["a", "b", "c"]
+    assert provider_cycle({"a": frozenset("bc"), "b": frozenset("c"), "c": frozenset()}) == []
     b = border("b", {"a": "customer", "c": "provider"})
     c = border("c", {"b": "customer", "a": "provider"}, [lent()])
     a = border("a", {"b": "provider", "c": "customer"})
     ask(b, c, SECOND)
     # c reports that a is its provider; the other two relations are in b's own configuration.
-    assert b.circle == ["a", "b", "c"] and ways(b, SECOND) == [("c",)]
+    assert b.provider_cycle == ["a", "b", "c"] and ways(b, SECOND) == [("c",)]
     ask(a, b, SECOND)
-    assert a.circle == ["a", "b", "c"] and ways(a, SECOND) == []
+    assert a.provider_cycle == ["a", "b", "c"] and ways(a, SECOND) == []
 
 
 def test_the_number_of_offers_remembered_per_owner_is_bounded() -> None:
@@ -344,7 +351,7 @@
 def test_the_content_digest_leaves_out_only_stamp_and_signature() -> None:
     offer = chain_of("c").offer
     assert content_digest(offer) == content_digest(msgspec.structs.replace(offer, stamp_ms=9, signature=b""))
-    for change in ({"cost": 9}, {"version": 9}, {"birth": 9}, {"terms": ANYTHING}):
+    for change in ({"cost": 9}, {"version": 9}, {"boot_id": 9}, {"terms": ANYTHING}):
         assert content_digest(offer) != content_digest(msgspec.structs.replace(offer, **change))
 
 
@@ -357,5 +364,5 @@
         verified.append(site)
         return VERIFY(site, signature, data)
 
-    found = prove([good, *forged], verify, lambda site: True, ())
-    assert found[0] is None and set(found[1:]) == {Why.SIGNATURE} and len(verified) == 1 + MAX_FORGED
+    found = verify_chains([good, *forged], verify, lambda site: True, ())
+    assert found[0] is None and set(found[1:]) == {UnusedReason.SIGNATURE} and len(verified) == 1 + MAX_FORGED
--- a/tests/sites/test_terms.py
+++ b/tests/sites/test_terms.py
@@ -27,11 +27,11 @@
 @given(TERMS, TERMS, st.sampled_from("abc"), st.sampled_from("abc"))
 def test_the_meet_allows_exactly_what_both_allow(one: Terms, other: Terms, site: str, cls: str) -> None:
     both = meet(one, other)
-    assert both.lends(site, cls) == (one.lends(site, cls) and other.lends(site, cls))
-    assert both.carries(site) == (one.carries(site) and other.carries(site))
+    assert both.allows_use(site, cls) == (one.allows_use(site, cls) and other.allows_use(site, cls))
+    assert both.allows_onward(site) == (one.allows_onward(site) and other.allows_onward(site))
     if both.empty:
-        assert not both.lends(site, cls)
+        assert not both.allows_use(site, cls)
 
 
 def test_an_offer_is_not_re_advertised_by_default() -> None:
-    assert not terms().carries("a") and terms(onward=None).carries("a")
+    assert not terms().allows_onward("a") and terms(onward=None).allows_onward("a")
--- a/tests/sites/test_worlds.py
+++ b/tests/sites/test_worlds.py
@@ -8,16 +8,16 @@
 import pytest
 
 from sorrelfront.decisions.sites import routes
-from sorrelfront.decisions.sites.offers import Why
+from sorrelfront.decisions.sites.offers import UnusedReason
 from sorrelfront.decisions.sites.routes import Border
 from sorrelfront.lab.sites.explorer import explore
-from sorrelfront.lab.sites.routes import World
+from sorrelfront.lab.sites.routes import Simulation
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_seeds_run_without_breaches(seed: int) -> None:
-    world = World(seed)
-    world.play()
+    world = Simulation(seed)
+    world.run_scenario()
     assert not world.breaches
     assert world.sent or not any(site.lent for site in world.sites.values())
 
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("triangle", [False, True])
 def test_every_order_of_a_few_events_among_three_sites(triangle: bool) -> None:
     found = explore(3, triangle=triangle)
-    assert not found.broken and found.states > 100
+    assert not found.violation and found.states > 100
 
 
 class NeverExpires(Border):
@@ -38,18 +38,18 @@
 class ForgetsStates(Border):
     """Does not remember the newest state of an offer."""
 
-    def _record_chain(self, *told: Any) -> Why | None:
+    def _record_chain(self, *told: Any) -> UnusedReason | None:
         return None
 
-    def record_state(self, *told: Any, **more: Any) -> Why | None:
+    def record_state(self, *told: Any, **more: Any) -> UnusedReason | None:
         return None
 
 
 def found(make: type[Border], seeds: Iterable[int]) -> int:
     count = 0
     for seed in seeds:
-        world = World(seed, make)
-        world.play()
+        world = Simulation(seed, make)
+        world.run_scenario()
         count += bool(world.breaches)
     return count
 
@@ -59,15 +59,15 @@
 
 
 def test_exploring_event_orders_finds_a_border_that_forgets_withdrawals() -> None:
-    assert "forbidden" in explore(4, ForgetsStates, triangle=True).broken
+    assert "forbidden" in explore(4, ForgetsStates, triangle=True).violation
 
 
 def test_seeds_find_a_border_that_accepts_widened_terms(monkeypatch: pytest.MonkeyPatch) -> None:
     judged = routes.__dict__["fault"]
 
-    def fault(*told: Any) -> Why | None:
-        why: Why | None = judged(*told)
-        return None if why in (Why.WIDENED, Why.NOT_PASSED_ON) else why
+    def fault(*told: Any) -> UnusedReason | None:
+        why: UnusedReason | None = judged(*told)
+        return None if why in (UnusedReason.WIDENED, UnusedReason.NOT_PASSED_ON) else why
 
     monkeypatch.setitem(routes.__dict__, "fault", fault)
     assert found(Border, range(12)) >= 2
--- a/tests/sources/test_registry.py
+++ b/tests/sources/test_registry.py
@@ -16,11 +16,11 @@
 
 from sorrelfront.decisions import listing
 from sorrelfront.decisions.interface import State
-from sorrelfront.lists import Malformed
+from sorrelfront.lists import MalformedList
 from sorrelfront.messages import Update
 from sorrelfront.platform.config import parse
 from sorrelfront.sources.registry import Discovery, UpdateSplitter, watch
-from tests.loopback import looped, member, table, until
+from tests.loopback import async_test, make_config, member, until
 
 SILENCE_US = 250_000
 Send = Callable[[bytes], None]
@@ -118,14 +118,14 @@
 
 @pytest.fixture(autouse=True)
 def scaled(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listing, "SILENCE_US", SILENCE_US)
-    monkeypatch.setattr(listing, "COUNTS_US", 100 * SILENCE_US)
-    monkeypatch.setattr(listing, "MOVED_US", 100 * SILENCE_US)
+    monkeypatch.setattr(listing, "READ_TIMEOUT_US", SILENCE_US)
+    monkeypatch.setattr(listing, "KNOWN_AFTER_SILENCE_US", 100 * SILENCE_US)
+    monkeypatch.setattr(listing, "KNOWN_AFTER_MOVE_US", 100 * SILENCE_US)
 
 
 @contextlib.asynccontextmanager
 async def watching(service: Service, pushed: bool = False) -> Any:
-    config = table("{}:{}".format(*service.address), [])
+    config = make_config("{}:{}".format(*service.address), [])
     if pushed:
         config["settings"]["registryMode"] = "automatic"
     received = Received()
@@ -148,7 +148,7 @@
     ],
     ids=["silent", "silent-in-a-line", "single-bytes"],
 )
-@looped
+@async_test
 async def test_a_watch_that_falls_silent_is_reopened_without_waiting_for_the_back_off(first: Script) -> None:
     service = await Service(first, sends_heartbeats(update(3, DRAINS))).start()
     async with watching(service) as (received, _):
@@ -157,7 +157,7 @@
         assert service.after == [1, 2]
 
 
-@looped
+@async_test
 async def test_after_a_silence_failed_calls_are_repeated_soon() -> None:
     ends = sends(end=True)
     service = await Service(
@@ -168,7 +168,7 @@
         assert received.failures == 0
 
 
-@looped
+@async_test
 async def test_a_watch_that_ends_without_a_line_is_left_to_the_back_off() -> None:
     service = await Service(sends(end=True)).start()
     async with watching(service) as (received, _):
@@ -176,7 +176,7 @@
         assert len(service.after) == 1
 
 
-@looped
+@async_test
 async def test_a_call_that_is_never_answered_counts_as_failed() -> None:
     async def nothing(send: Send, go: asyncio.Event) -> None:
         await go.wait()
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("indent", [0, 1, 4])
-@looped
+@async_test
 async def test_indented_lists_are_read(indent: int) -> None:
     whole, change = update(2, READY, complete=True, indent=indent), update(3, DRAINS, indent=indent)
     service = await Service(sends_heartbeats(whole, change)).start()
@@ -200,7 +200,7 @@
 @pytest.mark.parametrize(
     "unreadable", [b"{nonsense}\n", update(3, DRAINS)[:30] + b"\n", update(3, DRAINS, indent=1)[:30] + b"\n"]
 )
-@looped
+@async_test
 async def test_an_unreadable_update_is_requested_again_at_once(unreadable: bytes) -> None:
     service = await Service(
         sends_heartbeats(update(2, READY, complete=True), unreadable), sends_heartbeats(update(3, DRAINS))
@@ -210,7 +210,7 @@
         assert service.after == [1, 2] and received.failures == 0
 
 
-@looped
+@async_test
 async def test_an_update_that_stays_unreadable_is_skipped_and_later_ones_are_applied() -> None:
     service = await Service(
         sends_heartbeats(update(2, READY, complete=True), b"{nonsense}\n", update(4, DRAINS))
@@ -220,7 +220,7 @@
         assert len(service.after) == 2
 
 
-@looped
+@async_test
 async def test_subscribing_keeps_an_open_call() -> None:
     """A timer set after a failure fires after a move has opened a call; reopening would lose its turn."""
 
@@ -238,7 +238,7 @@
         assert len(service.after) == 1
 
 
-@looped
+@async_test
 async def test_the_watch_on_a_pushed_list_is_reopened_through_an_outage() -> None:
     ends = sends(end=True)
     service = await Service(
@@ -249,7 +249,7 @@
         assert received.failures == 0
 
 
-@looped
+@async_test
 async def test_after_a_move_failed_calls_at_the_new_address_are_repeated() -> None:
     old = await Service(sends(update(2, READY, complete=True))).start()
     new = await Service(sends(end=True), sends(end=True), sends_heartbeats(update(3, DRAINS))).start()
@@ -271,10 +271,10 @@
     assert parts[:-1] == [None] * 5
     assert json.loads(parts[-1] or b"") == {"a": "}{[", "b": [{}]}
     assert splitter.add(b"{") is None
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedList):
         splitter.add(b"")  # a heartbeat within an object
     assert splitter.add(b'{"a":2}') == b'{"a":2}'
     assert splitter.add(b'{"revision": 3, "members": [') is None
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedList):
         splitter.add(update(4, DRAINS).strip())  # the next object after a truncated one
     assert splitter.add(update(4, DRAINS).strip()) is not None
--- a/tests/sources/test_zookeeper.py
+++ b/tests/sources/test_zookeeper.py
@@ -16,17 +16,17 @@
 from sorrelfront.decisions.interface import State
 from sorrelfront.decisions.membership import Answering
 from sorrelfront.fronts.http1 import Listener
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, answer, connect, request, table
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, answer, connect, make_config, request
 from sorrelfront.lab.zookeeper.ensemble import Ensemble
 from sorrelfront.lab.zookeeper.registrar import Registrar
-from sorrelfront.lists import Malformed, parse_address
+from sorrelfront.lists import MalformedList, parse_address
 from sorrelfront.messages import Update
 from sorrelfront.net import zookeeper as net
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.net.jute import Stat
 from sorrelfront.platform.config import parse
 from sorrelfront.sources import zookeeper as source
-from sorrelfront.sources.zookeeper import Ephemeral, Terms, parse_record
+from sorrelfront.sources.zookeeper import EphemeralNodeSource, SourceSettings, parse_record
 from sorrelfront.upstreams.http1 import Upstream
 from tests.loopback import until
 
@@ -44,12 +44,12 @@
         self.history: list[tuple[float, str, State]] = []
         self.answering: dict[str, Answering] = {}
         self.seat_changes: list[int | None] = []
-        settings = Terms(
-            net.Terms(self.hosts, SESSION_S), PATH, fleet,
-            membership.Terms(int(suspect_s * 1e6), 200_000, 5_000_000),
-            places.Terms(hole_us=300_000, keep_us=1_000_000, spread_us=20_000),
+        settings = SourceSettings(
+            net.SessionSettings(self.hosts, SESSION_S), PATH, fleet,
+            membership.Settings(int(suspect_s * 1e6), 200_000, 5_000_000),
+            places.Settings(hole_us=300_000, keep_us=1_000_000, spread_us=20_000),
         )  # fmt: skip
-        self.source = Ephemeral(
+        self.source = EphemeralNodeSource(
             settings, seed, f"i{seed}", Clock(), lambda name, _: self.answering.get(name, Answering.UNKNOWN),
             self.on_update, self.seat_changes.append,
         )  # fmt: skip
@@ -90,7 +90,7 @@
     registrar = Registrar(ensemble.hosts, PATH, SESSION_S)
     env = Environment(ensemble, registrar)
     try:
-        await registrar.make_path()
+        await registrar.create_path()
         yield env
     finally:
         for instance in env.instances:
@@ -101,7 +101,7 @@
 
 def run_scenario(scenario: Callable[[Environment], Awaitable[None]], members: int = 1) -> None:
     async def run() -> None:
-        async with asyncio.timeout(PATIENCE_S), environment(members) as env:
+        async with asyncio.timeout(WAIT_TIMEOUT_S), environment(members) as env:
             await scenario(env)
 
     asyncio.run(run())
@@ -114,7 +114,7 @@
         await until(lambda: instance.ready == everyone)
         await env.registrar.drain("b1")
         await until(lambda: instance.states["b1"] is State.DRAINING)
-        await env.registrar.leave("b2")
+        await env.registrar.deregister("b2")
         await until(lambda: instance.states["b2"] is State.DRAINING)
         assert instance.ready == everyone - {"b1", "b2"}
 
@@ -141,14 +141,14 @@
         backends = [await Backend(answer(b"served")).start() for _ in range(3)]
         for at, backend in enumerate(backends):
             await env.registrar.register(f"b{at}", backend.address)
-        config = parse(table("127.0.0.1:9", []))
+        config = parse(make_config("127.0.0.1:9", []))
         descriptors = Descriptors(config.sockets)
         upstream = Upstream(descriptors.backends, config.idle_us, config.settings.connect_timeout_us)
         hosts = tuple(parse_address(host) for host in env.ensemble.hosts.split(","))
-        settings = Terms(net.Terms(hosts, SESSION_S), PATH)
+        settings = SourceSettings(net.SessionSettings(hosts, SESSION_S), PATH)
 
-        def source(_: Any, on_update: Any, __: Any) -> Ephemeral:
-            return Ephemeral(settings, 1, "i0", Clock(), lambda *_: Answering.UNKNOWN, on_update)
+        def source(_: Any, on_update: Any, __: Any) -> EphemeralNodeSource:
+            return EphemeralNodeSource(settings, 1, "i0", Clock(), lambda *_: Answering.UNKNOWN, on_update)
 
         agent = Agent(config, upstream, source)
         listener = Listener(agent, ("127.0.0.1", 0), descriptors, BodyBudget(config.memory_bytes))
@@ -179,7 +179,7 @@
         await env.registrar.drain("b5")
         await until(lambda: instance.states["b5"] is State.DRAINING)
         before = len(instance.history)
-        env.registrar.servers["b5"].again = False
+        env.registrar.servers["b5"].reregister = False
         env.ensemble.expire_under(PATH)
         await until(lambda: len(env.ensemble.tree.nodes[PATH].children) == 7)
         await until(lambda: instance.source.tracker.suspects == 0 and not instance.source._unread)
@@ -198,7 +198,7 @@
         await until(lambda: instance.source.tracker.suspects == 5)
         assert instance.ready == everyone
         await (
-            env.registrar.make_path()
+            env.registrar.create_path()
         )  # the owner of the path creates it again, and the servers register again
         await until(lambda: instance.source.tracker.suspects == 0)
         assert instance.ready == everyone and all(state is State.READY for _, _, state in instance.history)
@@ -212,7 +212,7 @@
         instance = env.instance(suspect_s=1.0)
         await until(lambda: instance.ready == everyone)
         for item in env.registrar.servers.values():
-            item.again = item.name == "b0"
+            item.reregister = item.name == "b0"
         env.ensemble.expire_under(PATH)
         await until(lambda: instance.source.tracker.suspects == 5)
         assert instance.ready == everyone
@@ -245,9 +245,9 @@
         everyone = await env.servers(3)
         member, tree = env.ensemble.members[0], env.ensemble.tree
         member.answer_delay_s = 0.2
-        asked = member.asked["GET_CHILDREN2"]
+        asked = member.request_counts["GET_CHILDREN2"]
         instance = env.instance()
-        await until(lambda: member.asked["GET_CHILDREN2"] > asked)  # sent, without a response yet
+        await until(lambda: member.request_counts["GET_CHILDREN2"] > asked)  # sent, without a response yet
         late = json.dumps({"id": "late", "address": "127.0.0.1:8999"}).encode()
         tree.create(f"{PATH}/late", late, tree.nodes["/"].acls, 0, 0, set(), 0)
         await until(lambda: instance.ready == everyone | {"late"})
@@ -266,7 +266,7 @@
             env.registrar.servers["b2"].record["phase"] = phase
             record = json.dumps(env.registrar.servers["b2"].record).encode()
             await env.registrar.servers["b2"].session.put(f"{PATH}/b2", record)
-        await env.registrar.leave("b3")
+        await env.registrar.deregister("b3")
         await until(lambda: instance.ready == {"b0", "b1"})
 
     run_scenario(scenario)
@@ -280,7 +280,7 @@
         instance = env.instance(suspect_s=1_000.0)  # as a suspect it would stay in the list
         await until(lambda: instance.ready == everyone)
         # It writes its drain and is deleted at the same moment as all others.
-        env.registrar.servers["b6"].again = False
+        env.registrar.servers["b6"].reregister = False
         record = json.dumps({"id": "b6", "address": "127.0.0.1:9006", "phase": "draining"}).encode()
         env.ensemble.tree.set(f"{PATH}/b6", record, -1, set(), 0)
         env.ensemble.expire_under(PATH)
@@ -298,7 +298,7 @@
         await until(lambda: instance.ready == everyone)
         lagging = env.ensemble.members[0]
         lagging.freeze()
-        await env.registrar.leave("b1")
+        await env.registrar.deregister("b1")
         await until(lambda: "b1" not in instance.ready)
         reported = len(instance.history)
         for member in env.ensemble.members:
@@ -322,7 +322,7 @@
         env.ensemble.expire(instance.source._session.id)
         await until(lambda: instance.source.figures()["service"] == "silent")
         assert instance.ready == everyone
-        env.ensemble.go_on()
+        env.ensemble.resume()
         await until(lambda: instance.source.figures()["service"] == "connected"
                     and instance.source.seats is not None
                     and instance.source.seats.allocator.held == 0)  # fmt: skip
@@ -340,10 +340,10 @@
         await until(lambda: instance.ready == everyone)
         env.ensemble.members[0].stall()
         env.ensemble.tree.close(env.registrar.servers["b1"].session.id)
-        env.registrar.servers["b1"].again = False
+        env.registrar.servers["b1"].reregister = False
         record = json.dumps({"id": "new", "address": "127.0.0.1:9001", "started_ms": 5_000}).encode()
         env.ensemble.tree.create(f"{PATH}/new", record, env.ensemble.tree.nodes["/"].acls, 0, 0, set(), 0)
-        env.ensemble.go_on()
+        env.ensemble.resume()
         await until(lambda: "new" in instance.ready)
         assert instance.states["b1"] is State.GONE and instance.started["new"] == 5_000_000
 
@@ -386,7 +386,7 @@
 
         await until(lambda: held() == set(range(50)))
         seat_changes = [list(instance.seat_changes) for instance in instances]
-        before = dict(env.ensemble.asked)
+        before = dict(env.ensemble.request_counts)
         env.ensemble.members[0].vanish()
         await until(lambda: all(instance.source.figures()["service"] == "silent" for instance in instances))
         await env.ensemble.members[0].come_back()
@@ -395,7 +395,7 @@
         )
         await env.registrar.drain("b4")
         await until(lambda: all(instance.ready == everyone - {"b4"} for instance in instances))
-        asked = {name: count - before.get(name, 0) for name, count in env.ensemble.asked.items()}
+        asked = {name: count - before.get(name, 0) for name, count in env.ensemble.request_counts.items()}
         # Watches are set again with one request each; only scenario changed and the seats are read.
         assert asked["SET_WATCHES"] >= 50
         assert held() == set(range(50))
@@ -436,7 +436,9 @@
         session = instance.source._session
         instance.source.change(settings)
         assert instance.source._session is session
-        changed = Terms(settings.session, "/elsewhere", settings.fleet, settings.trust, settings.seats)
+        changed = SourceSettings(
+            settings.session, "/elsewhere", settings.seats_path, settings.suspicion, settings.seats
+        )
         instance.source.change(changed)
         await until(lambda: instance.source.tracker.suspects == 5)
         assert instance.ready == everyone and instance.source._session is not session
@@ -458,7 +460,7 @@
         ("id", ""), ("id", None), ("id", "x" * 200), ("address", "a:1"), ("address", None), ("phase", "gone"),
         ("cell", -1), ("cell", True), ("size", 0), ("size", "1"), ("started_ms", 2**60), ("zone", 5),
     ):  # fmt: skip
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedList):
             parse_record(json.dumps({**full, key: bad}).encode(), STAT)
 
 
@@ -507,7 +509,7 @@
         instance = env.instance()
         await until(lambda: instance.source.reads >= 2)
         assert not instance.history and instance.source.figures()["list_age_ms"] is None
-        await env.registrar.make_path()
+        await env.registrar.create_path()
         everyone = await env.servers(2)
         await until(lambda: instance.ready == everyone)
 
--- a/tests/storm/test_checkers.py
+++ b/tests/storm/test_checkers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sorrelfront.lab.storm import checkers
-from sorrelfront.lab.storm.checkers import CHECKERS, judge
+from sorrelfront.lab.storm.checkers import CHECKERS, run_checkers
 from sorrelfront.lab.storm.history import Event
 
 
@@ -32,12 +32,12 @@
 
 
 def breached_rules(events: list[Event]) -> set[str]:
-    return {name for name, found in judge(events).items() if found}
+    return {name for name, found in run_checkers(events).items() if found}
 
 
 def test_a_history_without_faults_has_no_breach() -> None:
     assert breached_rules(history(ask(1, "a"), answer(1.01, "a"))) == set()
-    assert set(judge([])) == set(CHECKERS)
+    assert set(run_checkers([])) == set(CHECKERS)
 
 
 def test_a_lost_duplicate_or_missing_answer() -> None:
@@ -90,7 +90,7 @@
     assert breached_rules(history(drains, sent(1.6, "h2"))) == set()  # the other host was not told
     two = history(drains, sent(1.6), sent(2.7), (2.0, "told", drains[2]))
     two[0]["instances"] = 2
-    assert [item.t for item in judge(two)["drains"]] == [2.71]  # from when its second watch was told
+    assert [item.t for item in run_checkers(two)["drains"]] == [2.71]  # from when its second watch was told
     ready = (1.2, "told", {"host": "h1", "server": "s1", "phase": "ready"})
     assert breached_rules(history(drains, ready, sent(1.6))) == set()
     assert (
--- a/tests/storm/test_disk.py
+++ b/tests/storm/test_disk.py
@@ -10,16 +10,16 @@
 import pytest
 
 from sorrelfront.daemon import records
-from sorrelfront.daemon.records import Kind, seal
+from sorrelfront.daemon.records import RecordKind, encode_record
 from sorrelfront.lab.storm import disk
 from sorrelfront.lab.storm.disk import (
+    DiskFaults,
     LoggedDisk,
-    Trouble,
     cut_power,
     make_ops,
     read_log,
+    set_disk_faults,
     state_after_cut,
-    tell_trouble,
 )
 
 WRITE = (
@@ -84,18 +84,18 @@
 ) -> None:
     target = tmp_path / "fleet"
     for count in range(20):
-        data = seal(Kind.FLEET, b"%d" % count)
+        data = encode_record(RecordKind.FLEET, b"%d" % count)
         records.write(target, data)
         assert not cut_power(tmp_path, rng(count)).broken
         assert not cut_power(tmp_path, rng(1_000 + count)).broken  # during the recovery from the first
-        assert records.read(target, Kind.FLEET) == b"%d" % count
+        assert records.read(target, RecordKind.FLEET) == b"%d" % count
 
 
 def test_a_program_that_skips_syncs_is_detected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(records, "disk", LoggedDisk(tmp_path, skip_sync=True))
     detected = 0
     for count in range(20):
-        records.write(tmp_path / "fleet", seal(Kind.FLEET, b"%d" % count))
+        records.write(tmp_path / "fleet", encode_record(RecordKind.FLEET, b"%d" % count))
         detected += bool(cut_power(tmp_path, rng(count)).broken)
     assert detected >= 10
 
@@ -112,47 +112,47 @@
     def die(*_: object) -> None:
         raise Killed
 
-    records.write(target, seal(Kind.FLEET, b"before"))
+    records.write(target, encode_record(RecordKind.FLEET, b"before"))
     for step in ("create", "append", "sync", "replace", "sync_folder"):
         for seed in range(10):
             with monkeypatch.context() as patch:
                 patch.setattr(logged, step, die)
                 with pytest.raises(Killed):
-                    records.write(target, seal(Kind.FLEET, b"after"))
+                    records.write(target, encode_record(RecordKind.FLEET, b"after"))
             left = cut_power(tmp_path, rng(seed))
             assert not left.broken
-            assert records.read(target, Kind.FLEET) in (b"before", b"after")
-        records.write(target, seal(Kind.FLEET, b"before"))
+            assert records.read(target, RecordKind.FLEET) in (b"before", b"after")
+        records.write(target, encode_record(RecordKind.FLEET, b"before"))
 
 
 def test_a_full_or_readonly_disk_keeps_the_previous_record(tmp_path: Path, logged: LoggedDisk) -> None:
     target = tmp_path / "fleet"
-    records.write(target, seal(Kind.FLEET, b"before"))
-    for faults in (Trouble(full=True), Trouble(readonly=True)):
-        tell_trouble(tmp_path, faults)
+    records.write(target, encode_record(RecordKind.FLEET, b"before"))
+    for faults in (DiskFaults(full=True), DiskFaults(readonly=True)):
+        set_disk_faults(tmp_path, faults)
         with pytest.raises(OSError):
-            records.write(target, seal(Kind.FLEET, b"after"))
-        assert records.read(target, Kind.FLEET) == b"before"
+            records.write(target, encode_record(RecordKind.FLEET, b"after"))
+        assert records.read(target, RecordKind.FLEET) == b"before"
         assert not cut_power(tmp_path, rng(1)).broken
-    tell_trouble(tmp_path, Trouble())
-    records.write(target, seal(Kind.FLEET, b"after"))
-    assert records.read(target, Kind.FLEET) == b"after"
+    set_disk_faults(tmp_path, DiskFaults())
+    records.write(target, encode_record(RecordKind.FLEET, b"after"))
+    assert records.read(target, RecordKind.FLEET) == b"after"
 
 
 def test_a_truncated_log_is_read_up_to_the_last_whole_line(tmp_path: Path, logged: LoggedDisk) -> None:
     records.write(tmp_path / "fleet", b"x")
-    whole = read_log(tmp_path / disk.LOG)
-    with (tmp_path / disk.LOG).open("ab") as file:
+    whole = read_log(tmp_path / disk.LOG_FILE)
+    with (tmp_path / disk.LOG_FILE).open("ab") as file:
         file.write(b'{"op":"crea')
-    assert read_log(tmp_path / disk.LOG) == whole
+    assert read_log(tmp_path / disk.LOG_FILE) == whole
     assert [step.op for step in whole] == ["create", "write", "sync", "rename", "folder", "done"]
 
 
 def test_descriptors_are_closed_after_faults(tmp_path: Path, logged: LoggedDisk) -> None:
     records.write(tmp_path / "fleet", b"x")
     before = len(os.listdir("/proc/self/fd"))
-    for faults in (Trouble(full=True), Trouble(), Trouble(readonly=True)):
-        tell_trouble(tmp_path, faults)
+    for faults in (DiskFaults(full=True), DiskFaults(), DiskFaults(readonly=True)):
+        set_disk_faults(tmp_path, faults)
         for _ in range(5):
             with contextlib.suppress(OSError):
                 records.write(tmp_path / "fleet", b"x")
--- a/tests/storm/test_links.py
+++ b/tests/storm/test_links.py
@@ -14,9 +14,9 @@
 import numpy as np
 import pytest
 
-from sorrelfront.lab.http1 import PATIENCE_S, Backend, answer, connect, request
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, answer, connect, request
 from sorrelfront.lab.storm.links import MAX_BUFFERED_BYTES, Network, TcpRelay, UdpRelay
-from tests.loopback import looped, until
+from tests.loopback import async_test, until
 
 BOTH = [("a", "b"), ("b", "a")]
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]
@@ -62,13 +62,13 @@
     writer.close()
 
 
-@looped
+@async_test
 async def test_bytes_pass_and_both_sides_are_closed() -> None:
     async with relayed(echo) as service:
         reader, writer = await service.open()
         writer.write(b"x" * 1_000_000)
         writer.write_eof()  # half-close: the reply still passes
-        got = await asyncio.wait_for(reader.read(-1), PATIENCE_S)
+        got = await asyncio.wait_for(reader.read(-1), WAIT_TIMEOUT_S)
         assert len(got) == 1_000_000
         writer.close()
         await until(lambda: service.relay.open == 0)
@@ -76,7 +76,7 @@
         assert service.network.figures()["relayed"] > 0
 
 
-@looped
+@async_test
 async def test_both_sides_close_at_once() -> None:
     writers: list[asyncio.StreamWriter] = []
 
@@ -93,7 +93,7 @@
         await until(lambda: service.relay.open == 0)
 
 
-@looped
+@async_test
 async def test_a_reset_reaches_the_other_side_as_a_reset_with_bytes_still_queued() -> None:
     ended: list[str] = []
 
@@ -120,7 +120,7 @@
         await until(lambda: service.relay.open == 0)
 
 
-@looped
+@async_test
 async def test_a_cut_holds_what_was_sent_and_leaves_new_connections_unanswered() -> None:
     async with relayed(echo) as service:
         reader, writer = await service.open()
@@ -133,16 +133,16 @@
         with socket.socket() as late:
             assert not await service.answers(late)
             service.network.change(BOTH, cut=False)
-            assert await asyncio.wait_for(reader.readexactly(3), PATIENCE_S) == b"two"
+            assert await asyncio.wait_for(reader.readexactly(3), WAIT_TIMEOUT_S) == b"two"
             # The kernel retransmits the SYN, as it would on a real link that works again.
             await asyncio.wait_for(
-                asyncio.get_running_loop().sock_connect(late, service.relay.address), PATIENCE_S
+                asyncio.get_running_loop().sock_connect(late, service.relay.address), WAIT_TIMEOUT_S
             )
         writer.close()
         await until(lambda: service.relay.open == 0)
 
 
-@looped
+@async_test
 async def test_a_one_way_cut() -> None:
     received: list[bytes] = []
 
@@ -165,7 +165,7 @@
         writer.close()
 
 
-@looped
+@async_test
 async def test_a_cut_sender_waits_once_the_buffer_is_full() -> None:
     async with relayed(echo) as service:
         _, writer = await service.open()
@@ -181,7 +181,7 @@
         writer.transport.abort()
 
 
-@looped
+@async_test
 async def test_refused_reset_and_half_open_connections() -> None:
     async with relayed(echo) as service:
         reader, writer = await service.open()
@@ -195,23 +195,23 @@
         service.network.change(BOTH, refuse=False)
         assert service.network.reset(BOTH) == 1
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.readexactly(1), PATIENCE_S)
+            await asyncio.wait_for(reader.readexactly(1), WAIT_TIMEOUT_S)
 
         reader, writer = await service.open()
         writer.write(b"c")
         await reader.readexactly(1)
-        assert service.network.forget(BOTH) == 1
+        assert service.network.leave_half_open(BOTH) == 1
         writer.write(b"d")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.2)
         fresh, other = await service.open()  # new connections work
         other.write(b"e")
-        assert await asyncio.wait_for(fresh.readexactly(1), PATIENCE_S) == b"e"
+        assert await asyncio.wait_for(fresh.readexactly(1), WAIT_TIMEOUT_S) == b"e"
         writer.close()
         other.close()
 
 
-@looped
+@async_test
 async def test_a_delay_keeps_the_order_of_bytes() -> None:
     async with relayed(echo) as service:
         service.network.change(BOTH, delay=0.002, spread=0.02)
@@ -220,7 +220,7 @@
         for at in range(0, len(sent), 100):
             writer.write(sent[at : at + 100])
             await asyncio.sleep(0)
-        assert await asyncio.wait_for(reader.readexactly(len(sent)), PATIENCE_S) == sent
+        assert await asyncio.wait_for(reader.readexactly(len(sent)), WAIT_TIMEOUT_S) == sent
         writer.close()
 
 
@@ -243,7 +243,7 @@
 """
 
 
-@looped
+@async_test
 async def test_five_thousand_connections_through_one_pair() -> None:
     """The service runs in its own process, because three descriptors of each connection are in this one."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -263,7 +263,7 @@
             for number, (_, writer) in enumerate(made):
                 writer.write(b"%08d" % number)
             for number, (reader, _) in enumerate(made):
-                assert await asyncio.wait_for(reader.readexactly(8), PATIENCE_S) == b"%08d" % number
+                assert await asyncio.wait_for(reader.readexactly(8), WAIT_TIMEOUT_S) == b"%08d" % number
             assert service.network.reset(BOTH) == count
             await until(lambda: service.relay.open == 0)
             for _, writer in made:
@@ -274,7 +274,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-@looped
+@async_test
 async def test_a_cut_in_the_middle_of_a_request_leaves_the_sender_in_doubt() -> None:
     """A cut holds back the last byte: the request looks sent, but the server has not seen it."""
     backend = await Backend(answer(b"done")).start()
@@ -291,10 +291,10 @@
         client.send(whole[-1:])  # accepted by the kernel: it looks sent
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(client.reader.read(1), 0.2)
-        assert not backend.seen
+        assert not backend.received
         network.change(BOTH, cut=False)
         status, _, _ = await client.answer()
-        assert status == 200 and len(backend.seen) == 1
+        assert status == 200 and len(backend.received) == 1
         client.close()
     finally:
         network.close()
@@ -337,7 +337,7 @@
         service.transport.close()
 
 
-@looped
+@async_test
 async def test_the_largest_datagram_passes_both_ways() -> None:
     async with datagrams() as (_, _, client, service):
         whole = bytes(range(256)) * 255 + b"x" * 227
@@ -347,7 +347,7 @@
         assert service.got == [whole]
 
 
-@looped
+@async_test
 async def test_datagrams_are_lost_doubled_reordered_and_cut_each_way_by_itself() -> None:
     async with datagrams() as (network, relay, client, service):
         network.change([("a", "b")], loss=0.3, double=0.2, reorder=0.2)
--- a/tests/storm/test_processes.py
+++ b/tests/storm/test_processes.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from sorrelfront.lab.http1 import PATIENCE_S
-from sorrelfront.lab.storm.processes import MARK, Owned, kill_all, marked, signal_all
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
+from sorrelfront.lab.storm.processes import MARK, ManagedProcess, find_marked, kill_marked, signal_marked
 from sorrelfront.lab.storm.stage import claim_block
-from tests.loopback import looped, until
+from tests.loopback import async_test, until
 from tests.test_process import ROOT
 
 STORM_RUN = [sys.executable, "-m", "sorrelfront.cli.main", "storm", "run"]
@@ -25,37 +25,37 @@
 
 
 @contextlib.asynccontextmanager
-async def owned(words: list[str], mark: str) -> AsyncIterator[Owned]:
-    made = Owned(words, {**os.environ, MARK: mark}, ROOT, 2)
+async def owned(words: list[str], mark: str) -> AsyncIterator[ManagedProcess]:
+    made = ManagedProcess(words, {**os.environ, MARK: mark}, ROOT, 2)
     try:
         yield made
     finally:
-        kill_all(mark)
+        kill_marked(mark)
         await made.reap()
 
 
-@looped
+@async_test
 async def test_a_stopped_process_is_found_and_killed() -> None:
     mark = uuid.uuid4().hex
     async with owned(SLEEPER, mark) as process:
-        await until(lambda: process.pid in marked(mark))
+        await until(lambda: process.pid in find_marked(mark))
         process.signal(signal.SIGSTOP)
         assert await process.reap(0.1) is None  # its pidfd does not become readable while it is stopped
-        assert process.pid in marked(mark)
-        assert kill_all(mark)
+        assert process.pid in find_marked(mark)
+        assert kill_marked(mark)
         assert await process.reap() == -signal.SIGKILL
-        assert not marked(mark)
+        assert not find_marked(mark)
 
 
-@looped
+@async_test
 async def test_a_process_that_ends_at_once() -> None:
     async with owned([sys.executable, "-c", "raise SystemExit(7)"], uuid.uuid4().hex) as process:
-        assert await process.reap(PATIENCE_S) == 7
+        assert await process.reap(WAIT_TIMEOUT_S) == 7
         process.signal(signal.SIGKILL)  # the pidfd is closed: nothing is signalled
         assert process.pidfd == -1
 
 
-@looped
+@async_test
 async def test_children_carry_the_mark_and_a_common_prefix_does_not_match() -> None:
     mark = uuid.uuid4().hex
     child = f"import subprocess, time; subprocess.Popen({SLEEPER}); time.sleep(60)"
@@ -63,25 +63,25 @@
         owned([sys.executable, "-c", child], f"{mark}/h1") as process,
         owned(SLEEPER, f"{mark}/h11") as other,
     ):
-        await until(lambda: len(marked(f"{mark}/h1")) == 2)
-        await until(lambda: len(marked(mark)) == 3)
+        await until(lambda: len(find_marked(f"{mark}/h1")) == 2)
+        await until(lambda: len(find_marked(mark)) == 3)
         process.signal(signal.SIGKILL)
         await process.reap()
-        assert len(marked(f"{mark}/h1")) == 1  # its parent is gone, and it is still found
-        assert kill_all(f"{mark}/h1")
-        assert list(marked(mark)) == [other.pid]
+        assert len(find_marked(f"{mark}/h1")) == 1  # its parent is gone, and it is still found
+        assert kill_marked(f"{mark}/h1")
+        assert list(find_marked(mark)) == [other.pid]
 
 
-@looped
+@async_test
 async def test_a_reused_pid_is_not_signalled(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = uuid.uuid4().hex
     async with owned(SLEEPER, mark) as process:
-        await until(lambda: process.pid in marked(mark))
+        await until(lambda: process.pid in find_marked(mark))
         from sorrelfront.lab.storm import processes
 
         # As if since the scan the pid had passed to a process with another start time.
-        monkeypatch.setattr(processes, "marked", lambda _: {process.pid: 1})
-        assert signal_all(mark, signal.SIGKILL) == 0
+        monkeypatch.setattr(processes, "find_marked", lambda _: {process.pid: 1})
+        assert signal_marked(mark, signal.SIGKILL) == 0
         assert await process.reap(0.1) is None
 
 
@@ -113,7 +113,7 @@
             len(_processes_with(word)) >= 6
         )  # the harness, its clean-up process, two daemons, two instances
         harness.send_signal(how)
-        harness.wait(PATIENCE_S)
+        harness.wait(WAIT_TIMEOUT_S)
         _until(lambda: not _processes_with(word))
     finally:
         for pid in _processes_with(word):
@@ -130,7 +130,7 @@
 
 def _until(condition: object) -> None:
     assert callable(condition)
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         assert time.monotonic() < end
         time.sleep(0.05)
@@ -162,6 +162,6 @@
     """A storm whose file cannot be read exits with an error and starts no process."""
     done = subprocess.run(
         [*STORM_RUN, str(tmp_path / "none.toml")],
-        cwd=ROOT, capture_output=True, timeout=PATIENCE_S,
+        cwd=ROOT, capture_output=True, timeout=WAIT_TIMEOUT_S,
     )  # fmt: skip
     assert done.returncode == 2 and b"No such file" in done.stderr
--- a/tests/storm/test_scenario.py
+++ b/tests/storm/test_scenario.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from sorrelfront.daemon.configuration import BadDocument
-from sorrelfront.lab.storm.run import listed
+from sorrelfront.lab.storm.run import list_scenarios
 from sorrelfront.lab.storm.scenario import KINDS, parse, read
 
 FILE_PATH = Path("x.toml")
@@ -115,7 +115,7 @@
 
 
 def test_a_seed_always_draws_the_same_faults_without_overlap() -> None:
-    drawn = next(path for path in listed() if path.stem == "drawn")
+    drawn = next(path for path in list_scenarios() if path.stem == "drawn")
     scenario = read(drawn)
     seen = set()
     for seed in range(300):
@@ -132,10 +132,10 @@
 
 
 def test_the_bundled_scenarios_are_valid() -> None:
-    names = {path.stem for path in listed()}
+    names = {path.stem for path in list_scenarios()}
     assert names >= {"calm", "host-dies", "cut-from-servers", "cut-from-list", "cut-from-both", "slow-host",
                      "rolling-restart", "power", "drawn", "policies"}  # fmt: skip
-    for path in listed():
+    for path in list_scenarios():
         scenario = read(path)
         assert scenario.storm["name"] == path.stem
-        assert all(item.what in KINDS and item.words() for item in scenario.schedule(1))
+        assert all(item.what in KINDS and item.describe() for item in scenario.schedule(1))
--- a/tests/storm/test_storms.py
+++ b/tests/storm/test_storms.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from sorrelfront.lab.http1 import PATIENCE_S
+from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
 from sorrelfront.lab.storm.history import read
 from sorrelfront.lab.storm.report import write as write_report
-from sorrelfront.lab.storm.run import play, replayed, verdict_of
+from sorrelfront.lab.storm.run import load_kept, play, verdict_of
 from sorrelfront.lab.storm.scenario import parse
 from tests.test_process import ROOT
 
@@ -148,11 +148,7 @@
     words = {"seconds": seconds, "load": LEAVE if plant == "sends-for-gone" else ""}
     planted = storm(plant, faults, more=f'plant = "{plant}"\n', **words)
     caught = next(
-        (
-            seed
-            for seed in range(1, SEEDS + 1)
-            if play(planted, seed)["rules"][rule]["breaches"]
-        ),
+        (seed for seed in range(1, SEEDS + 1) if play(planted, seed)["rules"][rule]["breaches"]),
         None,
     )
     assert caught is not None
@@ -166,7 +162,7 @@
     verdict = play(made, 4, kept)
     events = read(kept / "history.jsonl")
     assert verdict_of(events, made, 4) == verdict  # computed from the file alone
-    again, seed = replayed(kept)
+    again, seed = load_kept(kept)
     assert seed == 4 and again.schedule(seed) == made.schedule(4)
     page = write_report(kept).read_text()
     assert (
@@ -193,13 +189,15 @@
     )
     words = [sys.executable, "-m", "sorrelfront.cli.main", "storm"]
     done = subprocess.run(
-        [*words, "run", str(path), "--json"], cwd=ROOT, capture_output=True, timeout=2 * PATIENCE_S
+        [*words, "run", str(path), "--json"], cwd=ROOT, capture_output=True, timeout=2 * WAIT_TIMEOUT_S
     )
     assert done.returncode == 0, done.stderr
     assert json.loads(done.stdout)["result"] == "held"
-    listed = subprocess.run([*words, "list"], cwd=ROOT, capture_output=True, timeout=PATIENCE_S)
+    listed = subprocess.run([*words, "list"], cwd=ROOT, capture_output=True, timeout=WAIT_TIMEOUT_S)
     assert b"rolling-restart" in listed.stdout
     path.write_text(path.read_text() + "[expect]\nserved = 1.0\nsettle_s = 0.1\nanswers = 100000\n")
-    done = subprocess.run([*words, "run", str(path)], cwd=ROOT, capture_output=True, timeout=2 * PATIENCE_S)
+    done = subprocess.run(
+        [*words, "run", str(path)], cwd=ROOT, capture_output=True, timeout=2 * WAIT_TIMEOUT_S
+    )
     assert done.returncode == 1
     assert f"again: sorrelfront storm run {path} --seed 1".encode() in done.stdout
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sorrelfront.upstreams import http1 as upstream
-from tests.loopback import PATIENCE_S, Backend, Registry, answer, member, request, until, world
+from tests.loopback import WAIT_TIMEOUT_S, Backend, Registry, answer, member, request, running_agent, until
 
 OK = answer(b"served")
 MALFORMED = {
@@ -32,18 +32,18 @@
 
     async def scenario() -> None:
         async def first_malformed(_: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(MALFORMED[name] if len(backend.seen) == 1 else OK)
+            writer.write(MALFORMED[name] if len(backend.received) == 1 else OK)
 
         backend = await Backend(first_malformed).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(request("safe"))
             assert (await client.answer())[2] == b"served"
-            assert len(backend.seen) == 2 and made.upstream.open == 1
-            backend.seen.clear()
+            assert len(backend.received) == 2 and made.upstream.open_connections == 1
+            backend.received.clear()
             client.send(request("unsafe", "pay", b"x"))
             assert (await client.answer())[0] == 500
-            assert len(backend.seen) == 1 and made.upstream.open == 0
+            assert len(backend.received) == 1 and made.upstream.open_connections == 0
 
     asyncio.run(scenario())
 
@@ -56,7 +56,7 @@
             writer.write(answer(name) + more.replace(b"served", name))
 
         backend = await Backend(script).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             for number in range(20):
                 client.send(request(f"r{number}"))
@@ -75,10 +75,10 @@
             writer.write(OK)
 
         backend = await Backend(script).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(request("a", "pay", b"x"))
-            await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
+            await asyncio.wait_for(backend.arrived.wait(), WAIT_TIMEOUT_S)
             asyncio.get_running_loop().call_later(0.8, go.set)  # longer than an answer may stall
             assert (await client.answer())[2] == b"served"
 
@@ -92,13 +92,13 @@
         status = answer(b"", "503 Service Unavailable", "X-Rejected: 1\r\n").replace(b": 0", b": 60")
 
         async def first_refused(_: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(status if len(backend.seen) == 1 else OK)
+            writer.write(status if len(backend.received) == 1 else OK)
 
         backend = await Backend(first_refused).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(request("a", "pay", b"x"))
-            await until(lambda: bool(made.upstream.opened))
+            await until(lambda: bool(made.upstream.connections_opened))
             assert (await client.answer())[2] == b"served"
             # The first was not reused: the rest of the refusal could still arrive on it.
             assert backend.connections == 2
@@ -109,15 +109,15 @@
 def test_connections_to_a_removed_backend_are_closed() -> None:
     async def scenario() -> None:
         backend, registry = await Backend(OK).start(), await Registry().start()
-        async with world(backend, registry=registry) as made:
+        async with running_agent(backend, registry=registry) as made:
             client = await made.client()
             client.send(request("a"))
             assert (await client.answer())[0] == 200
-            assert made.upstream.open == 1
-            await asyncio.wait_for(registry.asked.wait(), PATIENCE_S)
+            assert made.upstream.open_connections == 1
+            await asyncio.wait_for(registry.watch_opened.wait(), WAIT_TIMEOUT_S)
             # Another process at the same address, under another id.
-            registry.tell(2, member("b0", backend.address, "gone"), member("b9", backend.address))
-            await until(lambda: made.upstream.open == 0)
+            registry.send_update(2, member("b0", backend.address, "gone"), member("b9", backend.address))
+            await until(lambda: made.upstream.open_connections == 0)
             client.send(request("b"))
             assert (await client.answer())[0] == 200
             assert backend.connections == 2
@@ -128,13 +128,13 @@
 def test_an_attempt_cancelled_before_it_starts_leaves_nothing_behind() -> None:
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             for number in range(20):
                 client = await made.client()
                 client.send(request(f"r{number}", "pay", b"x"))
                 client.close()
             await until(lambda: made.listener.connections == 0 and made.agent.attempts == 0)
-            assert made.agent.owed == 0
+            assert made.agent.pending_requests == 0
 
     asyncio.run(scenario())
 
@@ -155,7 +155,7 @@
             writer.write(OK)
 
         backend = await Backend(script).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             clients = [await made.client(), await made.client()]
             for number, client in enumerate(clients):
                 client.send(request(f"first{number}"))
--- a/tests/test_ask.py
+++ b/tests/test_ask.py
@@ -9,7 +9,7 @@
 from sorrelfront.decisions import interface as api
 from sorrelfront.platform.config import parse
 from sorrelfront.upstreams.http1 import Upstream
-from tests.loopback import table
+from tests.loopback import make_config
 
 
 class CountingSource:
@@ -34,9 +34,9 @@
     async def scenario() -> None:
         for failed in (False, True):
             source = CountingSource()
-            config = parse(table("127.0.0.1:9", []))
+            config = parse(make_config("127.0.0.1:9", []))
             agent = Agent(config, Upstream(8, 1, 1), lambda *_, source=source: source)
-            agent.ask()
+            agent.subscribe_early()
             assert source.subscriptions == 1
             if failed:
                 agent._on_failure()
@@ -54,11 +54,11 @@
 
     async def scenario() -> None:
         source = CountingSource()
-        agent = Agent(parse(table("127.0.0.1:9", [])), Upstream(8, 1, 1), lambda *_: source)
+        agent = Agent(parse(make_config("127.0.0.1:9", [])), Upstream(8, 1, 1), lambda *_: source)
         timer_fired = asyncio.Event()
         agent.close()
         agent._execute([api.SetTimer(0, "subscribe"), api.Subscribe()])
-        agent._tell(agent.balancer.on_timer, api.Timer("subscribe"))
+        agent._dispatch(agent.balancer.on_timer, api.Timer("subscribe"))
         agent._loop.call_soon(timer_fired.set)
         await timer_fired.wait()
         assert source.subscriptions == 0
