--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,10 +14,10 @@
 
 from sorrelfront.decisions.interface import Action
 from sorrelfront.fronts import http1 as listener
-from sorrelfront.lab.crowd import Peer
-from sorrelfront.lab.http1 import gate
+from sorrelfront.lab.crowd import SocketClient
+from sorrelfront.lab.http1 import gated_script
 from sorrelfront.net.http import Wire
-from tests.loopback import Backend, answer, connect, looped, request, until, world
+from tests.loopback import Backend, answer, async_test, connect, request, running_agent, until
 
 OK = answer(b"served")
 ERROR = answer(b"", "500 Internal Server Error")
@@ -60,16 +60,16 @@
 def test_a_malformed_request_is_answered_with_an_error_and_not_forwarded(name: str) -> None:
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(malformed_request(name))
             status, head, _ = await client.answer()
             assert 400 <= status < 600 and b"connection: close" in head.lower()
-            assert await client.ended()
+            assert await client.wait_closed()
             usual = await made.client()
             usual.send(request("u"))
             assert (await usual.answer())[0] == 200
-        assert len(backend.seen) == 1 and b"x-call-id: u" in backend.seen[0].lower()
+        assert len(backend.received) == 1 and b"x-call-id: u" in backend.received[0].lower()
 
     asyncio.run(scenario())
 
@@ -83,7 +83,7 @@
             writer.write(OK)
 
         backend = await Backend(later).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             first, second = await made.client(), await made.client()
             first.send(request("same"))
             await asyncio.wait_for(backend.arrived.wait(), 30)
@@ -93,7 +93,7 @@
             assert (await first.answer())[0] == 200
             first.send(request("same"))
             assert (await first.answer())[0] == 200
-        assert len(backend.seen) == 2
+        assert len(backend.received) == 2
 
     asyncio.run(scenario())
 
@@ -101,12 +101,12 @@
 @pytest.mark.parametrize("start", [b"", b"GET /look HTTP/1.1\r\nHost: a", request("a", "pay", b"xy")[:-1]])
 def test_a_client_that_never_sends_a_complete_request_is_disconnected(start: bytes) -> None:
     async def scenario() -> None:
-        async with world(await Backend(OK).start()) as made:
+        async with running_agent(await Backend(OK).start()) as made:
             client = await made.client()
             client.send(start)
             if start:
                 assert (await client.answer())[0] == 408
-            assert await client.ended()
+            assert await client.wait_closed()
             await until(lambda: made.listener.connections == 0)
             assert made.listener.bodies.held == 0
 
@@ -119,7 +119,7 @@
             await asyncio.sleep(0)
 
         backend = await Backend(never).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             client = await made.client()
             client.send(b"".join(request(f"p{number}") for number in range(300)))
             statuses: list[int] = []
@@ -127,31 +127,31 @@
                 status, head, _ = await client.answer()
                 statuses.append(status)
             assert b"retry-after" in head.lower()
-            assert await client.ended()
+            assert await client.wait_closed()
             assert len(statuses) == 17
 
     asyncio.run(scenario())
 
 
-@looped
+@async_test
 async def test_a_disconnect_after_much_discarded_input_is_noticed() -> None:
     """The client sends a request, an invalid one and a megabyte, and closes: its request is not retried."""
-    go, script = gate(ERROR)
+    go, script = gated_script(ERROR)
     backend = await Backend(script).start()
-    async with world(backend) as made:
+    async with running_agent(backend) as made:
         client = await made.client()
         client.send(request("asked"))
-        await until(lambda: len(backend.seen) == 1)
+        await until(lambda: len(backend.received) == 1)
         client.send(b"GET /unknown HTTP/1.1\r\nHost: a\r\n\r\n" + bytes(1_000_000))
         client.close()
-        await until(lambda: made.agent.owed == 0)
+        await until(lambda: made.agent.pending_requests == 0)
         go.set()
         await until(lambda: made.agent.attempts == 0)
-        assert len(backend.seen) == 1
+        assert len(backend.received) == 1
 
 
 @pytest.mark.parametrize("checks", [1, 2])
-@looped
+@async_test
 async def test_a_client_that_disconnects_between_two_checks_of_its_socket(
     checks: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -168,14 +168,14 @@
         return gone
 
     backend = await Backend(OK).start()
-    async with world(backend) as made:
-        stays, going = await made.client(), Peer(made.listener.address)
+    async with running_agent(backend) as made:
+        stays, going = await made.client(), SocketClient(made.listener.address)
         stays.send(request("first"))
         assert (await stays.answer())[0] == 200
         (first_wire,) = [one.wire for one in made.listener._clients if one._had_request]
         monkeypatch.setattr(Wire, "hung_up", leaving)
         going.send(request("going", "pay", b"body"))
-        await until(lambda: made.listener.connections == 1 and made.agent.owed == 0)
+        await until(lambda: made.listener.connections == 1 and made.agent.pending_requests == 0)
         stays.send(request("second"))
         assert (await stays.answer())[0] == 200
         assert seen and not wrong
@@ -183,31 +183,31 @@
 
 
 @pytest.mark.parametrize("more", ["", "Connection: close\r\n"])
-@looped
+@async_test
 async def test_a_disconnect_while_memory_is_short_for_the_next_body_is_noticed(more: str) -> None:
     """A client that waits for memory is not read: its disconnect could be missed and its request retried."""
-    go, script = gate(ERROR)
+    go, script = gated_script(ERROR)
     backend = await Backend(script).start()
-    async with world(backend) as made:
+    async with running_agent(backend) as made:
         made.listener.bodies.max_bytes = 1
         client = await made.client()
         client.send(request("asked"))
-        await until(lambda: len(backend.seen) == 1)
+        await until(lambda: len(backend.received) == 1)
         client.send(request("next", "pay", bytes(60_000), more=more)[:10_000])
-        await until(lambda: made.listener.bodies.held > 4_096 or made.agent.owed == 0)
+        await until(lambda: made.listener.bodies.held > 4_096 or made.agent.pending_requests == 0)
         client.close()
-        await until(lambda: made.agent.owed == 0)
+        await until(lambda: made.agent.pending_requests == 0)
         go.set()
         await until(lambda: made.agent.attempts == 0)
-        assert len(backend.seen) == 1 and made.listener.bodies.held == 0
+        assert len(backend.received) == 1 and made.listener.bodies.held == 0
 
 
 @pytest.mark.parametrize("handler", ["on_request", "on_attempt_ended"])
 @pytest.mark.parametrize("how", ["raises", "says nothing"])
-@looped
+@async_test
 async def test_a_failing_decision_fails_only_its_own_request(handler: str, how: str) -> None:
     backend = await Backend(ERROR).start()
-    async with world(backend) as made:
+    async with running_agent(backend) as made:
 
         def wrong(event: object, now: int) -> list[Action]:
             if how == "raises":
@@ -221,7 +221,7 @@
         assert (await client.answer())[0] == 500
         setattr(made.agent.balancer, handler, usual)
         backend.script = OK
-        assert made.agent.owed == 0
+        assert made.agent.pending_requests == 0
         client.send(request("a", "pay", b"x"))
         assert (await client.answer())[0] == 200
 
@@ -231,7 +231,7 @@
 
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             flood = await made.client()
             flood.send(request("a", "pay").replace(b"Length: 0", b"Length: 70000000"))
             sent = 0
@@ -250,7 +250,7 @@
 def test_silent_connections_are_evicted_before_clients_that_have_sent_requests() -> None:
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             usual = await made.client()
             usual.send(request("u1"))
             assert (await usual.answer())[0] == 200
@@ -276,7 +276,7 @@
 
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             third = made.config.sockets // 3
             usual = await made.client()
             stay = []
@@ -287,11 +287,11 @@
                 stay.append(client)
                 usual.send(request(f"usual{number}"))
                 assert (await usual.answer())[0] == 200
-            assert await stay[0].ended()
+            assert await stay[0].wait_closed()
             await until(lambda: made.listener.connections < third)
             usual.send(request("last"))
             assert (await usual.answer())[0] == 200
-            assert len(backend.seen) == 2 * (third + 10) + 1
+            assert len(backend.received) == 2 * (third + 10) + 1
 
     asyncio.run(scenario())
 
@@ -300,13 +300,13 @@
     """Connections used once and kept open would in time use up all that clients may hold."""
 
     async def scenario() -> None:
-        async with world(await Backend(OK).start()) as made:
+        async with running_agent(await Backend(OK).start()) as made:
             client = await made.client()
             client.send(request("once"))
             assert (await client.answer())[0] == 200
             (served,) = made.listener._idle
             assert served._deadline <= time.monotonic() + 2.0
-            assert await client.ended()
+            assert await client.wait_closed()
 
     asyncio.run(scenario())
 
@@ -316,7 +316,7 @@
 
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             order: list[str] = []
 
             async def ask(name: str, data: bytes) -> None:
@@ -331,7 +331,7 @@
             assert made.listener.bodies.held < 5_000  # a read holds 10,000: the loop ran others meanwhile
             await ask("usual", request("usual"))
             await slow
-            assert len(backend.seen) == 2
+            assert len(backend.received) == 2
 
     asyncio.run(scenario())
 
@@ -341,7 +341,7 @@
 
     async def scenario() -> None:
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             ours, theirs = socket.socketpair()
             with theirs:
                 made.listener.serve(ours).cancel()
@@ -359,7 +359,7 @@
             await asyncio.sleep(0)
 
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             for answered in (True, False):
                 backend.script = OK if answered else never
                 backend.arrived.clear()
@@ -392,7 +392,7 @@
             writer.write(OK)
 
         backend = await Backend(later).start()
-        async with world(backend, mostHeld=1) as made:
+        async with running_agent(backend, mostHeld=1) as made:
             first, second = await made.client(), await made.client()
             first.send(request("a"))
             await asyncio.wait_for(backend.arrived.wait(), 30)
@@ -410,19 +410,19 @@
 
     async def scenario() -> None:
         # Longer than the test may take, so that the late request arrives within it.
-        monkeypatch.setattr("sorrelfront.fronts.http1.GOING_AWAY_S", 60.0)
+        monkeypatch.setattr("sorrelfront.fronts.http1.SHUTDOWN_GRACE_S", 60.0)
         backend = await Backend(OK).start()
-        async with world(backend) as made:
+        async with running_agent(backend) as made:
             resting = await made.client()
             resting.send(request("before"))
             assert (await resting.answer())[0] == 200
             closing = asyncio.create_task(made.listener.close())
-            assert await resting.ended()
+            assert await resting.wait_closed()
             late = await made.client()
             late.send(request("late"))
             status, head, _ = await late.answer()
             assert status == 200 and b"connection: close" in head.lower()
-            assert await late.ended()
+            assert await late.wait_closed()
             closing.cancel()
 
     asyncio.run(scenario())
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -53,8 +53,8 @@
     class Fault(SorrelfrontError):
         remedy = "Do this."
 
-    assert Fault("it broke\nhere").told() == "it broke here; Do this."
-    assert Fault("it broke", remedy="Do that.").told() == "it broke; Do that."
+    assert Fault("it broke\nhere").message_with_remedy() == "it broke here; Do this."
+    assert Fault("it broke", remedy="Do that.").message_with_remedy() == "it broke; Do that."
 
 
 def test_type_without_remedy_is_rejected() -> None:
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -10,7 +10,7 @@
 from sorrelfront.events import REPORT_INTERVAL_S, Event, EventCounter
 from sorrelfront.fronts.http1 import RejectReason
 from sorrelfront.upstreams.http1 import ServerCloseReason
-from tests.loopback import Backend, answer, looped, request, world
+from tests.loopback import Backend, answer, async_test, request, running_agent
 
 
 def test_one_line_per_interval_has_each_reason_with_its_count_and_last_request(
@@ -32,9 +32,9 @@
     assert len(caplog.messages) == 1
 
 
-@looped
+@async_test
 async def test_malformed_requests_and_server_closes_are_counted_by_reason() -> None:
-    async with world(await Backend(answer(b"served")).start()) as running:
+    async with running_agent(await Backend(answer(b"served")).start()) as running:
         client = await running.client()
         client.send(request("first"))
         assert (await client.answer())[0] == 200
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -17,7 +17,7 @@
 
 from sorrelfront.decisions.interface import Effect, Scope
 from sorrelfront.platform.config import parse
-from tests.loopback import Backend, World, answer, member, table
+from tests.loopback import AgentHarness, Backend, answer, make_config, member
 
 METHODS = {"pure": "GET", "token": "POST", "side_effect": "POST"}
 HOUR_US = 3_600_000_000
@@ -91,7 +91,7 @@
 
 def ids(backend: Backend) -> list[int]:
     """Return the numbers of the calls that ran on this backend."""
-    lines = [line for seen in backend.seen for line in seen.lower().split(b"\r\n")]
+    lines = [line for seen in backend.received for line in seen.lower().split(b"\r\n")]
     return [int(line[12:]) for line in lines if line.startswith(b"x-call-id: c")]
 
 
@@ -106,7 +106,7 @@
         {**member(f"b{cell}", one.address), "locality": f"z{cell}", "cell": cell}
         for cell, one in enumerate((first, second))
     ]
-    env = World(parse(config))
+    env = AgentHarness(parse(config))
     asked: dict[int, str] = {}
     try:
         for name in [*classes, *classes]:
@@ -119,7 +119,7 @@
             client.close()
             if status == 503 and classes[name]["repeat"] == "side_effect":
                 assert number not in ids(first) + ids(second)  # a refusal states that it did not run
-        assert env.agent.owed == 0
+        assert env.agent.pending_requests == 0
         ran = Counter(ids(first) + ids(second))
         for number, name in asked.items():
             cls = env.agent.request_class(name)
@@ -144,7 +144,7 @@
     machine: dict[str, Any],
     one_fails: bool,
 ) -> None:
-    config = table("127.0.0.1:9", [], **limits)
+    config = make_config("127.0.0.1:9", [], **limits)
     config["settings"] |= {"grades": grades, "rules": rules, **other_settings}
     config["limits"] = machine
     asyncio.run(run_requests(config, one_fails))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,15 +15,15 @@
 from typing import Any
 
 from tests.loopback import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Backend,
     Client,
     Registry,
     answer,
     connect,
+    make_config,
     member,
     request,
-    table,
     until,
 )
 
@@ -75,7 +75,7 @@
         self.stderr = self.process.stderr
 
     async def ready(self) -> Client:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
                     client = await connect(self.address)
@@ -85,7 +85,7 @@
                 await asyncio.sleep(0.02)
 
     async def logged(self, text: bytes) -> bytes:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while line := await self.stderr.readline():
                 if text in line:
                     return line
@@ -96,14 +96,14 @@
             # Not by the process object: it would poll the process, and might reap it before asyncio does.
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, signal.SIGTERM)
-        return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
 
 @contextlib.asynccontextmanager
 async def program(
     folder: Path, backend: Backend, registry: Registry, sockets: int = 256
 ) -> AsyncIterator[Program]:
-    config = table(registry.address, [member("b0", backend.address)])
+    config = make_config(registry.address, [member("b0", backend.address)])
     config["limits"]["sockets"] = sockets
     made = Program(folder, config)
     await made.start()
@@ -130,20 +130,20 @@
         old, new = await Registry().start(), await Registry().start()
         async with program(tmp_path, backend, old) as made:
             client = await made.ready()
-            await asyncio.wait_for(old.asked.wait(), PATIENCE_S)
+            await asyncio.wait_for(old.watch_opened.wait(), WAIT_TIMEOUT_S)
             client.send(request("held", "pay", b"x"))
-            await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
+            await asyncio.wait_for(backend.arrived.wait(), WAIT_TIMEOUT_S)
             made.write({**made.config, "discovery": new.address})
             made.process.send_signal(signal.SIGHUP)
-            await asyncio.wait_for(new.asked.wait(), PATIENCE_S)
-            await until(lambda: old.open == 0)
+            await asyncio.wait_for(new.watch_opened.wait(), WAIT_TIMEOUT_S)
+            await until(lambda: old.open_watches == 0)
             go.set()
             assert (await client.answer())[2] == b"served"
             # The new service's list applies: the old backend is gone, another one is listed.
-            new.tell(9, member("b1", other.address), complete=True)
+            new.send_update(9, member("b1", other.address), complete=True)
             count = 0
-            async with asyncio.timeout(PATIENCE_S):
-                while not other.seen:
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
+                while not other.received:
                     count += 1
                     client.send(request(f"after{count}"))
                     assert (await client.answer())[0] == 200
@@ -158,7 +158,7 @@
         backend, registry = await Backend(OK).start(), await Registry().start()
         async with program(tmp_path, backend, registry) as made:
             client = await made.ready()
-            await asyncio.wait_for(registry.asked.wait(), PATIENCE_S)
+            await asyncio.wait_for(registry.watch_opened.wait(), WAIT_TIMEOUT_S)
             good = made.config
             unlimited = {**good, "limits": {"memory_mb": float("inf"), "sockets": 256}}
             for config in ({}, {**good, "discovery": "nowhere"}, {**good, "settings": {}}, unlimited):
@@ -175,12 +175,12 @@
 
 def test_an_invalid_configuration_at_the_start_prints_one_line_and_exits(tmp_path: Path) -> None:
     async def play() -> None:
-        made = Program(tmp_path, table("127.0.0.1:9", []))
+        made = Program(tmp_path, make_config("127.0.0.1:9", []))
         for config in ({}, {**made.config, "limits": {"memory_mb": float("inf"), "sockets": 256}}):
             made.write(config)
             await made.start()
-            output = await asyncio.wait_for(made.stderr.read(), PATIENCE_S)
-            assert await asyncio.wait_for(made.process.wait(), PATIENCE_S) == 2
+            output = await asyncio.wait_for(made.stderr.read(), WAIT_TIMEOUT_S)
+            assert await asyncio.wait_for(made.process.wait(), WAIT_TIMEOUT_S) == 2
             assert output.count(b"\n") == 1 and output.startswith(b"sorrelfront: ")
 
     asyncio.run(play())
@@ -198,12 +198,12 @@
         async with program(tmp_path, backend, registry) as made:
             idle, client = await made.ready(), await made.ready()
             client.send(request("held", "pay", b"x"))
-            await asyncio.wait_for(backend.arrived.wait(), PATIENCE_S)
+            await asyncio.wait_for(backend.arrived.wait(), WAIT_TIMEOUT_S)
             made.process.send_signal(signal.SIGTERM)
-            assert await idle.ended()
+            assert await idle.wait_closed()
             go.set()
             status, head, body = await client.answer()
             assert (status, body) == (200, b"served") and b"connection: close" in head.lower()
-            assert await client.ended()
+            assert await client.wait_closed()
 
     asyncio.run(play())
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sorrelfront.lab.crowd import Crowd
+from sorrelfront.lab.crowd import LoadGenerator
 from tests.loopback import Backend, Registry, answer
 from tests.test_process import program
 
@@ -26,20 +26,20 @@
     async def play() -> None:
         backend, registry = await Backend(OK).start(), await Registry().start()
         async with program(tmp_path, backend, registry, sockets) as made:
-            crowd = Crowd(made.address, CLIENTS)
+            crowd = LoadGenerator(made.address, CLIENTS)
             try:
                 for _ in range(restarts):
-                    await crowd.more(CLIENTS)
+                    await crowd.wait_for_answers(CLIENTS)
                     assert await made.end() == 0
                     await made.start()
-                await crowd.more(CLIENTS)
+                await crowd.wait_for_answers(CLIENTS)
             finally:
                 await crowd.stop()
-        assert crowd.book[b"lost"] == 0, crowd.book
-        assert crowd.book[b"HTTP/1.1 200 "] > restarts * CLIENTS // 2
+        assert crowd.outcomes[b"lost"] == 0, crowd.outcomes
+        assert crowd.outcomes[b"HTTP/1.1 200 "] > restarts * CLIENTS // 2
         ran = Counter(
             seen.lower().split(b"x-call-id: ")[1].split(b"\r\n")[0]
-            for seen in backend.seen
+            for seen in backend.received
             if seen.startswith(b"POST")
         )
         assert ran and max(ran.values()) == 1
