--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -81,7 +81,7 @@
 class Result:
     """Count the arrivals of one run.
 
-    `worst` is the highest ratio of requests received to the limit at any cold server. `falls` counts
+    `worst` is the highest ratio of requests received to the limit at any cold server. `overruns` counts
     the arrivals above the limit.
     """
 
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -33,7 +33,7 @@
 from sorrelfront.lab.storm.processes import find_marked
 from sorrelfront.lab.storm.run import play, verdict_of
 from sorrelfront.lab.storm.scenario import Scenario, parse
-from sorrelfront.lab.storm.stage import Stage
+from sorrelfront.lab.storm.stage import Harness
 
 SCENARIO = """
 [storm]
@@ -72,7 +72,7 @@
     for seed in range(plays):
         parsed = scenario(fault, hosts=hosts, instances=instances, seconds=4.0)
         history = History()
-        asyncio.run(Stage(parsed, seed, history).play())
+        asyncio.run(Harness(parsed, seed, history).play())
         results.append(_detected(history.events, instances))
         settled = verdict_of(history.events, parsed, seed)["rules"]["views"]["breaches"] == 0
         print(json.dumps({"members": hosts * instances, "play": seed, **results[-1], "settled": settled}))
@@ -94,7 +94,7 @@
     return {"first_s": round(first - at, 2), "all_s": round(last - at, 2)}
 
 
-class _IdleStage(Stage):
+class _IdleStage(Harness):
     """Run a storm without any event and measure the CPU time of its processes over its last part."""
 
     share = 0.0
@@ -154,7 +154,7 @@
             print(json.dumps({"pair": pair, "fleet": fleet, **selected}))
 
 
-class _ChangesStage(Stage):
+class _ChangesStage(Harness):
     """Make policy changes one after the other, timed at the proposer."""
 
     plays, trouble = 10, ""
@@ -197,10 +197,10 @@
         document = policies.encode_envelope(policies.read(policy_file), "bench", 0.0, "").decode()
         request = {"op": "policy", "what": "propose", "change": f"c{number}", "void": False, "onto": None}
         started_at = time.monotonic()
-        answer = await control.ask(path, {**request, "document": document})
+        answer = await control.send_request(path, {**request, "document": document})
         while answer["outcome"]["stage"] != "done":
             await asyncio.sleep(0.002)
-            answer = await control.ask(
+            answer = await control.send_request(
                 path, {"op": "policy", "what": "outcome", "instance": answer["instance"]}
             )
         self.durations_s.append(time.monotonic() - started_at)
--- a/sorrelfront/agent.py
+++ b/sorrelfront/agent.py
@@ -80,7 +80,7 @@
     ) -> AttemptResult:
         """Send the request to the backend at this address and return how the attempt ended.
 
-        `fit` returns whether the attempt may still be sent.
+        `may_send` returns whether the attempt may still be sent.
         """
         ...
 
@@ -304,8 +304,8 @@
         self._open_ids.add(call.client_id)
         left_us = call.budget_us - DEADLINE_MARGIN_US
         if call.upload is not None:
-            # Its deadline counts from its last byte (`whole`); until then, from the latest time at which that
-            # byte has to arrive.
+            # Its deadline counts from its last byte (`body_received`); until then, from the latest time at
+            # which that byte has to arrive.
             longest = MAX_STREAMED_BODY if call.upload.length is None else call.upload.length
             left_us += longest * 1_000_000 // MIN_UPLOAD_RATE
         held.deadline_timer = self._loop.call_later(
--- a/sorrelfront/cli/main.py
+++ b/sorrelfront/cli/main.py
@@ -91,7 +91,7 @@
 
 def _request(document: Document, message: dict[str, Any]) -> dict[str, Any]:
     try:
-        return asyncio.run(control.ask(document.control, message))
+        return asyncio.run(control.send_request(document.control, message))
     except control.DaemonNotRunning:
         text = f"no daemon runs by this file: {document.path} (nobody answers at {document.control})"
         sockets = len([*document.run_folder.glob("*-*.sock")])
--- a/sorrelfront/cli/policy.py
+++ b/sorrelfront/cli/policy.py
@@ -45,10 +45,10 @@
     remedy = "Call it at another member of the fleet, or start the daemon of this FILE."
 
 
-def _ask(daemon: Document, **command: Any) -> dict[str, Any]:
+def _request(daemon: Document, **command: Any) -> dict[str, Any]:
     """Send a policy command to the daemon; raises Unreached without a valid answer."""
     try:
-        answer = asyncio.run(control.ask(daemon.control, {"op": "policy", **command}))
+        answer = asyncio.run(control.send_request(daemon.control, {"op": "policy", **command}))
     except control.DaemonUnavailable as fault:
         raise DaemonUnreachable(f"the daemon does not answer: {fault}") from None
     if not answer.get("ok"):
@@ -58,7 +58,7 @@
 
 def _query(document: Document, history: bool = False) -> dict[str, Any]:
     try:
-        return _ask(document, what="look", history=history)
+        return _request(document, what="look", history=history)
     except DaemonUnreachable as fault:
         raise click.ClickException(fault.message_with_remedy()) from None
 
@@ -163,7 +163,7 @@
     """Check POLICY, and say what it would change."""
     made = _read(policy)
     try:
-        found = _policy_in_force(_ask(document, what="look", history=True))
+        found = _policy_in_force(_request(document, what="look", history=True))
         base = "the policy in force" if found is not None else "the file"
     except DaemonUnreachable:
         found, base = None, "the file (no daemon answers)"
@@ -232,7 +232,9 @@
     """Propose the change at one instance, poll that instance until the change ends, and exit."""
     until = time.monotonic() + wait
     try:
-        answer = _ask(document, what="propose", change=change, document=encoded, void=void, onto=base_version)
+        answer = _request(
+            document, what="propose", change=change, document=encoded, void=void, onto=base_version
+        )
         proposer = answer["instance"]
         if not answer["begun"]:
             other = answer["outcome"]["change"]
@@ -245,7 +247,7 @@
                     as_json, change, "under way", 0, f"waiting for {waits or 'the voters'}", answer["outcome"]
                 )
             time.sleep(POLL_S)
-            answer = _ask(document, what="outcome", instance=proposer)
+            answer = _request(document, what="outcome", instance=proposer)
     except DaemonUnreachable as fault:
         # The proposer may have died; what it had proposed may still be chosen.
         _report_and_exit(
@@ -332,7 +334,7 @@
         encoded = policies.encode_envelope(_read(force), getpass.getuser(), time.time(), str(force))
         command |= {"document": encoded.decode(), "change": f"forced-{secrets.token_hex(4)}"}
     try:
-        answer = _ask(document, **command)
+        answer = _request(document, **command)
     except DaemonUnreachable as fault:
         raise click.ClickException(fault.message_with_remedy()) from None
     initialized = sorted(item["voter"] for item in answer["shown"] if item["slot"] >= 0)
--- a/sorrelfront/daemon/adopting.py
+++ b/sorrelfront/daemon/adopting.py
@@ -163,9 +163,15 @@
     if type(run) is not int or type(generation) is not int or type(protocol) is not int:
         return
     candidate.found = FoundProcess(
-        found.name, found.pid, run=run, life=life, orphan=message.get("orphan") is True, protocol=protocol,
-        generation=generation, digest=str(message.get("digest")),
-    )  # fmt: skip
+        found.name,
+        found.pid,
+        run=run,
+        lifecycle=life,
+        orphan=message.get("orphan") is True,
+        protocol=protocol,
+        generation=generation,
+        digest=str(message.get("digest")),
+    )
 
 
 def _from_journal(journal: Journal | None, seen: Collection[int]) -> list[Candidate]:
@@ -231,7 +237,7 @@
                     counts.left += 1
                     log.info("%s (%d) is left alone: %s", found.name, found.pid, why)
                     if (
-                        found.life is LifecycleState.LEAVING
+                        found.lifecycle is LifecycleState.LEAVING
                         and found.orphan
                         and candidate.channel is not None
                     ):
@@ -267,14 +273,14 @@
         log.warning("%s (%d) is not adopted: %s", name, found.pid, fault)
         return False
     candidate.channel = None  # now owned by the run
-    fleet.adopt(name, run, found.life is LifecycleState.READY)
+    fleet.adopt(name, run, found.lifecycle is LifecycleState.READY)
     return True
 
 
 async def _drain(fleet: Fleet, candidate: Candidate) -> None:
     """Drain the process under a unique name, or by signal if it cannot be adopted."""
     found = candidate.found
-    if found.life is not None and candidate.channel is not None:
+    if found.lifecycle is not None and candidate.channel is not None:
         surplus = f"{found.name}@{found.pid}"
         if await _adopt(fleet, candidate, surplus):
             fleet.execute(fleet.supervisor.on_drain(surplus, now_us(), fleet.stop_timeout_us))
--- a/sorrelfront/daemon/border.py
+++ b/sorrelfront/daemon/border.py
@@ -253,9 +253,9 @@
         members.
         """
         if self._share_timer is None and self.border.pending_states:
-            self._share_timer = asyncio.get_running_loop().call_later(SHARE_INTERVAL_S, self._share_marks)
+            self._share_timer = asyncio.get_running_loop().call_later(SHARE_INTERVAL_S, self._share_states)
 
-    def _share_marks(self) -> None:
+    def _share_states(self) -> None:
         self._share_timer = None
         marks = self.border.take_states()
         if self._copier is None:
@@ -268,9 +268,9 @@
                 if _offer_id(key) not in self.border.newest:
                     self._copier.put(key, None)
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the status of the gateway, for `ctl status`."""
-        status = self._transport.figures()
+        status = self._transport.status()
         status["requests"] = {
             "in": dict(self._admission.counts),
             "out": {} if self._forwarder is None else dict(self._forwarder.counts),
--- a/sorrelfront/daemon/control.py
+++ b/sorrelfront/daemon/control.py
@@ -165,7 +165,7 @@
     return message
 
 
-async def ask(path: Path, message: Message, within_s: float = 30.0) -> Message:
+async def send_request(path: Path, message: Message, within_s: float = 30.0) -> Message:
     """Send one request and return its answer.
 
     Raises:
--- a/sorrelfront/daemon/fellow.py
+++ b/sorrelfront/daemon/fellow.py
@@ -168,7 +168,7 @@
     def new_slice_start(self) -> int | None:
         """Return the new start of this instance's slice of the servers, or None if it is unchanged.
 
-        The start is a point on a ring of `places.POINTS`. Call this periodically.
+        The start is a point on a ring of `seat_allocation.RING_POINTS`. Call this periodically.
         """
         if not self._member.table["seats"]:
             return None
@@ -186,11 +186,11 @@
             "members": carrier.members(),
         }
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the status of the membership, the policy and the replication, for `ctl status`."""
         status = self._member.transport.status()
         if self.policy_member is not None:
-            status["policy"] = self.policy_member.figures()
+            status["policy"] = self.policy_member.status()
         if self.replicator is not None:
             status["copies"] = self.replicator.status()
         return status
--- a/sorrelfront/daemon/fleet.py
+++ b/sorrelfront/daemon/fleet.py
@@ -141,8 +141,8 @@
 class Fleet:
     """The sockets and processes of one daemon.
 
-    `changed` is called after the actions of supervision have been executed, `spawned` after the set of
-    processes has changed.
+    `on_change` is called after the actions of supervision have been executed, `on_processes_changed` after
+    the set of processes has changed.
     """
 
     def __init__(self, document: Document, folder: Path) -> None:
--- a/sorrelfront/daemon/instance.py
+++ b/sorrelfront/daemon/instance.py
@@ -130,7 +130,7 @@
     # Without a supervisor
 
     @property
-    def life(self) -> LifecycleState:
+    def lifecycle(self) -> LifecycleState:
         """Whether the instance is starting, ready or leaving."""
         if self.stop_requested.is_set():
             return LifecycleState.LEAVING
@@ -171,7 +171,7 @@
             "ticks": start_ticks(os.getpid()),
             "generation": self._generation,
             "digest": self._digest,
-            "life": self.life.value,
+            "life": self.lifecycle.value,
             "orphan": self._channel is None,
         }
         return message, [item.fileno() for item in listeners if item.fileno() >= 0]
@@ -501,14 +501,14 @@
             "servers": len(agent.balancer.servers), "ready_servers": len(agent.balancer.ready),
         }  # fmt: skip
         if self._zookeeper_source is not None:
-            figures |= self._zookeeper_source.figures()
+            figures |= self._zookeeper_source.status()
         if self._fleet_member is not None:
             self._update_replication(self._fleet_member)
-            figures["fleet"] = self._fleet_member.figures()
+            figures["fleet"] = self._fleet_member.status()
             if self._policy_overlay is not None:
                 figures["fleet"]["requests"] = self._admission_figures()
             if self._partner_sites is not None:
-                figures["site"] = self._partner_sites.figures()
+                figures["site"] = self._partner_sites.status()
             point = self._fleet_member.new_slice_start()
             if point is not None:
                 agent.set_subset(point, places.RING_POINTS)
--- a/sorrelfront/daemon/notify.py
+++ b/sorrelfront/daemon/notify.py
@@ -60,7 +60,7 @@
 class PassedDescriptors:
     """What the service manager passed: listening sockets with their names, and the state's memory file.
 
-    `state` is the descriptor of that file, -1 if there is none.
+    `state_descriptor` is the descriptor of that file, -1 if there is none.
     """
 
     sockets: list[tuple[str, socket.socket]] = field(default_factory=list)
--- a/sorrelfront/daemon/supervisor.py
+++ b/sorrelfront/daemon/supervisor.py
@@ -247,7 +247,7 @@
         and adopts the instances that are left.
         """
         try:
-            handover = await successor.ask()
+            handover = await successor.request_handover()
         except PredecessorEnded as fault:
             log.warning("%s; starting in its place", fault)
             self._successor = None
--- a/sorrelfront/daemon/takeover.py
+++ b/sorrelfront/daemon/takeover.py
@@ -59,7 +59,7 @@
         self._sock: socket.socket | None = None
         self.predecessor_ended = False  # the old program has ended without a message
 
-    async def ask(self) -> Handover:
+    async def request_handover(self) -> Handover:
         """Request and receive the old program's state. Raises NoTakeover."""
         path = self._control.parent / f".takeover-{os.getpid()}"
         handover = Handover()
@@ -73,7 +73,7 @@
             inbox.setblocking(False)
             try:
                 asked = {"op": "takeover", "to": str(path)}
-                answer = await control.ask(self._control, asked, ANSWER_TIMEOUT_S)
+                answer = await control.send_request(self._control, asked, ANSWER_TIMEOUT_S)
                 if not answer.get("ok"):
                     raise TakeoverError("; ".join(map(str, answer.get("faults", ["no answer known here"]))))
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
--- a/sorrelfront/decisions/adoption.py
+++ b/sorrelfront/decisions/adoption.py
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundProcess:
-    """What is known about one process; `life` is None if it did not answer in time."""
+    """What is known about one process; `lifecycle` is None if it did not answer in time."""
 
     name: str
     pid: int
     run: int = 0
     verified: bool = True  # the kernel confirms that it is the expected process
     reachable: bool = True  # its own socket exists
-    life: LifecycleState | None = None
+    lifecycle: LifecycleState | None = None
     orphan: bool = True  # no running supervisor manages it
     protocol: int = PROTOCOL_VERSION
     generation: int = 0
@@ -99,7 +99,7 @@
         items.sort(
             key=lambda item: (
                 item.digest == digest,
-                item.life is LifecycleState.READY,
+                item.lifecycle is LifecycleState.READY,
                 item.generation,
                 item.run,
             ),
@@ -118,11 +118,11 @@
         return Leave(item, "its process number belongs to another program, or to none")
     if not item.reachable:
         return Drain(item, "its socket is gone")
-    if item.life is None:
+    if item.lifecycle is None:
         return Kill(item, "it did not answer in time")
     if not item.orphan:
         return Leave(item, "it has a supervisor")
-    if item.life is LifecycleState.LEAVING:
+    if item.lifecycle is LifecycleState.LEAVING:
         return Leave(item, "it is leaving already")
     if item.protocol != PROTOCOL_VERSION:
         return Drain(item, "it is of another version")
--- a/sorrelfront/decisions/balancer.py
+++ b/sorrelfront/decisions/balancer.py
@@ -179,7 +179,8 @@
         self.warm_at = warm_at
 
     def is_available(self, now: int) -> bool:
-        """Whether it is warm and may be sent to; `open` inlined, since this runs for each draw."""
+        """Whether it is warm and may be sent to; `accepts_attempts` inlined, since this runs for each
+        draw."""
         return (
             self.warm_at <= now
             and self.breaker.open_until <= now
--- a/sorrelfront/decisions/fleet/copies.py
+++ b/sorrelfront/decisions/fleet/copies.py
@@ -751,7 +751,7 @@
     # Time
 
     def next_us(self) -> int:
-        """Return when `on_time` is to be called next."""
+        """Return when `on_timer` is to be called next."""
         due = [self._next_compare_us]
         if self._push_us is not None:
             due.append(self._push_us)
@@ -770,7 +770,7 @@
         """
         return self.created_us + self.settings.alone_us * (4 if self.peers else 1)
 
-    def on_time(self, now: int, peers: Iterable[str]) -> list[Action]:
+    def on_timer(self, now: int, peers: Iterable[str]) -> list[Action]:
         """Do what is due.
 
         `peers`: the living members according to the view, with or without this one.
@@ -1295,7 +1295,7 @@
     def require_hosts(self, hosts: int, now: int) -> list[Action]:
         """Require that the own map is durable on so many hosts, this one included.
 
-        `Kept` reports each sequence for which that is so.
+        `Durable` reports each sequence for which that is so.
         """
         self.now = max(now, self.now)
         self.required_hosts = hosts
@@ -1395,7 +1395,7 @@
             self._add(replica)
         if self._own_list_seq < replica.seq:
             # The service lags, or was restored to an earlier version. It was restored if no member's service
-            # has confirmed the newer version for `trust_us`.
+            # has confirmed the newer version for `list_trust_us`.
             last_confirmed_us = max(
                 self.created_us,
                 self.list_confirmed_us if self.list_confirmed_us is not None else self.created_us,
--- a/sorrelfront/decisions/fleet/policy.py
+++ b/sorrelfront/decisions/fleet/policy.py
@@ -508,8 +508,8 @@
 ) -> Voter:
     """Create a voter from the record on its disk.
 
-    `fresh` says that its fleet is being created, so no lease can be running. Otherwise it grants none for one
-    lease, since it does not know which it granted before.
+    `new_fleet` says that its fleet is being created, so no lease can be running. Otherwise it grants none for
+    one lease, since it does not know which it granted before.
     """
     no_grants_until_us = now if new_fleet else now + int(lease_us * (1 + MAX_CLOCK_DRIFT)) + 1
     return Voter(name, voters, record, lease_us, no_grants_until_us)
--- a/sorrelfront/decisions/fleet/seats.py
+++ b/sorrelfront/decisions/fleet/seats.py
@@ -2,9 +2,10 @@
 
 Members with equal views compute equal positions, whatever the history. Up to `MAX_MATCHED_MEMBERS`, each of
 n members has one of the first n points of the van der Corput sequence, as evenly as slots kept by a
-coordination service (`decisions.places`). Pairs of a member and a slot are taken by the lowest hash of both,
-so a member that joins or leaves moves a few others (highest random weight, Thaler and Ravishankar 1998, made
-one to one). That takes n^2 hashes. Larger fleets use a hash table with linear probing, whose layout depends
+coordination service (`decisions.seat_allocation`). Pairs of a member and a slot are taken by the lowest hash
+of both, so a member that joins or leaves moves a few others (highest random weight, Thaler and Ravishankar
+1998, made one to one). That takes n^2 hashes. Larger fleets use a hash table with linear probing, whose
+layout depends
 on the names alone (Amble and Knuth, "Ordered hash tables", 1974): it moves even fewer members, and its gaps
 are less even.
 """
@@ -28,7 +29,7 @@
 
 
 def ring_positions(names: Collection[str]) -> dict[str, int]:
-    """Return each member's point on a ring of `POINTS`; all are different.
+    """Return each member's point on a ring of `RING_POINTS`; all are different.
 
     Raises ValueError if there are more members than half the ring's points.
     """
--- a/sorrelfront/decisions/sites/offers.py
+++ b/sorrelfront/decisions/sites/offers.py
@@ -63,8 +63,8 @@
 class Offer(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What one gateway of a site lends.
 
-    `epoch` and `birth` (its boot id) identify the gateway's incarnation, `version` grows with each change of
-    its offers, and `stamp_ms` is the time since the incarnation started. `group` is the scope in which
+    `epoch` and `boot_id` (its boot id) identify the gateway's incarnation, `version` grows with each change
+    of its offers, and `stamp_ms` is the time since the incarnation started. `group` is the scope in which
     repeated idempotency keys are dropped there; empty for none.
     """
 
--- a/sorrelfront/decisions/sites/passage.py
+++ b/sorrelfront/decisions/sites/passage.py
@@ -85,7 +85,7 @@
     ) -> Admitted | Rejected:
         """Admit or reject a request.
 
-        Call `left` for every request admitted under an offer once it is answered.
+        Call `finished` for every request admitted under an offer once it is answered.
 
         Args:
             partner: The partner whose valid ticket the request carries; None if it carries none.
--- a/sorrelfront/decisions/sites/routes.py
+++ b/sorrelfront/decisions/sites/routes.py
@@ -9,8 +9,9 @@
 seen, or at the latest time at which the owner's clock can have shown that stamp, judged by its freshest
 stamp, if that is earlier. So a message that is replayed or was held back gains no new lifetime.
 
-The table depends only on the chains held and on this site's own preferences; `settle` has no state. Stateful
-inputs (which state of an offer is the newest, which routes flap) are kept separately and passed to it.
+The table depends only on the chains held and on this site's own preferences; `build_table` has no state.
+Stateful inputs (which state of an offer is the newest, which routes flap) are kept separately and passed to
+it.
 """
 
 from __future__ import annotations
@@ -57,7 +58,7 @@
 MAX_OWN_OFFERS = 256  # offers by one gateway
 MAX_OFFER_IDS = 4_096  # offers of one owner whose newest state is remembered
 MAX_VERIFIED_CHAINS = 8_192  # chains whose signatures have been verified
-MAX_CACHED_ROUTES = 256  # results of `ways` that are cached until the table changes
+MAX_CACHED_ROUTES = 256  # results of `best_routes` that are cached until the table changes
 MAX_PATH_SITES = 8  # sites that a request has passed
 # Maximum difference in rate between two machines' clocks, in parts per million: twice that sold with quartz.
 DRIFT_PPM = 400
@@ -69,8 +70,8 @@
 class OfferQuery(msgspec.Struct, frozen=True, array_like=True, tag="a", gc=False):
     """Query for the offers that a gateway makes and re-advertises to the sender.
 
-    `number` is repeated in the answer. `have` is the digest of the last advertisement received, `known` the
-    highest incarnation of the receiving gateway that the sender has seen.
+    `number` is repeated in the answer. `digest` is that of the last advertisement received,
+    `known_incarnation` the highest incarnation of the receiving gateway that the sender has seen.
     """
 
     site: SiteName
@@ -253,7 +254,7 @@
     ) -> None:
         """Create the border of one gateway.
 
-        `life` is the incarnation of this process: its epoch, which is above every earlier one of this
+        `incarnation` is that of this process: its epoch, which is above every earlier one of this
         gateway, and its boot id.
         """
         self.site, self.gateway, self.address = site, gateway, address
@@ -426,8 +427,8 @@
     ) -> bool:
         """Process an advertisement.
 
-        `proven` is the result of `prove` for its chains; if it is left out, the signatures are verified here.
-        Returns False if this does not answer the last query.
+        `proven` is the result of `verify_chains` for its chains; if it is left out, the signatures are
+        verified here. Returns False if this does not answer the last query.
         """
         self.now = max(now, self.now)
         peer = self.peers.get(name)
@@ -686,7 +687,7 @@
     # Timers
 
     def next_us(self) -> int:
-        """Return when `on_time` is due at the latest."""
+        """Return when `on_timer` is due at the latest."""
         due = [held.expires_us for peer in self.peers.values() for held in peer.held.values()]
         due += [
             peer.silent_since + self.settings.stale_us
@@ -703,7 +704,7 @@
         """
         return self._began_us + (offer.stamp_ms + max(250, offer.terms.left_ms // RESTAMP_DIVISOR)) * MS
 
-    def on_time(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Remove expired chains, decay flap penalties and renew the stamps of this gateway's offers."""
         self.now = max(now, self.now)
         for peer in self.peers.values():
@@ -805,7 +806,7 @@
     def is_valid(self, route: Route, now: int) -> bool:
         """Whether a route is still valid at this moment.
 
-        Between two calls of `on_time` a route would otherwise be used past its lifetime.
+        Between two calls of `on_timer` a route would otherwise be used past its lifetime.
         """
         peer = self.peers.get(route.peer)
         held = peer.held.get(route.id) if peer is not None else None
--- a/sorrelfront/decisions/supervision.py
+++ b/sorrelfront/decisions/supervision.py
@@ -321,7 +321,7 @@
         return actions
 
     def next_us(self) -> int | None:
-        """Return when `on_time` must be called at the latest; None while there is no deadline."""
+        """Return when `on_timer` must be called at the latest; None while there is no deadline."""
         at = min(
             (item.timeout_at for item in self._instances.values() if self._has_deadline(item)), default=None
         )
--- a/sorrelfront/fleet/copier.py
+++ b/sorrelfront/fleet/copier.py
@@ -1,6 +1,6 @@
 """Runs one member's replica store.
 
-It connects `decisions.fleet.copies` to the network, the clock, the disk and the list service, and decides
+It connects `decisions.fleet.replicas` to the network, the clock, the disk and the list service, and decides
 nothing.
 """
 
@@ -173,7 +173,7 @@
 
     def _on_time(self) -> None:
         self._timer = None
-        self._perform(self.store.on_time(now_us(), self._ports.live_members()))
+        self._perform(self.store.on_timer(now_us(), self._ports.live_members()))
 
     def _schedule(self) -> None:
         if self._closed:
--- a/sorrelfront/fleet/council.py
+++ b/sorrelfront/fleet/council.py
@@ -456,7 +456,7 @@
 
     # Metrics
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Version, lease and message counts, for status and metrics."""
         now = now_us()
         return {
--- a/sorrelfront/lab/crowd.py
+++ b/sorrelfront/lab/crowd.py
@@ -108,7 +108,7 @@
         self._classes = classes
         self._running = True
         self._name = name
-        self.head = b""  # of the answer that `heard` is called with
+        self.head = b""  # of the answer that `on_outcome` is called with
         self._tasks = [asyncio.create_task(self._run_client(number)) for number in range(clients)]
 
     def on_request_sent(self, name: str, cls: str) -> None:
--- a/sorrelfront/lab/demo.py
+++ b/sorrelfront/lab/demo.py
@@ -139,7 +139,7 @@
         until = time.monotonic() + READY_WITHIN_S
         while time.monotonic() < until and process.returncode is None:
             with contextlib.suppress(control.DaemonUnavailable):
-                status = await control.ask(self.folder / "control.sock", {"op": "status"}, 1.0)
+                status = await control.send_request(self.folder / "control.sock", {"op": "status"}, 1.0)
                 if all(item.get("ready_servers") == SERVERS for item in status["instances"]):
                     return
             await asyncio.sleep(0.02)
@@ -213,7 +213,7 @@
     async def reload(self) -> None:
         """Change a limit in the daemon's file and have the daemon reload it."""
         self.write(900)
-        answered = await control.ask(self.folder / "control.sock", {"op": "reload"})
+        answered = await control.send_request(self.folder / "control.sock", {"op": "reload"})
         self.reloads += bool(answered.get("ok"))
 
     # Figures
--- a/sorrelfront/lab/fleet/copies.py
+++ b/sorrelfront/lab/fleet/copies.py
@@ -1,7 +1,7 @@
 """Simulate the replicated copies of many members in one process, with faults drawn from a seed.
 
 The network, the disks and the clock are virtual. The code under test is the program's own
-(`decisions.fleet.copies`). The checker requires:
+(`decisions.fleet.replicas`). The checker requires:
 
 - After the last fault all live members have the same digest within `bound_us` and are in sync.
 - An entry that was confirmed to its owner as kept at two hosts, and was not changed since, is neither lost
@@ -217,7 +217,7 @@
         def due() -> None:
             if node.timer == number and node.up and not node.frozen:
                 peers = [other.name for other in self.up() if self.reaches(node, other)]
-                self.perform(node, node.copies.on_time(self.now, peers))
+                self.perform(node, node.copies.on_timer(self.now, peers))
                 self.arm(node)
 
         self.at(max(node.copies.next_us(), self.now + 1), due)
@@ -395,7 +395,7 @@
         fleet.run(fleet.now + random.randint(10_000, 2 * SECOND))
     heal(fleet)
     violations = (
-        _fork_list(fleet, random) if seed % 3 == 0 else _end_book(fleet, random) if seed % 3 == 1 else []
+        _fork_list(fleet, random) if seed % 3 == 0 else _end_replica(fleet, random) if seed % 3 == 1 else []
     )
     if violations:
         return violations, fleet
@@ -443,7 +443,7 @@
     return []
 
 
-def _end_book(fleet: Fleet, random: Random) -> list[str]:
+def _end_replica(fleet: Fleet, random: Random) -> list[str]:
     """Remove a member for good and end its book, while another member is down.
 
     The other member restarts with the ended book on its disk, in half of the cases after the tombstone has
--- a/sorrelfront/lab/fleet/copies_explorer.py
+++ b/sorrelfront/lab/fleet/copies_explorer.py
@@ -63,7 +63,7 @@
         one = self.members[name] = self.make(name, SETTINGS, random, self.now, list(self.disks[name]), "reg")
         if not self.disks[name]:
             # It has no peers at first, so its book begins at once.
-            self.do(name, one.on_time(self.now + 1, []))
+            self.do(name, one.on_timer(self.now + 1, []))
 
     def do(self, name: str, actions: Sequence[Action], other: str = "") -> list[Send]:
         """Complete the writes among the actions at once; return the messages to `other`."""
--- a/sorrelfront/lab/fleet/virtual.py
+++ b/sorrelfront/lab/fleet/virtual.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewEvent:
-    """An event that a viewer's view reported about a member; `t` is in microseconds."""
+    """An event that a viewer's view reported about a member; `at_us` is in microseconds."""
 
     at_us: int
     viewer: str
@@ -79,7 +79,7 @@
         settled: bool = False,
         count_bytes: bool = False,
     ) -> None:
-        """`settled`: all know each other from the start. `sizes`: count sent bytes, which is slow."""
+        """`settled`: all know each other from the start. `count_bytes`: count sent bytes, which is slow."""
         self.random = Random(seed)
         self.settings = settings
         self.now = 0
--- a/sorrelfront/lab/shop.py
+++ b/sorrelfront/lab/shop.py
@@ -18,7 +18,7 @@
     """How a server handles requests."""
 
     HEALTHY = "well"
-    SLOW = "slow"  # the service time is multiplied by `slower`
+    SLOW = "slow"  # the service time is multiplied by `slow_factor`
     HUNG = "hung"  # reads requests and answers none
     FAILING = "failing"  # answers 500 at once without running the request
 
--- a/sorrelfront/lab/sites/explorer.py
+++ b/sorrelfront/lab/sites/explorer.py
@@ -87,7 +87,7 @@
         self.borders[site] = border
         self.shown_by_c.pop(site, None)
 
-    def ask(self, asker: str, asked: str, replay: bool = False) -> None:
+    def query(self, asker: str, asked: str, replay: bool = False) -> None:
         """Have one site ask another; with `replay` it receives the previous answer again."""
         border, other = self.borders[asker], self.borders[asked]
         ask = border.query(f"{asked}/i", self.now)
@@ -119,11 +119,11 @@
             self.borders["c"].configure(self.borders["c"].partners.values(), _offers(self.state), self.now)
         elif kind in ("ask", "old"):
             asker, asked = rest.split(">")
-            self.ask(asker, asked, kind == "old")
+            self.query(asker, asked, kind == "old")
         elif kind == "time":
             self.now += STEP_US
             for border in self.borders.values():
-                border.on_time(self.now)
+                border.on_timer(self.now)
         elif kind == "start":
             self.start(rest)
 
@@ -193,9 +193,9 @@
         for _ in range(8):
             other.now += 300_000
             for border in other.borders.values():
-                border.on_time(other.now)
+                border.on_timer(other.now)
             for asker, asked in other.links():
-                other.ask(asker, asked)
+                other.query(asker, asked)
         for site in ("a", "b"):
             got = bool(other.borders[site].best_routes("look", other.now))
             if got != _allows(other.state, site):
--- a/sorrelfront/lab/sites/routes.py
+++ b/sorrelfront/lab/sites/routes.py
@@ -50,7 +50,7 @@
 LIFETIMES_MS = (3_200, 5_000)
 CLASSES = ("look", "book", "pay")
 DELAY_US = (500, 40_000)
-NEWS_INTERVAL_US = 100_000  # shortest time between two news messages to the same node
+NOTICE_INTERVAL_US = 100_000  # shortest time between two news messages to the same node
 HOSTILE = "mallory"
 
 BorderFactory = Callable[..., Border]
@@ -83,7 +83,7 @@
     """A site's file: the offers it lends, its partners and its gateways."""
 
     name: str
-    lent: dict[str, OfferConfig]
+    offers: dict[str, OfferConfig]
     partners: dict[str, Partner]
     gateways: list[str] = field(default_factory=list)
 
@@ -102,7 +102,7 @@
     frozen: bool = False
     # peer -> number of the awaited answer, since when
     awaited: dict[str, tuple[int, int]] = field(default_factory=dict)
-    ask_again: set[str] = field(default_factory=set)  # peers to ask again once they have answered
+    query_again: set[str] = field(default_factory=set)  # peers to ask again once they have answered
     # nodes that asked -> time of the latest news to them
     askers: dict[str, int] = field(default_factory=dict)
     last_state: tuple[int, int] = (0, 0)
@@ -184,10 +184,10 @@
         for name, owner in self.sites.items():
             owner.gateways = [f"{name}/i{number}" for number in range(random.randrange(1, 3))]
             for number in range(random.randrange(0, 3)):
-                owner.lent[f"offer{number}"] = self.draw_offer(f"offer{number}")
+                owner.offers[f"offer{number}"] = self.draw_offer(f"offer{number}")
         for name, owner in self.sites.items():
             for gateway in owner.gateways:
-                for item in owner.lent.values():
+                for item in owner.offers.values():
                     self.terms_history[OfferId(name, gateway, item.name)].append((0, item.terms))
                 self.start(gateway, 1)
 
@@ -213,7 +213,7 @@
             site.name, name, f"at-{name}", self.sign[site.name], self.verify,
             (epoch, random.getrandbits(48)), now, self.settings,
         )  # fmt: skip
-        border.configure(site.partners.values(), site.lent.values(), now)
+        border.configure(site.partners.values(), site.offers.values(), now)
         node = self.nodes[name] = Node(site.name, name, border, Admission(site.name), rate, epoch)
         has_sibling = any(
             self.nodes[sibling].up for sibling in site.gateways if sibling != name and sibling in self.nodes
@@ -257,21 +257,21 @@
         self.at(self.now + int(FAST.renew_us * spread), lambda: self.tick(node))
         if node.frozen:
             return
-        node.border.on_time(self.clock(node))
+        node.border.on_timer(self.clock(node))
         for peer in list(node.border.peers):
             number, since = node.awaited.get(peer, (0, 0))
             if number and self.now - since < FAST.renew_us:
                 continue
             if number:
                 node.border.on_silence(peer, self.clock(node))
-            self.ask(node, peer)
+            self.query(node, peer)
         self.follow_up(node)
 
-    def ask(self, node: Node, peer: str) -> None:
+    def query(self, node: Node, peer: str) -> None:
         """Send an ask to the peer and wait for its answer."""
         ask = node.border.query(peer, self.clock(node))
         node.awaited[peer] = (ask.number, self.now)
-        node.ask_again.discard(peer)
+        node.query_again.discard(peer)
         self.send(node, peer, ask)
 
     def send(self, node: Node, to: str, message: OfferQuery | Advertisement | ChangeNotice) -> None:
@@ -306,22 +306,22 @@
                     node.border.set_incarnation((node.epoch, node.border.incarnation[1]), now)
                 tell = node.border.on_query(message.site, message, b"", now)
                 if tell is not None:
-                    node.askers.setdefault(sender, -NEWS_INTERVAL_US)
+                    node.askers.setdefault(sender, -NOTICE_INTERVAL_US)
                     self.send(node, sender, self.corrupt_if_hostile(node, tell))
             case Advertisement():
                 if node.awaited.get(sender, (0, 0))[0] == message.number:
                     del node.awaited[sender]
                 node.border.on_advertisement(sender, message, now)
-                if sender in node.ask_again:
-                    self.ask(node, sender)
+                if sender in node.query_again:
+                    self.query(node, sender)
             case ChangeNotice():
                 if sender in node.awaited:
-                    node.ask_again.add(sender)
+                    node.query_again.add(sender)
                 elif sender in node.border.peers:
-                    self.ask(node, sender)
+                    self.query(node, sender)
         self.follow_up(node)
 
-    def receive_marks(self, name: str, marks: dict[OfferId, OfferState]) -> None:
+    def receive_states(self, name: str, marks: dict[OfferId, OfferState]) -> None:
         """Give a node the newest states that another member of its site learned."""
         node = self.nodes[name]
         if node.up and not node.frozen:
@@ -332,7 +332,7 @@
     def on_timer(self, node: Node, due: int) -> None:
         """Run the node's timer, unless it was set anew meanwhile."""
         if self.alive(node) and not node.frozen and node.due == due:
-            node.border.on_time(self.clock(node))
+            node.border.on_timer(self.clock(node))
             self.follow_up(node)
 
     def follow_up(self, node: Node) -> None:
@@ -350,7 +350,7 @@
                 if sibling != node.name:
                     self.at(
                         self.now + self.random.randrange(*DELAY_US),
-                        partial(self.receive_marks, sibling, marks),
+                        partial(self.receive_states, sibling, marks),
                     )
         due = max(self.now + 1_000, int(node.border.next_us() / node.rate) + 1)
         if node.due <= self.now or due < node.due:
@@ -361,11 +361,11 @@
             return
         node.last_state = state
         for asker, last in node.askers.items():
-            at = max(self.now, last + NEWS_INTERVAL_US)
+            at = max(self.now, last + NOTICE_INTERVAL_US)
             node.askers[asker] = at
-            self.at(at, partial(self.send_news, node, asker))
+            self.at(at, partial(self.send_notices, node, asker))
 
-    def send_news(self, node: Node, to: str) -> None:
+    def send_notices(self, node: Node, to: str) -> None:
         """Tell a node that asked that there is a newer state."""
         if self.alive(node) and not node.frozen:
             self.send(node, to, ChangeNotice(node.site))
@@ -428,11 +428,11 @@
         random = self.random
         site = self.sites[owner or random.choice([name for name in self.sites if name != HOSTILE])]
         name = f"offer{random.randrange(3)}"
-        if name in site.lent and random.random() < 0.5:
-            del site.lent[name]
+        if name in site.offers and random.random() < 0.5:
+            del site.offers[name]
         else:
-            site.lent[name] = self.draw_offer(name)
-        item = site.lent.get(name)
+            site.offers[name] = self.draw_offer(name)
+        item = site.offers.get(name)
         for gateway in site.gateways:
             self.at(self.now + random.randrange(50_000), partial(self._reload, gateway, name, item))
 
@@ -446,10 +446,10 @@
         self.terms_history[OfferId(site.name, gateway, name)].append(
             (self.now, None if item is None else item.terms)
         )
-        node.border.configure(site.partners.values(), site.lent.values(), self.clock(node))
+        node.border.configure(site.partners.values(), site.offers.values(), self.clock(node))
         # It reloads the whole file, which may have changed again meanwhile.
-        for other in {*site.lent, name}:
-            now = site.lent.get(other)
+        for other in {*site.offers, name}:
+            now = site.offers.get(other)
             history = self.terms_history[OfferId(site.name, gateway, other)]
             last = history[-1][1] if history else None
             if last != (None if now is None else now.terms):
@@ -503,8 +503,8 @@
 
     def _restart(self, node: Node, stored_epoch: int) -> None:
         site = self.sites[node.site]
-        for name in {*site.lent, *(id.name for id in self.terms_history if id.gateway == node.name)}:
-            item = site.lent.get(name)
+        for name in {*site.offers, *(id.name for id in self.terms_history if id.gateway == node.name)}:
+            item = site.offers.get(name)
             current = None if item is None else item.terms
             history = self.terms_history[OfferId(node.site, node.name, name)]
             if (history[-1][1] if history else None) != current:
@@ -676,7 +676,7 @@
                 other = sites[partner.name]
                 recipient_relation = other.partners[name].relation
                 exports: list[tuple[OfferId | None, tuple[str, ...], Terms, int, str]] = []
-                for item in other.lent.values():
+                for item in other.offers.values():
                     exports.append((None, (other.name,), item.terms, item.cost, item.name))
                 best: dict[OfferId, Candidate] = {}
                 for way in sorted(table[other.name]):
--- a/sorrelfront/lab/storm/launch.py
+++ b/sorrelfront/lab/storm/launch.py
@@ -3,8 +3,8 @@
 `python -m sorrelfront.lab.storm.launch -m MODULE ARGUMENTS`, with `SORRELFRONT_STORM_SEAMS` naming the host's
 folder in the harness. There are three seams: the clock (all code, including the event loop, looks up the
 functions of the standard library's `time` module by name), the disk (`daemon.records.disk`), and the command
-with which the supervisor starts instances (`daemon.fleet.INSTANCE`), so that they use this launcher as well.
-Planted defects, which test the checkers, are set only here.
+with which the supervisor starts instances (`daemon.fleet.INSTANCE_COMMAND`), so that they use this launcher
+as well. Planted defects, which test the checkers, are set only here.
 """
 
 from __future__ import annotations
--- a/sorrelfront/lab/storm/run.py
+++ b/sorrelfront/lab/storm/run.py
@@ -21,7 +21,7 @@
 from sorrelfront.lab.storm.history import HISTORY, Event, History, read
 from sorrelfront.lab.storm.scenario import Scenario
 from sorrelfront.lab.storm.scenario import read as read_scenario
-from sorrelfront.lab.storm.stage import Stage
+from sorrelfront.lab.storm.stage import Harness
 
 HELD, BROKEN, VOID = 0, 1, 3  # exit codes; 2 is a usage error
 SCENARIO_FILE = "storm.toml"
@@ -49,7 +49,7 @@
         (folder / SCENARIO_FILE).write_bytes(scenario.text)
     history = History(None if folder is None else folder / HISTORY)
     try:
-        asyncio.run(_play(Stage(scenario, seed, history), show))
+        asyncio.run(_play(Harness(scenario, seed, history), show))
     finally:
         history.close()
     verdict = verdict_of(history.events, scenario, seed)
@@ -58,7 +58,7 @@
     return verdict
 
 
-async def _play(stage: Stage, show: Callable[[str], None]) -> None:
+async def _play(stage: Harness, show: Callable[[str], None]) -> None:
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
--- a/sorrelfront/lab/storm/stage.py
+++ b/sorrelfront/lab/storm/stage.py
@@ -152,7 +152,7 @@
 class _RecordingServer(Server):
     """A server that records each arriving request in the history, with its sender and sending time."""
 
-    def __init__(self, name: str, stage: Stage) -> None:
+    def __init__(self, name: str, stage: Harness) -> None:
         load = stage.scenario.load
         super().__init__(
             name, _RecordingBook(name, stage.book, stage.history), load["service_ms"] / 1e3, load["slots"]
@@ -268,7 +268,7 @@
 class Host:
     """One simulated host: its daemon, disk, clock and callers."""
 
-    def __init__(self, stage: Stage, number: int) -> None:
+    def __init__(self, stage: Harness, number: int) -> None:
         self.stage = stage
         self.number = number
         self.name = f"h{number}"
@@ -460,7 +460,7 @@
         written = self.stage.history.now()
         ok = False
         with contextlib.suppress(control.DaemonUnavailable, OSError, TimeoutError):
-            reply = await control.ask(self.folder / "c.sock", {"op": "reload"}, 10.0)
+            reply = await control.send_request(self.folder / "c.sock", {"op": "reload"}, 10.0)
             ok = bool(reply.get("ok"))
         # A daemon that is down reads the file at its next start, so `ok` does not depend on the reload.
         self.stage.history.add("terms", host=self.name, state=state, ok=True, reloaded=ok, written=written)
@@ -491,7 +491,7 @@
 
     async def _read_view(self, number: int) -> list[str] | None:
         try:
-            reply = await control.ask(
+            reply = await control.send_request(
                 self.folder / "c.sock", {"op": "members", "instance": f"i{number}"}, 1.0
             )
             rows = reply["members"] if reply.get("ok") else None
@@ -573,7 +573,7 @@
         if self.stage.platform:
             return await self._platform_ready()
         try:
-            status = await control.ask(self.folder / "c.sock", {"op": "status"}, 1.0)
+            status = await control.send_request(self.folder / "c.sock", {"op": "status"}, 1.0)
             for item in status["instances"]:
                 section = item.get("fleet", {}).get("policy")
                 if section is not None:
@@ -692,7 +692,7 @@
 
     async def status(self) -> list[dict[str, Any]]:
         """Return the status of its instances from the control socket."""
-        found = await control.ask(self.folder / "c.sock", {"op": "status"}, 2.0)
+        found = await control.send_request(self.folder / "c.sock", {"op": "status"}, 2.0)
         return list(found["instances"])
 
     def starve(self, core: int) -> None:
@@ -728,7 +728,7 @@
                 os.sched_setaffinity(int(task), cores)
 
 
-class Stage:
+class Harness:
     """Sets up a storm, plays it and tears everything down again."""
 
     def __init__(self, scenario: Scenario, seed: int, history: History) -> None:
@@ -1176,7 +1176,7 @@
                     host.held += 1
                     host.write()
                     with contextlib.suppress(control.DaemonUnavailable):
-                        reply = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
+                        reply = await control.send_request(host.folder / "c.sock", {"op": "reload"}, 10.0)
                         self.history.add("reload", host=host.name, ok=bool(reply.get("ok")))
             case "twin":
                 for host in self._hosts(item):
@@ -1198,7 +1198,7 @@
                 for host in self._hosts(item):
                     host.rekey(int(item.size))
                     with contextlib.suppress(control.DaemonUnavailable):
-                        reply = await control.ask(host.folder / "c.sock", {"op": "reload"}, 10.0)
+                        reply = await control.send_request(host.folder / "c.sock", {"op": "reload"}, 10.0)
                         self.history.add("reload", host=host.name, ok=bool(reply.get("ok")))
             case "clock-step":
                 for host in self._hosts(item):
--- a/sorrelfront/sites/carrier.py
+++ b/sorrelfront/sites/carrier.py
@@ -48,9 +48,9 @@
 MAX_CONNECTIONS = 512  # inbound, over all partners; further ones are closed
 FIRST_MESSAGE_TIMEOUT_S = 2.0  # for an inbound connection to authenticate
 CONNECT_TIMEOUT_S = 1.0
-MIN_NEWS_INTERVAL_S = 0.1  # between two change notices on one connection
-MAX_ASKS_PER_S = 50.0  # on one connection; it is closed if the peer sends more
-MIN_ASK_INTERVAL_S = 0.05  # between two requests to one gateway
+MIN_NOTICE_INTERVAL_S = 0.1  # between two change notices on one connection
+MAX_QUERIES_PER_S = 50.0  # on one connection; it is closed if the peer sends more
+MIN_QUERY_INTERVAL_S = 0.05  # between two requests to one gateway
 MAX_INLINE_CHAINS = 4  # verified in the event loop, at about 0.2 ms each; more are verified in a thread
 # After an advertisement is verified, the next one from the same partner, whichever gateway sent it, waits for
 # this multiple of the time that the verification took. Without the pause, a partner that sends large and
@@ -75,7 +75,7 @@
 IDLE_TIMEOUT_S = 60.0  # an inbound connection without a request for this long is closed
 CLOSE_TIMEOUT_S = 0.2
 MAX_QUEUED_MESSAGES = 8  # received and not yet processed; further ones stay in the kernel's buffer
-MAX_STATUS_ROUTES = 64  # listed in `figures`
+MAX_STATUS_ROUTES = 64  # listed in `status`
 
 
 class GatewayUnreachable(SorrelfrontError):
@@ -101,7 +101,7 @@
     challenge: bytes
     notified_at: float = -1e9
     timer: asyncio.TimerHandle | None = None
-    tokens: float = MAX_ASKS_PER_S
+    tokens: float = MAX_QUERIES_PER_S
     refilled_at: float = field(default_factory=time.monotonic)
 
 
@@ -191,7 +191,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.border.on_time(now_us())
+        self.border.on_timer(now_us())
         self._propagate_changes()
 
     def _propagate_changes(self) -> None:
@@ -208,11 +208,11 @@
         self._notified_state = state
         for subscriber in self._subscribers:
             if subscriber.timer is None:
-                delay = max(0.0, subscriber.notified_at + MIN_NEWS_INTERVAL_S - time.monotonic())
-                subscriber.timer = loop.call_later(delay, self._send_news, subscriber)
+                delay = max(0.0, subscriber.notified_at + MIN_NOTICE_INTERVAL_S - time.monotonic())
+                subscriber.timer = loop.call_later(delay, self._send_notice, subscriber)
         self._on_change()
 
-    def _send_news(self, subscriber: _Subscriber) -> None:
+    def _send_notice(self, subscriber: _Subscriber) -> None:
         subscriber.timer = None
         subscriber.notified_at = time.monotonic()
         if subscriber.writer.transport.get_write_buffer_size() <= MAX_WRITE_BUFFER:
@@ -283,7 +283,7 @@
     def _within_rate(self, subscriber: _Subscriber) -> bool:
         now = time.monotonic()
         subscriber.tokens = min(
-            MAX_ASKS_PER_S, subscriber.tokens + (now - subscriber.refilled_at) * MAX_ASKS_PER_S
+            MAX_QUERIES_PER_S, subscriber.tokens + (now - subscriber.refilled_at) * MAX_QUERIES_PER_S
         )
         subscriber.refilled_at = now
         subscriber.tokens -= 1
@@ -399,15 +399,15 @@
                 news = True
         if name not in border.peers:
             return
-        await self._process_tell(name, message)
+        await self._process_advertisement(name, message)
         if not news:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(renew_s * self._random.uniform(0.8, 1.2)):
                     while not isinstance(await _next_message(messages), ChangeNotice):
                         pass
-        await asyncio.sleep(MIN_ASK_INTERVAL_S)
+        await asyncio.sleep(MIN_QUERY_INTERVAL_S)
 
-    async def _process_tell(self, name: str, tell: Advertisement) -> None:
+    async def _process_advertisement(self, name: str, tell: Advertisement) -> None:
         """Verify the chains of an advertisement and apply it to the routing state."""
         border = self.border
         received_us = now_us()
@@ -452,7 +452,7 @@
 
     # Status
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the status of the exchange, for `ctl status`."""
         border, now = self.border, now_us()
         return {
--- a/sorrelfront/sites/wire.py
+++ b/sorrelfront/sites/wire.py
@@ -6,7 +6,8 @@
     change notice   the same, unsolicited
 
 Nothing is encrypted. Others can neither forge nor modify a message, nor replay a query on another connection.
-A message has at most `TELL_MOST` bytes, one from a peer not yet authenticated `ASK_MOST`.
+A message has at most `MAX_ADVERTISEMENT_BYTES` bytes, one from a peer not yet authenticated
+`MAX_QUERY_BYTES`.
 """
 
 from __future__ import annotations
--- a/sorrelfront/sources/zookeeper.py
+++ b/sorrelfront/sources/zookeeper.py
@@ -1,7 +1,8 @@
 """Server list from the children of a ZooKeeper node, and the seats of the fleet's own instances.
 
-This module does only the I/O: what is read is passed to `decisions.membership` and `decisions.places`, and
-their actions are carried out. Both share one session. Each child is a server with a JSON record:
+This module does only the I/O: what is read is passed to `decisions.membership` and
+`decisions.seat_allocation`, and their actions are carried out. Both share one session. Each child is a server
+with a JSON record:
 
     {"id": "b7", "address": "127.0.0.1:9001", "phase": "ready", "zone": "a", "kind": "m",
      "cell": 0, "size": 1.0, "started_ms": 1780000000000}
@@ -48,7 +49,8 @@
 class SourceSettings:
     """Settings of the source.
 
-    `path` is the parent node of the servers, `fleet` that of the seats; an empty `fleet` means no seats.
+    `path` is the parent node of the servers, `seats_path` that of the seats; an empty `seats_path` means no
+    seats.
     """
 
     session: net.SessionSettings
@@ -385,7 +387,7 @@
 
     # Figures
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the figures of this source for the status output."""
         now = self._now()
         list_age_us = self.tracker.list_age_us(now)
@@ -410,7 +412,7 @@
 
 
 class SeatKeeper:
-    """Carries out the actions of `decisions.places` over the given session."""
+    """Carries out the actions of `decisions.seat_allocation` over the given session."""
 
     def __init__(
         self, session: net.Session, settings: SourceSettings, seed: int, name: str, now: Callable[[], int],
--- a/sorrelfront/upstreams/http1.py
+++ b/sorrelfront/upstreams/http1.py
@@ -107,7 +107,7 @@
     ) -> AttemptResult:
         """Send the request to this backend, at most once, and return how the attempt ended.
 
-        `fit` returns whether the attempt may still be sent there. `timeout_us` is in microseconds.
+        `may_send` returns whether the attempt may still be sent there. `timeout_us` is in microseconds.
         """
         exchange = _Exchange(self, call, address, timeout_us, may_send)
         # The timeout of a request with a streamed body starts at the body's last byte.
--- a/tests/daemon/fleet.py
+++ b/tests/daemon/fleet.py
@@ -19,7 +19,7 @@
 from tests.test_process import ROOT, free_address
 
 OK = answer(b"served")
-DEADLINE_MS = 25_000  # for requests held while programs start on a busy machine; below `PATIENCE_S`
+DEADLINE_MS = 25_000  # for requests held while programs start on a busy machine; below `WAIT_TIMEOUT_S`
 
 
 def hello(path: Path) -> dict[str, object]:
@@ -105,7 +105,7 @@
 
     async def ask(self, op: str, **more: Any) -> dict[str, Any]:
         """Send one operation to the control socket and return the answer."""
-        return await control.ask(self.folder / "c.sock", {"op": op, **more}, WAIT_TIMEOUT_S)
+        return await control.send_request(self.folder / "c.sock", {"op": op, **more}, WAIT_TIMEOUT_S)
 
     async def status(self) -> dict[str, dict[str, Any]]:
         """Return the rows of `status` by instance name."""
--- a/tests/daemon/test_control.py
+++ b/tests/daemon/test_control.py
@@ -21,7 +21,7 @@
     MAX_FRAME_BYTES,
     Control,
     DaemonUnavailable,
-    ask,
+    send_request,
 )
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
 
@@ -75,7 +75,7 @@
                 (length,) = LENGTH_PREFIX.unpack(data[:4])
                 assert json.loads(data[4 : 4 + length])["ok"]
             writer.close()
-        assert (await ask(path, {"op": "x"}))["heard"] == {"op": "x"}
+        assert (await send_request(path, {"op": "x"}))["heard"] == {"op": "x"}
 
     run_with_control(test)
 
@@ -89,7 +89,7 @@
         for reader, writer in silent:
             assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
             writer.close()
-        assert (await ask(path, {}))["ok"]
+        assert (await send_request(path, {}))["ok"]
 
     run_with_control(test)
 
@@ -98,7 +98,7 @@
     """An answer above the frame limit that cannot be split is replaced by an error."""
 
     async def test(path: Path) -> None:
-        answered = await ask(path, {"x": "y" * (MAX_FRAME_BYTES - 20)})
+        answered = await send_request(path, {"x": "y" * (MAX_FRAME_BYTES - 20)})
         assert not answered["ok"] and answered["fault"] == "the answer is too long"
 
     run_with_control(test)
@@ -113,16 +113,16 @@
         await first.start()
         with pytest.raises(OSError, match="in use"):
             Control(path, echo)
-        assert (await ask(path, {}))["ok"]
+        assert (await send_request(path, {}))["ok"]
         first._path = tmp_path / "elsewhere"  # leaves the file behind, as a killed daemon does
         await first.close()
         assert path.exists()
         second = Control(path, echo)
         await second.start()
-        assert (await ask(path, {}))["ok"]
+        assert (await send_request(path, {}))["ok"]
         await second.close()
         with pytest.raises(DaemonUnavailable):
-            await ask(path, {})
+            await send_request(path, {})
 
     asyncio.run(scenario())
 
@@ -139,7 +139,7 @@
         await control.start()
         try:
             for count in (0, 1, 17, MAX_INSTANCES):
-                told = await ask(path, {"op": "status", "count": count})
+                told = await send_request(path, {"op": "status", "count": count})
                 assert told == {"ok": True, "name": "n", "instances": rows[:count]}
         finally:
             await control.close()
--- a/tests/daemon/test_fleet.py
+++ b/tests/daemon/test_fleet.py
@@ -492,7 +492,7 @@
                 {}, {"op": 5}, {"op": "drain"}, {"op": "drain", "instance": ["i0"]}, {"op": "x" * 9_000},
             ]  # fmt: skip
             for odd in odds:  # none of these is a valid operation
-                assert not (await control.ask(path, odd))["ok"]
+                assert not (await control.send_request(path, odd))["ok"]
             assert (await daemon.ask("status"))["ok"]
             for _, writer in silent:
                 writer.close()
--- a/tests/decisions/test_adoption.py
+++ b/tests/decisions/test_adoption.py
@@ -21,7 +21,7 @@
 from sorrelfront.decisions.supervision import Phase, Policy, Start, Supervisor
 
 POLICY = Policy(look_us=1_000_000_000)  # no step of these tests is taken for a pause of the program
-ORPHAN = FoundProcess("i0", 10, run=3, life=LifecycleState.READY, digest="d")
+ORPHAN = FoundProcess("i0", 10, run=3, lifecycle=LifecycleState.READY, digest="d")
 
 
 def decision(found: FoundProcess, taken: tuple[str, ...] = ()) -> type:
@@ -34,13 +34,13 @@
     ("found", "wanted"),
     [
         (ORPHAN, Adopt),
-        (replace(ORPHAN, life=LifecycleState.STARTING), Adopt),
+        (replace(ORPHAN, lifecycle=LifecycleState.STARTING), Adopt),
         (replace(ORPHAN, verified=False), Leave),
-        (replace(ORPHAN, verified=False, life=None, reachable=False), Leave),
-        (replace(ORPHAN, life=None), Kill),
-        (replace(ORPHAN, life=None, reachable=False), Drain),
+        (replace(ORPHAN, verified=False, lifecycle=None, reachable=False), Leave),
+        (replace(ORPHAN, lifecycle=None), Kill),
+        (replace(ORPHAN, lifecycle=None, reachable=False), Drain),
         (replace(ORPHAN, orphan=False), Leave),
-        (replace(ORPHAN, life=LifecycleState.LEAVING), Leave),
+        (replace(ORPHAN, lifecycle=LifecycleState.LEAVING), Leave),
         (replace(ORPHAN, protocol=PROTOCOL_VERSION + 1), Drain),
         (replace(ORPHAN, name="i7"), Drain),
     ],
@@ -61,7 +61,7 @@
 def test_of_several_the_one_by_the_file_in_force_then_the_ready_then_the_latest() -> None:
     others = [
         replace(ORPHAN, pid=11, run=9, digest="other"),
-        replace(ORPHAN, pid=12, run=8, life=LifecycleState.STARTING),
+        replace(ORPHAN, pid=12, run=8, lifecycle=LifecycleState.STARTING),
         replace(ORPHAN, pid=13, run=2),
     ]
     decisions = decide_each([*others, ORPHAN], ["i0"], "d")
@@ -102,14 +102,17 @@
         if not isinstance(item, Leave):
             assert item.found.verified  # a process that is not verified as ours is left alone
         if isinstance(item, Kill):
-            assert item.found.life is None
+            assert item.found.lifecycle is None
         if isinstance(item, Adopt):
-            assert item.found.orphan and item.found.life in (LifecycleState.READY, LifecycleState.STARTING)
+            assert item.found.orphan and item.found.lifecycle in (
+                LifecycleState.READY,
+                LifecycleState.STARTING,
+            )
     # A name has no process only if none could be adopted for it.
     fit = {
         item.name for item in found
         if item.verified and item.reachable and item.orphan and item.protocol == PROTOCOL_VERSION
-        and item.life in (LifecycleState.READY, LifecycleState.STARTING)
+        and item.lifecycle in (LifecycleState.READY, LifecycleState.STARTING)
     }  # fmt: skip
     assert fit & (wanted - taken) == set(names)
 
--- a/tests/fleet/test_copies.py
+++ b/tests/fleet/test_copies.py
@@ -40,7 +40,7 @@
 
 def start_store(name: str, **changes: int) -> ReplicaStore:
     store = make_store(name, **changes)
-    store.on_time(store.settings.alone_us, [])
+    store.on_timer(store.settings.alone_us, [])
     assert store.own_replica is not None
     return store
 
@@ -58,7 +58,7 @@
 
 def test_a_version_is_durable_before_it_is_acknowledged() -> None:
     owner, peer = start_store("a/i0"), start_store("b/i0")
-    owner.on_time(owner.now + 1, ["a/i0", "b/i0"])
+    owner.on_timer(owner.now + 1, ["a/i0", "b/i0"])
     owner.put("k", b"v", owner.now)
     assert owner.own_replica is not None
     version = owner.own_replica.version
@@ -171,7 +171,7 @@
 
 def test_a_version_from_a_retired_member_does_not_restore_its_map() -> None:
     store = start_store("a/i0")
-    store.on_time(store.now + 1, ["a/i0", "b/i0"])
+    store.on_timer(store.now + 1, ["a/i0", "b/i0"])
     retired = Version("c/i0", 3, 77, 5, 9)
     store.replicas[retired.id] = replica = Replica(retired.id, 0)
     replica.seq = 5
--- a/tests/sites/test_routes.py
+++ b/tests/sites/test_routes.py
@@ -32,7 +32,7 @@
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
     ask(a, c, SECOND, came=4 * SECOND)  # the three seconds in transit count
     assert ways(a, 10 * SECOND) == [("c",)]
-    assert ways(a, 11 * SECOND) == []  # also without a call of `on_time`
+    assert ways(a, 11 * SECOND) == []  # also without a call of `on_timer`
 
 
 def test_an_answer_to_an_earlier_query_is_ignored() -> None:
@@ -92,10 +92,10 @@
 def test_a_delayed_advertisement_withdraws_nothing() -> None:
     a, c = border("a", {"c": "peer"}), border("c", {"a": "peer"}, [lent()])
     ask(a, c, SECOND)
-    c.on_time(5 * SECOND)  # a new stamp, so that chains are sent
+    c.on_timer(5 * SECOND)  # a new stamp, so that chains are sent
     ask(a, c, 5 * SECOND, came=25 * SECOND)
     assert a.peers["c/i"].refused == {"EXPIRED": 1}
-    c.on_time(26 * SECOND)
+    c.on_timer(26 * SECOND)
     ask(a, c, 26 * SECOND)
     assert ways(a, 26 * SECOND) == [("c",)] and c.incarnation == (1, 7)  # and no new incarnation is requested
 
@@ -118,7 +118,7 @@
     a = border("a", {"b": "peer", "c": "provider"})
     kept = []
     for second in range(1, 20, 3):
-        c.on_time(second * SECOND)
+        c.on_timer(second * SECOND)
         ask(b, c, second * SECOND)
         tell = told(a, b, second * SECOND)
         if second in (1, 19):
@@ -296,7 +296,7 @@
     a.remove_peer("b/i")
     assert ways(a, 2 * SECOND) == [("c",)]
     for second in range(3, 30):
-        a.on_time(second * SECOND)
+        a.on_timer(second * SECOND)
         ask(a, c, second * SECOND)
     assert next(iter(a.table)).state is None
 
@@ -310,7 +310,7 @@
     assert ways(a, 2 * SECOND) == [("b",)]
     a.on_silence("b/i", 2 * SECOND)
     assert ways(a, 2 * SECOND) == [("c",)]  # there is nothing better
-    a.on_time(7 * SECOND)
+    a.on_timer(7 * SECOND)
     assert a.table == () and ways(a, 7 * SECOND) == []
 
 
@@ -320,7 +320,7 @@
     c.configure(c.partners.values(), [offer.__class__("x", offer.terms, until_us=12 * SECOND)], SECOND)
     a = border("a", {"c": "peer"})
     for second in range(1, 12):
-        c.on_time(second * SECOND)
+        c.on_timer(second * SECOND)
         ask(a, c, second * SECOND)
     assert ways(a, 11 * SECOND) == [("c",)] and ways(a, 12 * SECOND) == []
     assert c.offers(11 * SECOND) and not c.offers(12 * SECOND)
--- a/tests/sites/test_worlds.py
+++ b/tests/sites/test_worlds.py
@@ -19,7 +19,7 @@
     world = Simulation(seed)
     world.run_scenario()
     assert not world.breaches
-    assert world.sent or not any(site.lent for site in world.sites.values())
+    assert world.sent or not any(site.offers for site in world.sites.values())
 
 
 @pytest.mark.parametrize("triangle", [False, True])
--- a/tests/sources/test_zookeeper.py
+++ b/tests/sources/test_zookeeper.py
@@ -320,10 +320,10 @@
         assert instance.source._session is not None
         env.ensemble.stall()
         env.ensemble.expire(instance.source._session.id)
-        await until(lambda: instance.source.figures()["service"] == "silent")
+        await until(lambda: instance.source.status()["service"] == "silent")
         assert instance.ready == everyone
         env.ensemble.resume()
-        await until(lambda: instance.source.figures()["service"] == "connected"
+        await until(lambda: instance.source.status()["service"] == "connected"
                     and instance.source.seats is not None
                     and instance.source.seats.allocator.held == 0)  # fmt: skip
         await env.registrar.drain("b3")
@@ -388,11 +388,9 @@
         seat_changes = [list(instance.seat_changes) for instance in instances]
         before = dict(env.ensemble.request_counts)
         env.ensemble.members[0].vanish()
-        await until(lambda: all(instance.source.figures()["service"] == "silent" for instance in instances))
+        await until(lambda: all(instance.source.status()["service"] == "silent" for instance in instances))
         await env.ensemble.members[0].come_back()
-        await until(
-            lambda: all(instance.source.figures()["service"] == "connected" for instance in instances)
-        )
+        await until(lambda: all(instance.source.status()["service"] == "connected" for instance in instances))
         await env.registrar.drain("b4")
         await until(lambda: all(instance.ready == everyone - {"b4"} for instance in instances))
         asked = {name: count - before.get(name, 0) for name, count in env.ensemble.request_counts.items()}
@@ -508,7 +506,7 @@
         env.ensemble.tree.delete(PATH, -1, set())
         instance = env.instance()
         await until(lambda: instance.source.reads >= 2)
-        assert not instance.history and instance.source.figures()["list_age_ms"] is None
+        assert not instance.history and instance.source.status()["list_age_ms"] is None
         await env.registrar.create_path()
         everyone = await env.servers(2)
         await until(lambda: instance.ready == everyone)
