--- a/benchmarks/adoption.py
+++ b/benchmarks/adoption.py
@@ -26,9 +26,9 @@
 from typing import Any
 
 from benchmarks.daemon import resident_mb, summarize_ms
-from sorrelfront.lab.crowd import LOST, LoadGenerator
 from sorrelfront.lab.http1 import Registry, member
-from sorrelfront.lab.shop import Ledger, Mode, Server
+from sorrelfront.lab.load_generator import LOST, LoadGenerator
+from sorrelfront.lab.scripted_servers import Ledger, Mode, Server
 from tests.daemon.fleet import Fleet
 
 ORPHAN_MS = 120_000
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from functools import partial
 
-from sorrelfront.decisions.fleet.copies import Settings, entry_size, host_of
+from sorrelfront.decisions.fleet.replicas import Settings, entry_size, host_of
 from sorrelfront.lab.fleet import copies as lab
 from sorrelfront.lab.fleet.copies_explorer import explore
 
--- a/benchmarks/daemon.py
+++ b/benchmarks/daemon.py
@@ -20,9 +20,9 @@
 from pathlib import Path
 from typing import Any
 
-from sorrelfront.lab.crowd import LOST, LoadGenerator
 from sorrelfront.lab.http1 import Registry, member
-from sorrelfront.lab.shop import Ledger, Server
+from sorrelfront.lab.load_generator import LOST, LoadGenerator
+from sorrelfront.lab.scripted_servers import Ledger, Server
 from tests.daemon.fleet import Fleet
 from tests.daemon.test_replacement import start_replacement, wait_for_control_socket
 
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -29,11 +29,11 @@
 from typing import Any
 
 from sorrelfront.daemon import control, policies
+from sorrelfront.lab.storm.harness import Harness
 from sorrelfront.lab.storm.history import Event, History
 from sorrelfront.lab.storm.processes import find_marked
 from sorrelfront.lab.storm.run import play, verdict_of
 from sorrelfront.lab.storm.scenario import Scenario, parse
-from sorrelfront.lab.storm.stage import Harness
 
 SCENARIO = """
 [storm]
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,13 +25,13 @@
 from typing import Any
 
 from sorrelfront.agent import Clock
-from sorrelfront.decisions import places
-from sorrelfront.decisions.fleet.seats import ring_positions as view_places
+from sorrelfront.decisions import seat_allocation
+from sorrelfront.decisions.fleet.placement import ring_positions as view_places
 from sorrelfront.decisions.interface import State
 from sorrelfront.decisions.membership import Answering
 from sorrelfront.lab.demo import Demo, Step
 from sorrelfront.lab.listing import EphemeralListing
-from sorrelfront.lab.shop import Server
+from sorrelfront.lab.scripted_servers import Server
 from sorrelfront.lab.zookeeper.ensemble import Ensemble
 from sorrelfront.lab.zookeeper.registrar import Registrar
 from sorrelfront.lists import parse_address
@@ -307,7 +307,7 @@
     """Count the servers that instances newly get when their slices move to other starting points."""
 
     def servers(begin: int) -> set[int]:
-        start = begin * size // places.RING_POINTS
+        start = begin * size // seat_allocation.RING_POINTS
         return {(start + step) % size for step in range(wanted)}
 
     return sum(len(servers(new) - servers(old)) for old, new in zip(before, after, strict=True))
@@ -322,10 +322,10 @@
     size, wanted, count = 500, 20, 50
 
     def numbered(many: int) -> list[int]:
-        return [at * places.RING_POINTS // many for at in range(many)]
+        return [at * seat_allocation.RING_POINTS // many for at in range(many)]
 
-    seated = [places.ring_point(at) for at in range(count)]
-    begins = [place * size // places.RING_POINTS for place in seated]
+    seated = [seat_allocation.ring_point(at) for at in range(count)]
+    begins = [place * size // seat_allocation.RING_POINTS for place in seated]
     load = Counter((begin + step) % size for begin in begins for step in range(wanted))
     left = [*seated[:17], *seated[18:]]
     moved = [*left[:-1], seated[17]]  # the highest-numbered instance has taken the freed seat 17
@@ -337,7 +337,9 @@
         "most instances at a server, seated": max(load.values()),
         "least instances at a server, seated": min(load.get(at, 0) for at in range(size)),
         "even": count * wanted / size,
-        "gaps of an even share, least and most": [round(gap, 2) for gap in places.gap_ratios(range(count))],
+        "gaps of an even share, least and most": [
+            round(gap, 2) for gap in seat_allocation.gap_ratios(range(count))
+        ],
         **seats_by_view(size, wanted, count),
     }
 
@@ -350,13 +352,13 @@
         now, more, less = (view_places(names[:many]) for many in (count, count + 1, count - 1))
         joins += count_changed([now[name] for name in now], [more[name] for name in now], size, wanted)
         leaves += count_changed([now[name] for name in less], [less[name] for name in less], size, wanted)
-        begins = [point * size // places.RING_POINTS for point in now.values()]
+        begins = [point * size // seat_allocation.RING_POINTS for point in now.values()]
         load = Counter((begin + step) % size for begin in begins for step in range(wanted))
         most += max(load.values()) / NAME_SETS
         least += min(load.get(at, 0) for at in range(size)) / NAME_SETS
         points = sorted(now.values())
-        ring = [*points, points[0] + places.RING_POINTS]
-        gaps += [(b - a) * count / places.RING_POINTS for a, b in pairwise(ring)]
+        ring = [*points, points[0] + seat_allocation.RING_POINTS]
+        gaps += [(b - a) * count / seat_allocation.RING_POINTS for a, b in pairwise(ring)]
     return {
         "by the view, one joins": round(joins / NAME_SETS, 1),
         "by the view, one leaves": round(leaves / NAME_SETS, 1),
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -18,8 +18,8 @@
 import tempfile
 from pathlib import Path
 
-from sorrelfront.lab.crowd import LoadGenerator
 from sorrelfront.lab.http1 import Backend, Registry, answer, connect, make_config, member
+from sorrelfront.lab.load_generator import LoadGenerator
 from tests.test_process import free_address
 
 
--- a/sorrelfront/agent.py
+++ b/sorrelfront/agent.py
@@ -10,14 +10,14 @@
 from functools import partial
 from typing import Protocol, TypeVar
 
+from sorrelfront.agent_config import Config
 from sorrelfront.decisions import interface as api
 from sorrelfront.decisions.balancer import Balancer
-from sorrelfront.decisions.orders import Overrides
+from sorrelfront.decisions.overrides import Overrides
 from sorrelfront.events import Event, EventCounter
 from sorrelfront.lists import Directory
 from sorrelfront.messages import Address, Answer, AttemptResult, Call, Failed, FinalAnswer, Refused, Update
 from sorrelfront.net.budget import MAX_STREAMED_BODY
-from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
 
--- a/sorrelfront/cli/storm.py
+++ b/sorrelfront/cli/storm.py
@@ -56,12 +56,12 @@
 
 
 def _run_scenario(scenario: Any, seed: int, keep: Path | None, as_json: bool) -> None:
-    from sorrelfront.lab.storm import run, stage
+    from sorrelfront.lab.storm import harness, run
 
     print_line = (lambda _: None) if as_json else (lambda line: click.echo(line, err=True))
     try:
         verdict = run.play(scenario, seed, keep, print_line)
-    except stage.StormSetupError as fault:
+    except harness.StormSetupError as fault:
         click.echo(f"void: {fault.message_with_remedy()}", err=True)
         raise SystemExit(run.VOID) from None
     except run.Interrupted as fault:
--- a/sorrelfront/daemon/ephemeral.py
+++ b/sorrelfront/daemon/ephemeral.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from sorrelfront.agent import Clock
-from sorrelfront.decisions import membership, places
+from sorrelfront.agent_config import Config
+from sorrelfront.decisions import membership, seat_allocation
 from sorrelfront.lists import parse_address
 from sorrelfront.messages import Update
 from sorrelfront.net import zookeeper as net
 from sorrelfront.platform.config import BadConfig
 from sorrelfront.sources.zookeeper import EphemeralNodeSource, SourceSettings
-from sorrelfront.terms import Config
 
 MAX_AUTH_BYTES = 512  # of user and password
 # An instance keeps using its seat for this many session timeouts after its service stopped answering.
@@ -60,7 +60,7 @@
             confirm_us=int(table["confirm_ms"] * 1000),
             doubt_us=int(table["doubt_ms"] * 1000),
         ),
-        seats=places.Settings(
+        seats=seat_allocation.Settings(
             hole_us=int(table["hole_ms"] * 1000), keep_us=int(SEAT_RETENTION_SESSIONS * session_us)
         ),
     )
--- a/sorrelfront/daemon/fellow.py
+++ b/sorrelfront/daemon/fleet_membership.py
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from sorrelfront.daemon.gate import GatedAgent
     from sorrelfront.daemon.policies import PolicyOverlay
-    from sorrelfront.fleet.copier import Replicator
-    from sorrelfront.fleet.council import PolicyMember
+    from sorrelfront.fleet.policy_member import PolicyMember
+    from sorrelfront.fleet.replicator import Replicator
     from sorrelfront.messages import Update
 
 log = logging.getLogger("sorrelfront.daemon")
@@ -50,7 +50,7 @@
         Raises:
             BadConfig: The fleet's key cannot be used.
         """
-        from sorrelfront.decisions.fleet.seats import RingPosition
+        from sorrelfront.decisions.fleet.placement import RingPosition
         from sorrelfront.fleet.envelope import InvalidKeyFile
         from sorrelfront.fleet.member import Member
 
@@ -73,8 +73,8 @@
             list_is_numbered: Whether this member's list service numbers its states, the same for all members.
             update: Passes a changed server list to the agent.
         """
-        from sorrelfront.daemon.ledger import ReplicaLog
-        from sorrelfront.fleet.copier import Ports, Replicator, decode_changes, replication_settings
+        from sorrelfront.daemon.replica_log import ReplicaLog
+        from sorrelfront.fleet.replicator import Ports, Replicator, decode_changes, replication_settings
 
         table, view = self._member.table, self._member.transport.view
         ledger = ReplicaLog(Path(table["copies_record"])) if table["copies_record"] else None
@@ -110,7 +110,7 @@
             agent: It checks the policy before it decides on a request.
             governed: It applies the version that is in force.
         """
-        from sorrelfront.fleet.council import PolicyMember, Ports
+        from sorrelfront.fleet.policy_member import PolicyMember, Ports
 
         table, view = self._member.table, self._member.transport.view
         vote_path, held_path = Path(table["vote_record"]), Path(table["held_record"])
--- a/sorrelfront/daemon/gate.py
+++ b/sorrelfront/daemon/gate.py
@@ -12,7 +12,7 @@
 
 from sorrelfront.agent import ANSWER_GRACE_US, DEADLINE_MARGIN_US, Agent, PendingRequest
 from sorrelfront.decisions import interface as api
-from sorrelfront.fleet.council import LeaseStatus, PolicyMember
+from sorrelfront.fleet.policy_member import LeaseStatus, PolicyMember
 from sorrelfront.messages import Answer, AttemptResult, Call, Failed, FinalAnswer, Refused
 
 MAX_WAITING = 512  # requests that wait for a lease
--- a/sorrelfront/daemon/instance.py
+++ b/sorrelfront/daemon/instance.py
@@ -24,28 +24,33 @@
 from typing import TYPE_CHECKING, Any
 
 from sorrelfront.agent import Agent, Source
+from sorrelfront.agent_config import Config
 from sorrelfront.daemon import logs
 from sorrelfront.daemon.channel import BadMessage, Message, receive, send
-from sorrelfront.daemon.door import InstanceSocket
-from sorrelfront.daemon.fellow import FleetMembership
+from sorrelfront.daemon.fleet_membership import FleetMembership
+from sorrelfront.daemon.instance_socket import InstanceSocket
 from sorrelfront.daemon.processes import start_ticks
-from sorrelfront.decisions import places
+from sorrelfront.decisions import seat_allocation
 from sorrelfront.decisions.adoption import PROTOCOL_VERSION, LifecycleState
-from sorrelfront.decisions.learnt import MAX_STORED_AGE_US, UnusableSnapshot, restore_snapshot, take_snapshot
-from sorrelfront.decisions.listing import READ_TIMEOUT_US
+from sorrelfront.decisions.discovery_timing import READ_TIMEOUT_US
 from sorrelfront.decisions.membership import Answering
+from sorrelfront.decisions.snapshots import (
+    MAX_STORED_AGE_US,
+    UnusableSnapshot,
+    restore_snapshot,
+    take_snapshot,
+)
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.messages import Address, Update
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import BadConfig, parse
 from sorrelfront.signals import ignore_until_exit, on_signal
 from sorrelfront.sources import registry
-from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 if TYPE_CHECKING:
-    from sorrelfront.daemon.border import SiteGateway
     from sorrelfront.daemon.policies import Policy, PolicyOverlay
+    from sorrelfront.daemon.site_gateway import SiteGateway
     from sorrelfront.sources.zookeeper import EphemeralNodeSource
 
 log = logging.getLogger("sorrelfront.instance")
@@ -302,7 +307,7 @@
         self._table = table  # its `source` selects the membership source
         governed = table.get("fleet") is not None and table["fleet"]["voters"]
         if table.get("site") is not None:
-            from sorrelfront.daemon.border import SiteGateway
+            from sorrelfront.daemon.site_gateway import SiteGateway
 
             self._partner_sites = SiteGateway(table["site"])
             self._agent = self._partner_sites.create_agent(config, upstream, self._create_source, governed)
@@ -454,7 +459,7 @@
         if seat is None:
             self._agent.set_subset(settings.number, settings.agents)
         else:
-            self._agent.set_subset(places.ring_point(seat), places.RING_POINTS)
+            self._agent.set_subset(seat_allocation.ring_point(seat), seat_allocation.RING_POINTS)
 
     def _evidence(self, server: str, since: int) -> Answering:
         """Return what attempts since `since` (agent time, us) show about a server."""
@@ -511,7 +516,7 @@
                 figures["site"] = self._partner_sites.status()
             point = self._fleet_member.new_slice_start()
             if point is not None:
-                agent.set_subset(point, places.RING_POINTS)
+                agent.set_subset(point, seat_allocation.RING_POINTS)
         self.send_to_supervisor({"op": "beat", "figures": figures})
         asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
--- a/sorrelfront/daemon/policies.py
+++ b/sorrelfront/daemon/policies.py
@@ -29,11 +29,11 @@
     decision_settings,
 )
 from sorrelfront.decisions.fleet.policy import Value, VoterState, digest_of
-from sorrelfront.decisions.fleet.said import MAX_POLICY_BYTES
+from sorrelfront.decisions.fleet.policy_codec import MAX_POLICY_BYTES
 from sorrelfront.platform.config import BadConfig, parse
 
 if TYPE_CHECKING:
-    from sorrelfront.fleet.council import PolicyMember
+    from sorrelfront.fleet.policy_member import PolicyMember
 
 log = logging.getLogger("sorrelfront.daemon")
 
--- a/sorrelfront/daemon/border.py
+++ b/sorrelfront/daemon/site_gateway.py
@@ -14,11 +14,12 @@
 
 import msgspec
 
+from sorrelfront.agent_config import Config
 from sorrelfront.daemon import records
 from sorrelfront.daemon.configuration import ALL_PARTNERS
 from sorrelfront.daemon.gate import GatedAgent
+from sorrelfront.decisions.sites.admission import Admission
 from sorrelfront.decisions.sites.offers import OfferId, Relation
-from sorrelfront.decisions.sites.passage import Admission
 from sorrelfront.decisions.sites.routes import (
     MAX_OFFER_IDS,
     Border,
@@ -32,14 +33,13 @@
 from sorrelfront.lists import parse_address
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import BadConfig
-from sorrelfront.sites.carrier import PartnerTransport, now_us
 from sorrelfront.sites.keys import BadSiteKey, Keys, load_private_key
 from sorrelfront.sites.requests import Forwarder, ForwardingAgent, Gateway
-from sorrelfront.terms import Config
+from sorrelfront.sites.transport import PartnerTransport, now_us
 from sorrelfront.upstreams.http1 import Upstream
 
 if TYPE_CHECKING:
-    from sorrelfront.fleet.copier import Replicator
+    from sorrelfront.fleet.replicator import Replicator
 
 log = logging.getLogger("sorrelfront.sites")
 
--- a/sorrelfront/daemon/state.py
+++ b/sorrelfront/daemon/state.py
@@ -20,7 +20,7 @@
 from sorrelfront.daemon.fleet import Fleet, now_us
 from sorrelfront.daemon.records import InvalidRecord, RecordKind, Writer, encode_record
 from sorrelfront.daemon.replacement import request_estimates
-from sorrelfront.decisions.learnt import MAX_STORED_AGE_US, merge_snapshots
+from sorrelfront.decisions.snapshots import MAX_STORED_AGE_US, merge_snapshots
 
 log = logging.getLogger("sorrelfront.daemon")
 
--- a/sorrelfront/decisions/balancer.py
+++ b/sorrelfront/decisions/balancer.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from sorrelfront.decisions import interface as api
-from sorrelfront.decisions.listing import BackOff
+from sorrelfront.decisions.discovery_timing import BackOff
 from sorrelfront.decisions.slow_start import SlowStart
 
 # Latencies are kept as multiples of the usual latency for the request's class and cost hint, so that these
--- a/sorrelfront/decisions/fleet/seats.py
+++ b/sorrelfront/decisions/fleet/placement.py
@@ -15,7 +15,7 @@
 import hashlib
 from collections.abc import Collection
 
-from sorrelfront.decisions.places import RING_POINTS, ring_point
+from sorrelfront.decisions.seat_allocation import RING_POINTS, ring_point
 
 MAX_MATCHED_MEMBERS = 64  # 4,096 pairs take some 10 ms, which block the instance
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # odd, mixes the bits (Knuth, multiplicative hashing)
--- a/sorrelfront/decisions/fleet/said.py
+++ b/sorrelfront/decisions/fleet/policy_codec.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sorrelfront.decisions.fleet import policy
-from sorrelfront.decisions.fleet.words import MalformedMessage
+from sorrelfront.decisions.fleet.messages import MalformedMessage
 
 MAX_POLICY_BYTES = 32 * 1024  # bytes of one policy
 MAX_TEXT_LENGTH = 512  # characters of a name, a change's id, an error
--- a/sorrelfront/decisions/fleet/copies.py
+++ b/sorrelfront/decisions/fleet/replicas.py
@@ -26,7 +26,7 @@
 from msgspec import Meta
 from sortedcontainers import SortedList
 
-from sorrelfront.decisions.fleet.words import Count, MalformedMessage, Name
+from sorrelfront.decisions.fleet.messages import Count, MalformedMessage, Name
 
 BUCKETS = 32  # digests in a message; only the maps of buckets that differ are compared
 MAX_KEY_CHARS, MAX_VALUE_BYTES, MAX_HINT_BYTES = 256, 2_048, 64  # characters; bytes
--- a/sorrelfront/decisions/fleet/servers.py
+++ b/sorrelfront/decisions/fleet/servers.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-from sorrelfront.decisions.fleet.words import Count
+from sorrelfront.decisions.fleet.messages import Count
 from sorrelfront.decisions.interface import Backend, State
 
 MAX_TEXT_CHARS = 128  # of a zone or a kind
--- a/sorrelfront/decisions/fleet/view.py
+++ b/sorrelfront/decisions/fleet/view.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from sorrelfront.decisions.fleet.words import (
+from sorrelfront.decisions.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     MAX_MEMBERS,
     MAX_UPDATES,
--- a/sorrelfront/fleet/member.py
+++ b/sorrelfront/fleet/member.py
@@ -10,10 +10,7 @@
 from random import Random, SystemRandom
 from typing import Any
 
-from sorrelfront.decisions.fleet.policy import PolicyMessage
-from sorrelfront.decisions.fleet.said import decode_message, encode_message
-from sorrelfront.decisions.fleet.view import Settings, View
-from sorrelfront.decisions.fleet.words import (
+from sorrelfront.decisions.fleet.messages import (
     Address,
     MalformedMessage,
     MemberUpdate,
@@ -21,9 +18,12 @@
     ReplicationFrame,
     State,
 )
-from sorrelfront.fleet.carrier import MembershipTransport, now_us
-from sorrelfront.fleet.council import PolicyMember
+from sorrelfront.decisions.fleet.policy import PolicyMessage
+from sorrelfront.decisions.fleet.policy_codec import decode_message, encode_message
+from sorrelfront.decisions.fleet.view import Settings, View
 from sorrelfront.fleet.envelope import EnvelopeCodec, read_keys
+from sorrelfront.fleet.policy_member import PolicyMember
+from sorrelfront.fleet.transport import MembershipTransport, now_us
 from sorrelfront.lists import parse_address
 
 log = logging.getLogger("sorrelfront.fleet")
--- a/sorrelfront/fleet/council.py
+++ b/sorrelfront/fleet/policy_member.py
@@ -19,6 +19,7 @@
 from typing import Any
 
 from sorrelfront.decisions.fleet.change import Change, Outcome
+from sorrelfront.decisions.fleet.messages import MalformedMessage
 from sorrelfront.decisions.fleet.policy import (
     Accepted,
     Chosen,
@@ -45,14 +46,13 @@
     digest_of,
     start_voter,
 )
-from sorrelfront.decisions.fleet.said import (
+from sorrelfront.decisions.fleet.policy_codec import (
     decode_record,
     decode_remembered,
     encode_record,
     encode_remembered,
 )
-from sorrelfront.decisions.fleet.words import MalformedMessage
-from sorrelfront.fleet.carrier import now_us
+from sorrelfront.fleet.transport import now_us
 
 log = logging.getLogger("sorrelfront.fleet")
 
--- a/sorrelfront/fleet/copier.py
+++ b/sorrelfront/fleet/replicator.py
@@ -16,7 +16,8 @@
 import msgspec
 
 from sorrelfront.decisions.fleet import servers
-from sorrelfront.decisions.fleet.copies import (
+from sorrelfront.decisions.fleet.messages import MalformedMessage
+from sorrelfront.decisions.fleet.replicas import (
     Action,
     CaughtUp,
     Change,
@@ -31,9 +32,8 @@
     encode,
 )
 from sorrelfront.decisions.fleet.servers import DRAIN_PREFIX, ConservativeView, ReplicatedServer
-from sorrelfront.decisions.fleet.words import MalformedMessage
 from sorrelfront.decisions.interface import Backend, State
-from sorrelfront.fleet.carrier import now_us
+from sorrelfront.fleet.transport import now_us
 from sorrelfront.lists import MalformedList, parse_address
 from sorrelfront.messages import Address, Update
 
--- a/sorrelfront/fleet/carrier.py
+++ b/sorrelfront/fleet/transport.py
@@ -15,8 +15,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from sorrelfront.decisions.fleet.view import Action, MemberEvent, PersistIncarnation, PushPull, Send, View
-from sorrelfront.decisions.fleet.words import (
+from sorrelfront.decisions.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     MAX_STATE_BYTES,
     Address,
@@ -30,6 +29,7 @@
     decode_stream,
     encode,
 )
+from sorrelfront.decisions.fleet.view import Action, MemberEvent, PersistIncarnation, PushPull, Send, View
 from sorrelfront.fleet.envelope import ENVELOPE_BYTES, EnvelopeCodec
 from sorrelfront.net.streams import close_stream
 
--- a/sorrelfront/lab/demo.py
+++ b/sorrelfront/lab/demo.py
@@ -26,9 +26,9 @@
 
 from sorrelfront.daemon import control
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.lab.crowd import CLASSES, LOST, LoadGenerator
 from sorrelfront.lab.listing import EphemeralListing, Listing, RegistryListing
-from sorrelfront.lab.shop import Ledger, Mode, Server
+from sorrelfront.lab.load_generator import CLASSES, LOST, LoadGenerator
+from sorrelfront.lab.scripted_servers import Ledger, Mode, Server
 
 CLIENTS = 24
 PAUSE_S = 0.05  # between a client's answer and its next request
--- a/sorrelfront/lab/fleet/copies.py
+++ b/sorrelfront/lab/fleet/copies.py
@@ -20,7 +20,7 @@
 from functools import partial
 from random import Random
 
-from sorrelfront.decisions.fleet.copies import (
+from sorrelfront.decisions.fleet.replicas import (
     LIST_PREFIX,
     MAX_FETCH_TRIES,
     SUPERSEDED_PREFIX,
--- a/sorrelfront/lab/fleet/copies_explorer.py
+++ b/sorrelfront/lab/fleet/copies_explorer.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import NamedTuple
 
-from sorrelfront.decisions.fleet.copies import (
+from sorrelfront.decisions.fleet.replicas import (
     SUPERSEDED_PREFIX,
     Action,
     Change,
--- a/sorrelfront/lab/fleet/storms.py
+++ b/sorrelfront/lab/fleet/storms.py
@@ -12,8 +12,8 @@
 from functools import partial
 from random import Random
 
+from sorrelfront.decisions.fleet.messages import State
 from sorrelfront.decisions.fleet.view import Settings, convergence_bound_us
-from sorrelfront.decisions.fleet.words import State
 from sorrelfront.lab.fleet.virtual import SECOND, Node, ViewFactory, VirtualFleet, make_view
 
 FAST = Settings(
--- a/sorrelfront/lab/fleet/virtual.py
+++ b/sorrelfront/lab/fleet/virtual.py
@@ -14,6 +14,7 @@
 from functools import partial
 from random import Random
 
+from sorrelfront.decisions.fleet.messages import Address, FullState, MemberUpdate, Message, State, encode
 from sorrelfront.decisions.fleet.view import (
     Action,
     MemberEvent,
@@ -24,7 +25,6 @@
     View,
     convergence_bound_us,
 )
-from sorrelfront.decisions.fleet.words import Address, FullState, MemberUpdate, Message, State, encode
 
 MAX_INBOX = 512  # datagrams that the kernel queues for a process that does not read
 SECOND = 1_000_000
--- a/sorrelfront/lab/sites/explorer.py
+++ b/sorrelfront/lab/sites/explorer.py
@@ -16,8 +16,8 @@
 import copy
 from typing import NamedTuple
 
+from sorrelfront.decisions.sites.admission import Admission, Admitted
 from sorrelfront.decisions.sites.offers import OfferId, Relation
-from sorrelfront.decisions.sites.passage import Admission, Admitted
 from sorrelfront.decisions.sites.routes import Advertisement, Border, OfferConfig, Partner, Settings
 from sorrelfront.decisions.sites.terms import terms
 from sorrelfront.lab.sites.routes import BorderFactory, keys
--- a/sorrelfront/lab/sites/routes.py
+++ b/sorrelfront/lab/sites/routes.py
@@ -26,8 +26,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from sorrelfront.decisions.sites.admission import Admission, Admitted
 from sorrelfront.decisions.sites.offers import OfferId, Relation, Sign, UnusedReason, may_export
-from sorrelfront.decisions.sites.passage import Admission, Admitted
 from sorrelfront.decisions.sites.routes import (
     Advertisement,
     Border,
--- a/sorrelfront/lab/storm/stage.py
+++ b/sorrelfront/lab/storm/harness.py
@@ -30,11 +30,11 @@
 from sorrelfront.decisions.fleet.view import Settings
 from sorrelfront.decisions.fleet.view import convergence_bound_us as view_bound_us
 from sorrelfront.errors import SorrelfrontError
-from sorrelfront.fleet.copier import replication_settings
-from sorrelfront.lab.crowd import LEFT, LoadGenerator, SocketClient
+from sorrelfront.fleet.replicator import replication_settings
 from sorrelfront.lab.fleet.copies import bound_us
 from sorrelfront.lab.http1 import Registry, make_config, member
-from sorrelfront.lab.shop import Ledger, Mode, Server
+from sorrelfront.lab.load_generator import LEFT, LoadGenerator, SocketClient
+from sorrelfront.lab.scripted_servers import Ledger, Mode, Server
 from sorrelfront.lab.storm import disk, launch, sites
 from sorrelfront.lab.storm.history import History
 from sorrelfront.lab.storm.links import Network, TcpRelay, UdpRelay
--- a/sorrelfront/lab/storm/launch.py
+++ b/sorrelfront/lab/storm/launch.py
@@ -128,7 +128,7 @@
         Discovery.__init__ = init_recording_list  # type: ignore[method-assign,assignment]
         Discovery.subscribe = subscribe_to_first_list  # type: ignore[method-assign]
     elif name == "ignores-leases":
-        from sorrelfront.fleet.council import LeaseStatus, PolicyMember
+        from sorrelfront.fleet.policy_member import LeaseStatus, PolicyMember
 
         def standing(self: Any) -> LeaseStatus:
             """Keep serving by the current version, as if its lease never expired."""
@@ -137,7 +137,7 @@
         PolicyMember.lease_status = standing  # type: ignore[method-assign]
         PolicyMember.may_attempt = lambda self, version: True  # type: ignore[method-assign]
     elif name == "trusts-old-copies":
-        from sorrelfront.decisions.fleet.copies import CaughtUp, ReplicaStore
+        from sorrelfront.decisions.fleet.replicas import CaughtUp, ReplicaStore
 
         original_init_copies = ReplicaStore.__init__
 
@@ -166,17 +166,17 @@
 
         vars(routes)["fault"] = fault
     elif name == "wall-lifetimes":
-        from sorrelfront.daemon import border
-        from sorrelfront.sites import carrier, requests
+        from sorrelfront.daemon import site_gateway
+        from sorrelfront.sites import requests, transport
 
         def now_us() -> int:
             """Measure lifetimes by the time of day."""
             return time.time_ns() // 1_000
 
-        for module in (border, carrier, requests):
+        for module in (site_gateway, transport, requests):
             module.now_us = now_us  # type: ignore[attr-defined]
     elif name == "asks-late":
-        from sorrelfront.decisions.listing import BackOff
+        from sorrelfront.decisions.discovery_timing import BackOff
 
         def failed(self: Any, within_us: int, grace_us: int) -> int:
             """Back off from the list service as long as some programs do, whatever counts as told."""
--- a/sorrelfront/lab/storm/run.py
+++ b/sorrelfront/lab/storm/run.py
@@ -18,10 +18,10 @@
 import numpy as np
 
 from sorrelfront.lab.storm.checkers import Breach, run_checkers
+from sorrelfront.lab.storm.harness import Harness
 from sorrelfront.lab.storm.history import HISTORY, Event, History, read
 from sorrelfront.lab.storm.scenario import Scenario
 from sorrelfront.lab.storm.scenario import read as read_scenario
-from sorrelfront.lab.storm.stage import Harness
 
 HELD, BROKEN, VOID = 0, 1, 3  # exit codes; 2 is a usage error
 SCENARIO_FILE = "storm.toml"
--- a/sorrelfront/platform/__main__.py
+++ b/sorrelfront/platform/__main__.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 
 from sorrelfront.agent import Agent
+from sorrelfront.agent_config import Config
 from sorrelfront.log_limits import RateLimit
 from sorrelfront.messages import Address
 from sorrelfront.net.budget import Descriptors
@@ -24,7 +25,6 @@
 from sorrelfront.platform.upgrade import find_predecessor
 from sorrelfront.signals import ignore_until_exit, on_signal
 from sorrelfront.sources.registry import watch
-from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 log = logging.getLogger("sorrelfront")
--- a/sorrelfront/platform/config.py
+++ b/sorrelfront/platform/config.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
+from sorrelfront.agent_config import Config
 from sorrelfront.errors import SorrelfrontError
 from sorrelfront.lists import MalformedList, parse_address, parse_update
 from sorrelfront.messages import Address, Update
 from sorrelfront.platform.adapter import parse_settings
-from sorrelfront.terms import Config
 
 CONFIG = "BALANCER_CONFIG"
 MIN_MEMORY_MB = 1
--- a/sorrelfront/platform/control.py
+++ b/sorrelfront/platform/control.py
@@ -29,7 +29,7 @@
 from sorrelfront.messages import Address
 from sorrelfront.net.heads import MAX_HEAD_BYTES
 from sorrelfront.net.http import Wire, frame_events
-from sorrelfront.platform.orders_file import TooManyDisabled
+from sorrelfront.platform.overrides_file import TooManyDisabled
 
 log = logging.getLogger(__name__)
 
--- a/sorrelfront/platform/orders_file.py
+++ b/sorrelfront/platform/overrides_file.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from sorrelfront.decisions.orders import MAX_DISABLED_SERVERS, MAX_ID_LENGTH
+from sorrelfront.decisions.overrides import MAX_DISABLED_SERVERS, MAX_ID_LENGTH
 from sorrelfront.errors import SorrelfrontError
 
 log = logging.getLogger(__name__)
--- a/sorrelfront/platform/service.py
+++ b/sorrelfront/platform/service.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 
 from sorrelfront.agent import Agent
+from sorrelfront.agent_config import Config
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.net.budget import RESERVED_DESCRIPTORS, BodyBudget, Descriptors
 from sorrelfront.net.transient import retry_transient
-from sorrelfront.platform.orders_file import POLL_INTERVAL_S, OverridesFile
+from sorrelfront.platform.overrides_file import POLL_INTERVAL_S, OverridesFile
 from sorrelfront.platform.upgrade import Predecessor, Successor
-from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 log = logging.getLogger(__name__)
--- a/sorrelfront/sites/requests.py
+++ b/sorrelfront/sites/requests.py
@@ -18,8 +18,9 @@
 
 from sorrelfront.agent import ANSWER_GRACE_US, DEADLINE_MARGIN_US, Agent, PendingRequest
 from sorrelfront.agent import Upstream as AnyUpstream
+from sorrelfront.agent_config import Config
 from sorrelfront.decisions import interface as api
-from sorrelfront.decisions.sites.passage import FULL_RETRY_US, Admission, Admitted, Rejected, parse_path
+from sorrelfront.decisions.sites.admission import FULL_RETRY_US, Admission, Admitted, Rejected, parse_path
 from sorrelfront.decisions.sites.routes import Border, Route
 from sorrelfront.events import EventCounter
 from sorrelfront.lists import parse_address
@@ -35,9 +36,8 @@
     Update,
 )
 from sorrelfront.net.http import Payload
-from sorrelfront.sites.carrier import now_us
 from sorrelfront.sites.keys import Keys
-from sorrelfront.terms import Config
+from sorrelfront.sites.transport import now_us
 
 PATH_HEADER = b"X-Sorrelfront-Path"
 PASS_HEADER = b"X-Sorrelfront-Pass"
--- a/sorrelfront/sources/registry.py
+++ b/sorrelfront/sources/registry.py
@@ -13,11 +13,11 @@
 
 import h11
 
-from sorrelfront.decisions.listing import DiscoveryCall, WatchTimer
+from sorrelfront.agent_config import Config
+from sorrelfront.decisions.discovery_timing import DiscoveryCall, WatchTimer
 from sorrelfront.lists import MalformedList, parse_update
 from sorrelfront.messages import Address, Update
 from sorrelfront.net.http import Wire, frame_events
-from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
 
--- a/sorrelfront/sources/zookeeper.py
+++ b/sorrelfront/sources/zookeeper.py
@@ -22,13 +22,13 @@
 from random import Random
 from typing import Any
 
+from sorrelfront.agent_config import Config
 from sorrelfront.decisions import interface as api
-from sorrelfront.decisions import membership, places
+from sorrelfront.decisions import membership, seat_allocation
 from sorrelfront.lists import MalformedList, parse_address
 from sorrelfront.messages import Update
 from sorrelfront.net import zookeeper as net
 from sorrelfront.net.jute import OPEN_ACL_UNSAFE, Acl, Err, Event, Flag, Perm, Stat
-from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
     path: str
     seats_path: str = ""
     suspicion: membership.Settings = field(default_factory=membership.Settings)
-    seats: places.Settings = field(default_factory=places.Settings)
+    seats: seat_allocation.Settings = field(default_factory=seat_allocation.Settings)
 
 
 def parse_record(data: bytes, stat: Stat) -> membership.Member:
@@ -421,7 +421,7 @@
         self._session, self._path, self._name, self._now, self._on_seat_change = (
             session, settings.seats_path, name, now, on_seat_change,
         )  # fmt: skip
-        self.allocator = places.SeatAllocator(settings.seats, seed, previous)
+        self.allocator = seat_allocation.SeatAllocator(settings.seats, seed, previous)
         self._random = Random(seed ^ 0x5EA7)
         self._acls: tuple[Acl, ...] = OPEN_ACL_UNSAFE
         if settings.session.auth:
@@ -454,7 +454,7 @@
     def on_session_state(self, state: net.SessionState) -> None:
         """Handle a change of the session state."""
         if state in (net.SessionState.CONNECTED, net.SessionState.SLOW):
-            self._execute(self.allocator.on_session(places.SessionState.CONNECTED, self._now()))
+            self._execute(self.allocator.on_session(seat_allocation.SessionState.CONNECTED, self._now()))
             if not self._connected.is_set():
                 self._connected.set()
                 self._read_needed.set()
@@ -465,7 +465,10 @@
             self._unconfirmed.clear()
         self._execute(
             self.allocator.on_session(
-                places.SessionState.EXPIRED if expired else places.SessionState.DISCONNECTED, self._now()
+                seat_allocation.SessionState.EXPIRED
+                if expired
+                else seat_allocation.SessionState.DISCONNECTED,
+                self._now(),
             )
         )
 
@@ -520,16 +523,16 @@
                 if refused.err != Err.NODE_EXISTS:
                     raise
 
-    def _execute(self, actions: list[places.Action]) -> None:
+    def _execute(self, actions: list[seat_allocation.Action]) -> None:
         for action in actions:
             match action:
-                case places.SeatChange(seat):
+                case seat_allocation.SeatChange(seat):
                     self._on_seat_change(seat)
-                case places.Claim(seat, delay_us):
+                case seat_allocation.Claim(seat, delay_us):
                     self._spawn(self._claim(seat, delay_us / 1e6))
-                case places.Release(seat):
+                case seat_allocation.Release(seat):
                     self._spawn(self._release(seat))
-                case places.Wake(delay_us):
+                case seat_allocation.Wake(delay_us):
                     self._call_later(delay_us / 1e6)
 
     def _call_later(self, delay_s: float) -> None:
--- a/sorrelfront/upstreams/http1.py
+++ b/sorrelfront/upstreams/http1.py
@@ -19,6 +19,7 @@
 import h11
 
 from sorrelfront.agent import DEADLINE_MARGIN_US
+from sorrelfront.agent_config import Config
 from sorrelfront.decisions.interface import Outcome
 from sorrelfront.events import Event, EventCounter
 from sorrelfront.messages import Address, Answer, AttemptResult, Call, Upload
@@ -33,7 +34,6 @@
     Wire,
     end_to_end,
 )
-from sorrelfront.terms import Config
 
 log = logging.getLogger(__name__)
 
--- a/tests/daemon/test_adoption.py
+++ b/tests/daemon/test_adoption.py
@@ -21,9 +21,9 @@
 from sorrelfront.daemon.journal import Entry, Journal, RunFolder, encode
 from sorrelfront.daemon.processes import boot_id, start_ticks
 from sorrelfront.daemon.takeover import HandoverSender
-from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, connect, gated_script, member, request
-from sorrelfront.lab.shop import Ledger, Server
+from sorrelfront.lab.load_generator import LOST, LoadGenerator, ran_twice
+from sorrelfront.lab.scripted_servers import Ledger, Server
 from tests.daemon.fleet import OK, Fleet, fleet, hello
 from tests.daemon.test_fleet import ServiceManager, alive
 from tests.daemon.test_replacement import start_replacement, wait_for_control_socket, wait_for_handover
--- a/tests/daemon/test_ephemeral.py
+++ b/tests/daemon/test_ephemeral.py
@@ -12,7 +12,7 @@
 from sorrelfront.lab import demo
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend
 from sorrelfront.lab.listing import EphemeralListing
-from sorrelfront.lab.shop import Ledger, Server
+from sorrelfront.lab.scripted_servers import Ledger, Server
 from sorrelfront.platform.config import BadConfig
 from tests.daemon.fleet import OK, Fleet
 from tests.loopback import async_test
--- a/tests/daemon/test_fleet.py
+++ b/tests/daemon/test_fleet.py
@@ -16,8 +16,8 @@
 import pytest
 
 from sorrelfront.daemon import control
-from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, connect, gated_script, member, request
+from sorrelfront.lab.load_generator import LOST, LoadGenerator, ran_twice
 from tests.daemon.fleet import OK, Fleet, fleet, hello
 from tests.loopback import until
 from tests.test_process import ROOT, free_address
@@ -507,12 +507,26 @@
     loaded = run.stdout.split()
     assert "sorrelfront.fronts.http1" in loaded
     extras = (
-        "sorrelfront.daemon", "sorrelfront.cli", "sorrelfront.lab", "click", "rich", "msgspec",
-        "pythonjsonlogger", "sorrelfront.decisions.supervision", "sorrelfront.decisions.adoption",
-        "sorrelfront.decisions.learnt", "sorrelfront.decisions.membership", "sorrelfront.decisions.places",
-        "sorrelfront.sources.zookeeper", "sorrelfront.net.zookeeper", "sorrelfront.net.jute",
-        "sorrelfront.fleet", "sorrelfront.decisions.fleet", "numpy", "matplotlib",
-    )  # fmt: skip
+        "sorrelfront.daemon",
+        "sorrelfront.cli",
+        "sorrelfront.lab",
+        "click",
+        "rich",
+        "msgspec",
+        "pythonjsonlogger",
+        "sorrelfront.decisions.supervision",
+        "sorrelfront.decisions.adoption",
+        "sorrelfront.decisions.snapshots",
+        "sorrelfront.decisions.membership",
+        "sorrelfront.decisions.seat_allocation",
+        "sorrelfront.sources.zookeeper",
+        "sorrelfront.net.zookeeper",
+        "sorrelfront.net.jute",
+        "sorrelfront.fleet",
+        "sorrelfront.decisions.fleet",
+        "numpy",
+        "matplotlib",
+    )
     assert not [name for name in loaded if name.startswith(extras)]
 
 
@@ -521,7 +535,7 @@
     code = "import sys, sorrelfront.daemon.instance; print(' '.join(sorted(sys.modules)))"
     run = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     loaded = run.stdout.split()
-    assert "sorrelfront.daemon.fellow" in loaded
+    assert "sorrelfront.daemon.fleet_membership" in loaded
     parts = ("sorrelfront.fleet", "sorrelfront.decisions.fleet", "sorrelfront.lab", "numpy")
     assert not [name for name in loaded if name.startswith(parts)]
 
--- a/tests/daemon/test_gate.py
+++ b/tests/daemon/test_gate.py
@@ -11,7 +11,7 @@
 from sorrelfront.daemon import gate
 from sorrelfront.daemon.gate import MAX_WAITING, POLICY_HEADER, GatedAgent
 from sorrelfront.decisions.interface import Outcome
-from sorrelfront.fleet.council import LeaseStatus, PolicyMember
+from sorrelfront.fleet.policy_member import LeaseStatus, PolicyMember
 from sorrelfront.lab.http1 import make_config, member
 from sorrelfront.messages import Address, Answer, AttemptResult, Call, Failed, Refused
 from sorrelfront.platform.config import parse
--- a/tests/daemon/test_replacement.py
+++ b/tests/daemon/test_replacement.py
@@ -12,8 +12,8 @@
 import pytest
 
 from sorrelfront.daemon import control
-from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, connect, gated_script, member, request
+from sorrelfront.lab.load_generator import LOST, LoadGenerator, ran_twice
 from tests.daemon.fleet import OK, Fleet, fleet
 from tests.loopback import until
 from tests.test_process import ROOT
--- a/tests/decisions/test_listing.py
+++ b/tests/decisions/test_discovery_timing.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sorrelfront.decisions.listing import (
+from sorrelfront.decisions.discovery_timing import (
     KNOWN_AFTER_MOVE_US,
     KNOWN_AFTER_SILENCE_US,
     MAX_BACK_OFF_US,
--- a/tests/decisions/test_orders.py
+++ b/tests/decisions/test_overrides.py
@@ -7,7 +7,7 @@
 
 from sorrelfront.decisions.balancer import Balancer
 from sorrelfront.decisions.interface import BackendList, ListKind, Outcome, Send, State
-from sorrelfront.decisions.orders import Overrides
+from sorrelfront.decisions.overrides import Overrides
 from tests.helpers import SAFE, backends, ended, request
 from tests.helpers import settings as balancer_settings
 
--- a/tests/decisions/test_places.py
+++ b/tests/decisions/test_seat_allocation.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sorrelfront.decisions.places import (
+from sorrelfront.decisions.seat_allocation import (
     MAX_SEATS,
     RING_POINTS,
     Action,
--- a/tests/decisions/test_learnt.py
+++ b/tests/decisions/test_snapshots.py
@@ -10,7 +10,7 @@
 
 from sorrelfront.decisions.balancer import Balancer
 from sorrelfront.decisions.interface import Backend, BackendList, ListKind, Outcome
-from sorrelfront.decisions.learnt import (
+from sorrelfront.decisions.snapshots import (
     MAX_AGE_US,
     MAX_SERVERS,
     MAX_TEXT_LENGTH,
--- a/tests/fleet/test_change.py
+++ b/tests/fleet/test_change.py
@@ -18,6 +18,7 @@
     Stage,
     State,
 )
+from sorrelfront.decisions.fleet.messages import MalformedMessage
 from sorrelfront.decisions.fleet.policy import (
     PolicyMessage,
     Prepare,
@@ -27,7 +28,7 @@
     Value,
     VoterState,
 )
-from sorrelfront.decisions.fleet.said import (
+from sorrelfront.decisions.fleet.policy_codec import (
     MAX_POLICY_BYTES,
     MESSAGE_TYPES,
     decode_message,
@@ -37,7 +38,6 @@
     encode_record,
     encode_remembered,
 )
-from sorrelfront.decisions.fleet.words import MalformedMessage
 
 VOTERS = ("a", "b", "c")
 LEASE_US = 1_000_000
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_messages.py
@@ -10,8 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sorrelfront.decisions.fleet.view import Send, Settings, View
-from sorrelfront.decisions.fleet.words import (
+from sorrelfront.decisions.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     Ack,
     FullState,
@@ -28,6 +27,7 @@
     decode_stream,
     encode,
 )
+from sorrelfront.decisions.fleet.view import Send, Settings, View
 from sorrelfront.fleet.envelope import ENVELOPE_BYTES, EnvelopeCodec, InvalidKeyFile, read_keys
 from tests.fleet.test_view import make_view, member_update
 
--- a/tests/fleet/test_seats.py
+++ b/tests/fleet/test_placement.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from sorrelfront.decisions.fleet.seats import RingPosition, ring_positions
-from sorrelfront.decisions.places import RING_POINTS
+from sorrelfront.decisions.fleet.placement import RingPosition, ring_positions
+from sorrelfront.decisions.seat_allocation import RING_POINTS
 
 NAMES = [f"h{host}/i{number}" for host in range(40) for number in range(4)]
 
--- a/tests/fleet/test_copies.py
+++ b/tests/fleet/test_replicas.py
@@ -9,8 +9,9 @@
 from hypothesis import strategies as st
 
 from benchmarks.copies import fleet_with_entries
-from sorrelfront.decisions.fleet import copies
-from sorrelfront.decisions.fleet.copies import (
+from sorrelfront.decisions.fleet import replicas
+from sorrelfront.decisions.fleet.messages import MalformedMessage
+from sorrelfront.decisions.fleet.replicas import (
     Delta,
     Durable,
     Entry,
@@ -26,7 +27,6 @@
     Write,
     decode,
 )
-from sorrelfront.decisions.fleet.words import MalformedMessage
 from sorrelfront.lab.fleet.copies import DEFECTS, run_seed
 from sorrelfront.lab.fleet.copies_explorer import explore
 
@@ -63,10 +63,10 @@
     assert owner.own_replica is not None
     version = owner.own_replica.version
     delta = Delta(
-        version, 0, "", version.seq, copies.LAST_KEY, tuple(owner.own_replica.after(0, "")), 0, True, True
+        version, 0, "", version.seq, replicas.LAST_KEY, tuple(owner.own_replica.after(0, "")), 0, True, True
     )
     peer.on_message(
-        "a/i0", Delta(version, 0, "", version.seq, copies.LAST_KEY, delta.entries, 0, True), peer.now
+        "a/i0", Delta(version, 0, "", version.seq, replicas.LAST_KEY, delta.entries, 0, True), peer.now
     )
     assert peer.replicas[version.id].version == version
     assert not [
@@ -92,17 +92,17 @@
     given = 0
     for step in range(100):  # ten seconds
         actions = source.on_message("b/i0", pull, source.now + 100_000)
-        given += sum(copies.entry_size(item) for message in _deltas(actions) for item in message.entries)
-        assert given <= 10_000 * (step + 1) / 10 + 10_000 + copies.MAX_CHUNK_BYTES
+        given += sum(replicas.entry_size(item) for message in _deltas(actions) for item in message.entries)
+        assert given <= 10_000 * (step + 1) / 10 + 10_000 + replicas.MAX_CHUNK_BYTES
     assert given > 50_000
 
 
-def _deltas(actions: list[copies.Action]) -> list[Delta]:
+def _deltas(actions: list[replicas.Action]) -> list[Delta]:
     return [item.message for item in actions if isinstance(item, Send) and isinstance(item.message, Delta)]
 
 
 def test_a_peer_behind_the_tombstones_gets_a_full_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(copies, "MAX_TOMBSTONES", 2)
+    monkeypatch.setattr(replicas, "MAX_TOMBSTONES", 2)
     source = start_store("a/i0")
     for number in range(8):
         source.put(f"k{number}", b"v", source.now)
@@ -110,10 +110,10 @@
         source.delete(f"k{number}", source.now)
     assert source.own_replica is not None and source.own_replica.tombstone_floor > 9
     (behind,) = _deltas(
-        source.on_message("b/i0", Pull(*source.own_replica.id, 8, copies.LAST_KEY, False), source.now)
+        source.on_message("b/i0", Pull(*source.own_replica.id, 8, replicas.LAST_KEY, False), source.now)
     )
     assert behind.full and {item.key for item in behind.entries if item.value} == {"k6", "k7"}
-    recent = Pull(*source.own_replica.id, source.own_replica.tombstone_floor, copies.LAST_KEY, False)
+    recent = Pull(*source.own_replica.id, source.own_replica.tombstone_floor, replicas.LAST_KEY, False)
     (close,) = _deltas(source.on_message("b/i0", recent, source.now))
     assert not close.full and [item.key for item in close.entries] == ["k4", "k5"]
 
@@ -179,7 +179,7 @@
     store._toggle_digest(replica)
     store.retire("c/i0", store.now)
     assert "c/i0" not in store.owners()
-    versions = copies.Versions(tuple(range(copies.BUCKETS)), (retired,), 0, True, True)
+    versions = replicas.Versions(tuple(range(replicas.BUCKETS)), (retired,), 0, True, True)
     actions = store.on_message("b/i0", versions, store.now)
     assert not [item for item in actions if isinstance(item, Send) and isinstance(item.message, Pull)]
 
--- a/tests/fleet/test_versions.py
+++ b/tests/fleet/test_versions.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from sorrelfront.decisions.fleet import words
-from sorrelfront.decisions.fleet.words import (
+from sorrelfront.decisions.fleet import messages
+from sorrelfront.decisions.fleet.messages import (
     Ack,
     Gossip,
     MalformedMessage,
@@ -21,14 +21,14 @@
 
 def test_older_version_rejects_replication_messages(monkeypatch: pytest.MonkeyPatch) -> None:
     older = msgspec.msgpack.Decoder(Ping | Ack | PingRequest | Nack | Gossip | NameConflict | PolicyFrame)
-    data = words.encode(ReplicationFrame("a/i0", "b/i0", b"word"))
-    assert words.decode(data) == ReplicationFrame("a/i0", "b/i0", b"word")
-    monkeypatch.setattr(words, "_datagram_decoder", older)
+    data = messages.encode(ReplicationFrame("a/i0", "b/i0", b"word"))
+    assert messages.decode(data) == ReplicationFrame("a/i0", "b/i0", b"word")
+    monkeypatch.setattr(messages, "_datagram_decoder", older)
     with pytest.raises(MalformedMessage):
-        words.decode(data)
+        messages.decode(data)
 
 
 def test_appended_fields_of_a_newer_version_are_ignored() -> None:
     kind, sender, to, payload = "k", "a/i0", "b/i0", b"word"
     data = msgspec.msgpack.encode([kind, sender, to, payload, "more", 7])
-    assert words.decode(data) == ReplicationFrame(sender, to, payload)
+    assert messages.decode(data) == ReplicationFrame(sender, to, payload)
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -6,6 +6,15 @@
 
 import pytest
 
+from sorrelfront.decisions.fleet.messages import (
+    Ack,
+    FullState,
+    Gossip,
+    MemberUpdate,
+    NameConflict,
+    Ping,
+    State,
+)
 from sorrelfront.decisions.fleet.view import (
     PersistIncarnation,
     PushPull,
@@ -14,7 +23,6 @@
     View,
     convergence_bound_us,
 )
-from sorrelfront.decisions.fleet.words import Ack, FullState, Gossip, MemberUpdate, NameConflict, Ping, State
 from sorrelfront.lab.fleet import storms
 from sorrelfront.lab.fleet.storms import FAST, FAULTS, false_deaths, run_seed
 from sorrelfront.lab.fleet.virtual import SECOND, VirtualFleet
--- a/tests/lab/test_books.py
+++ b/tests/lab/test_ledger.py
@@ -5,10 +5,10 @@
 import asyncio
 import time
 
-from sorrelfront.lab.crowd import LOST, LoadGenerator, ran_twice
 from sorrelfront.lab.demo import broken_rules
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, connect, request
-from sorrelfront.lab.shop import Ledger, Server
+from sorrelfront.lab.load_generator import LOST, LoadGenerator, ran_twice
+from sorrelfront.lab.scripted_servers import Ledger, Server
 
 
 def test_ledger_counts_a_request_that_ran_twice_but_not_a_deduplicated_key() -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -9,6 +9,7 @@
 from typing import Any, ParamSpec
 
 from sorrelfront.agent import Agent
+from sorrelfront.agent_config import Config
 from sorrelfront.fronts.http1 import Listener
 from sorrelfront.lab.http1 import (
     WAIT_TIMEOUT_S,
@@ -25,7 +26,6 @@
 from sorrelfront.net.budget import BodyBudget, Descriptors
 from sorrelfront.platform.config import parse
 from sorrelfront.sources.registry import watch
-from sorrelfront.terms import Config
 from sorrelfront.upstreams.http1 import Upstream
 
 __all__ = [
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -18,8 +18,8 @@
 
 from sorrelfront.decisions.interface import Outcome
 from sorrelfront.fronts import http1 as listener
-from sorrelfront.lab.crowd import SocketClient
 from sorrelfront.lab.http1 import gated_script, member
+from sorrelfront.lab.load_generator import SocketClient
 from sorrelfront.lists import parse_update
 from sorrelfront.messages import Answer, Call
 from sorrelfront.net.budget import Descriptors
--- a/tests/net/test_wire.py
+++ b/tests/net/test_wire.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sorrelfront.decisions.interface import Outcome
-from sorrelfront.lab.crowd import SocketClient
+from sorrelfront.lab.load_generator import SocketClient
 from sorrelfront.messages import Address, Call
 from sorrelfront.net.http import Payload, Wire
 from sorrelfront.upstreams.http1 import Upstream, _Exchange, _Writer
--- a/tests/platform/test_control.py
+++ b/tests/platform/test_control.py
@@ -15,7 +15,7 @@
 from sorrelfront.lab.http1 import Client, Registry, connect, member
 from sorrelfront.platform import control
 from sorrelfront.platform.control import ControlPort, handle_request
-from sorrelfront.platform.orders_file import TooManyDisabled
+from sorrelfront.platform.overrides_file import TooManyDisabled
 from sorrelfront.platform.service import Service
 from tests.loopback import WAIT_TIMEOUT_S, AgentHarness, Backend, request, running_agent, until
 from tests.loopback import answer as reply
--- a/tests/platform/test_orders_file.py
+++ b/tests/platform/test_overrides_file.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from sorrelfront.decisions.orders import MAX_DISABLED_SERVERS, MAX_ID_LENGTH
-from sorrelfront.platform import orders_file
-from sorrelfront.platform.orders_file import OverridesFile, TooManyDisabled
+from sorrelfront.decisions.overrides import MAX_DISABLED_SERVERS, MAX_ID_LENGTH
+from sorrelfront.platform import overrides_file
+from sorrelfront.platform.overrides_file import OverridesFile, TooManyDisabled
 from tests.test_process import ROOT
 
 NAME = "out-by-hand.json"
@@ -34,7 +34,7 @@
     """Without the lock, one process would overwrite what another has added between its read and its write."""
     code = (
         "import sys; from pathlib import Path\n"
-        "from sorrelfront.platform.orders_file import OrdersFile\n"
+        "from sorrelfront.platform.overrides_file import OrdersFile\n"
         "made, number = OrdersFile(Path(sys.argv[1])), 0\n"
         "while number < 50:\n"
         "    try:\n"
@@ -100,7 +100,7 @@
 def test_a_lock_that_is_never_released_does_not_block(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(orders_file, "LOCK_ATTEMPTS", 3)
+    monkeypatch.setattr(overrides_file, "LOCK_ATTEMPTS", 3)
     made = OverridesFile(tmp_path)
     made.set_disabled("a", True)
     holder = os.open(tmp_path / "out-by-hand.lock", os.O_RDWR)
@@ -114,7 +114,7 @@
 
 
 def test_the_number_of_disabled_servers_and_their_ids_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(orders_file, "MAX_DISABLED_SERVERS", 2)
+    monkeypatch.setattr(overrides_file, "MAX_DISABLED_SERVERS", 2)
     made = OverridesFile(None)
     made.set_disabled("a", True)
     made.set_disabled("b", True)
--- a/tests/platform/test_upgrade.py
+++ b/tests/platform/test_upgrade.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from sorrelfront.lab.crowd import LOST, RESET, LoadGenerator, SocketClient, ran_twice
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S, Backend, Registry, answer, make_config, member, request
+from sorrelfront.lab.load_generator import LOST, RESET, LoadGenerator, SocketClient, ran_twice
 from sorrelfront.platform import upgrade
 from sorrelfront.platform.upgrade import Successor, find_predecessor
 from tests.loopback import until
--- a/tests/sites/test_passage.py
+++ b/tests/sites/test_passage.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from sorrelfront.decisions.sites.admission import Admission, Admitted, Rejected, Rejection, parse_path
 from sorrelfront.decisions.sites.offers import Relation
-from sorrelfront.decisions.sites.passage import Admission, Admitted, Rejected, Rejection, parse_path
 from sorrelfront.decisions.sites.routes import OfferConfig, Partner
 from sorrelfront.decisions.sites.terms import MAX_RATE, terms
 
--- a/tests/sources/test_registry.py
+++ b/tests/sources/test_registry.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from sorrelfront.decisions import listing
+from sorrelfront.decisions import discovery_timing
 from sorrelfront.decisions.interface import State
 from sorrelfront.lists import MalformedList
 from sorrelfront.messages import Update
@@ -118,9 +118,9 @@
 
 @pytest.fixture(autouse=True)
 def scaled(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listing, "READ_TIMEOUT_US", SILENCE_US)
-    monkeypatch.setattr(listing, "KNOWN_AFTER_SILENCE_US", 100 * SILENCE_US)
-    monkeypatch.setattr(listing, "KNOWN_AFTER_MOVE_US", 100 * SILENCE_US)
+    monkeypatch.setattr(discovery_timing, "READ_TIMEOUT_US", SILENCE_US)
+    monkeypatch.setattr(discovery_timing, "KNOWN_AFTER_SILENCE_US", 100 * SILENCE_US)
+    monkeypatch.setattr(discovery_timing, "KNOWN_AFTER_MOVE_US", 100 * SILENCE_US)
 
 
 @contextlib.asynccontextmanager
--- a/tests/sources/test_zookeeper.py
+++ b/tests/sources/test_zookeeper.py
@@ -12,7 +12,7 @@
 import pytest
 
 from sorrelfront.agent import Agent, Clock
-from sorrelfront.decisions import membership, places
+from sorrelfront.decisions import membership, seat_allocation
 from sorrelfront.decisions.interface import State
 from sorrelfront.decisions.membership import Answering
 from sorrelfront.fronts.http1 import Listener
@@ -47,7 +47,7 @@
         settings = SourceSettings(
             net.SessionSettings(self.hosts, SESSION_S), PATH, fleet,
             membership.Settings(int(suspect_s * 1e6), 200_000, 5_000_000),
-            places.Settings(hole_us=300_000, keep_us=1_000_000, spread_us=20_000),
+            seat_allocation.Settings(hole_us=300_000, keep_us=1_000_000, spread_us=20_000),
         )  # fmt: skip
         self.source = EphemeralNodeSource(
             settings, seed, f"i{seed}", Clock(), lambda name, _: self.answering.get(name, Answering.UNKNOWN),
--- a/tests/storm/test_processes.py
+++ b/tests/storm/test_processes.py
@@ -15,8 +15,8 @@
 import pytest
 
 from sorrelfront.lab.http1 import WAIT_TIMEOUT_S
+from sorrelfront.lab.storm.harness import claim_block
 from sorrelfront.lab.storm.processes import MARK, ManagedProcess, find_marked, kill_marked, signal_marked
-from sorrelfront.lab.storm.stage import claim_block
 from tests.loopback import async_test, until
 from tests.test_process import ROOT
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,8 +14,8 @@
 
 from sorrelfront.decisions.interface import Action
 from sorrelfront.fronts import http1 as listener
-from sorrelfront.lab.crowd import SocketClient
 from sorrelfront.lab.http1 import gated_script
+from sorrelfront.lab.load_generator import SocketClient
 from sorrelfront.net.http import Wire
 from tests.loopback import Backend, answer, async_test, connect, request, running_agent, until
 
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -12,7 +12,7 @@
 LAYERS = [
     ["errors"],
     ["decisions"],
-    ["events", "log_limits", "messages", "lists", "terms", "signals"],
+    ["events", "log_limits", "messages", "lists", "agent_config", "signals"],
     ["net"],
     ["agent"],
     ["fronts", "upstreams", "sources"],
@@ -22,7 +22,7 @@
     ["daemon"],
     ["cli", "lab"],
 ]
-ALLOWED = {("lists", "messages"), ("terms", "messages"), ("cli", "lab")}
+ALLOWED = {("lists", "messages"), ("agent_config", "messages"), ("cli", "lab")}
 NO_IO = {"asyncio", "socket", "os", "time", "random", "subprocess", "threading", "logging", "pathlib"}
 LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sorrelfront.lab.crowd import LoadGenerator
+from sorrelfront.lab.load_generator import LoadGenerator
 from tests.loopback import Backend, Registry, answer
 from tests.test_process import program
 
