--- a/sorrelfront/agent.py
+++ b/sorrelfront/agent.py
@@ -128,9 +128,8 @@
         self.attempts = 0
         self.outcome: api.Outcome | None = None  # of the last attempt that ended
         self.deadline_timer: asyncio.TimerHandle | None = None
-        self.on_answered: Callable[[], None] | None = (
-            None  # called as soon as the answer is set, synchronously
-        )
+        # Called as soon as the answer is set, synchronously
+        self.on_answered: Callable[[], None] | None = None
 
 
 class Tally:
@@ -395,7 +394,7 @@
         """
         now = self.now()
         return len(self._orders.listed_disabled()) + sum(
-            not item.accepts_attempts(now) for item in self.balancer.ready
+            not item.accepts(now) for item in self.balancer.ready
         )
 
     def _on_failure(self) -> None:
--- a/sorrelfront/daemon/journal.py
+++ b/sorrelfront/daemon/journal.py
@@ -58,7 +58,7 @@
 
 
 def decode(payload: bytes) -> Journal:
-    """Decode the payload of a journal record. Raises Spoilt if it is invalid."""
+    """Decode the payload of a journal record. Raises InvalidRecord if it is invalid."""
     try:
         journal = msgspec.msgpack.decode(payload, type=Journal)
     except (msgspec.DecodeError, RecursionError) as fault:
@@ -72,7 +72,7 @@
     """The folder with one daemon's instance sockets, journal and lock."""
 
     def __init__(self, path: Path) -> None:
-        """Create the folder with access for this user only. Raises NoFolder."""
+        """Create the folder with access for this user only. Raises RunFolderError."""
         self.path = path
         self._lock = -1
         try:
@@ -89,7 +89,7 @@
     def lock(self) -> bool:
         """Try to take the lock of the fleet's supervisor; return whether this program holds it.
 
-        The kernel releases the lock when the program ends, however it ends (flock(2)). Raises NoFolder.
+        The kernel releases the lock when the program ends, however it ends (flock(2)). Raises RunFolderError.
         """
         if self._lock >= 0:
             return True
--- a/sorrelfront/daemon/records.py
+++ b/sorrelfront/daemon/records.py
@@ -108,7 +108,7 @@
 
 
 def decode_record(kind: RecordKind, data: bytes) -> bytes:
-    """Decode a record and return its payload. Raises Spoilt, and nothing else for any input."""
+    """Decode a record and return its payload. Raises InvalidRecord, and nothing else for any input."""
     if len(data) < HEADER.size:
         raise InvalidRecord("it is shorter than a head")
     magic, version, found, length, digest = HEADER.unpack_from(data)
@@ -129,7 +129,7 @@
 def read(path: Path, kind: RecordKind) -> bytes | None:
     """Return the payload of the record in this file, or None if there is no file.
 
-    Raises Spoilt, also unless it is a regular file of this user or root that others cannot write (so
+    Raises InvalidRecord, also unless it is a regular file of this user or root that others cannot write (so
     not for a link, a pipe, or another user's file), and OSError.
     """
     try:
--- a/sorrelfront/daemon/state.py
+++ b/sorrelfront/daemon/state.py
@@ -49,7 +49,7 @@
 
 
 def decode(payload: bytes) -> Remembered:
-    """Decode the payload of a `fleet` record. Raises Spoilt if it is invalid."""
+    """Decode the payload of a `fleet` record. Raises InvalidRecord if it is invalid."""
     try:
         found = msgspec.msgpack.decode(payload, type=Remembered)
     except (msgspec.DecodeError, RecursionError) as fault:
--- a/sorrelfront/daemon/supervisor.py
+++ b/sorrelfront/daemon/supervisor.py
@@ -161,7 +161,7 @@
         await self._adopt(journal)
 
     async def _lock(self, within_s: float) -> bool:
-        """Wait for the lock of the run folder; return whether it was acquired in time. Raises NoFolder.
+        """Wait for the lock of the run folder; return whether it was acquired in time. Raises RunFolderError.
 
         The kernel closes the descriptors of a killed program one by one, so its connections may end before
         its lock is free. Without the wait its successor would conclude that another program holds the lock
--- a/sorrelfront/daemon/takeover.py
+++ b/sorrelfront/daemon/takeover.py
@@ -60,7 +60,7 @@
         self.predecessor_ended = False  # the old program has ended without a message
 
     async def request_handover(self) -> Handover:
-        """Request and receive the old program's state. Raises NoTakeover."""
+        """Request and receive the old program's state. Raises TakeoverError."""
         path = self._control.parent / f".takeover-{os.getpid()}"
         handover = Handover()
         try:
--- a/sorrelfront/decisions/adoption.py
+++ b/sorrelfront/decisions/adoption.py
@@ -13,9 +13,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-PROTOCOL_VERSION = (
-    1  # version of the messages with an instance; one with another version is drained, not adopted
-)
+# Version of the messages with an instance; one with another version is drained, not adopted
+PROTOCOL_VERSION = 1
 
 
 class LifecycleState(Enum):
--- a/sorrelfront/decisions/balancer.py
+++ b/sorrelfront/decisions/balancer.py
@@ -1,8 +1,7 @@
 """The load balancer. Its settings, events and actions are defined in interface.py.
 
-A server is picked by two random choices: two distinct ready servers are drawn from this agent's slice of the
-list, and the request goes to the one with the lower peak-EWMA latency x (pending + 1). Estimates come from
-this balancer's own outcomes; a failure counts as at least a penalty. Comments explain each exception.
+A request goes to the less loaded, by peak-EWMA latency x (pending + 1), of two random ready servers of this
+agent's slice of the list. Estimates come from its own outcomes; a failure counts as at least a penalty.
 """
 
 from __future__ import annotations
@@ -27,9 +26,7 @@
 MAX_COUNT = 64  # samples that a baseline averages over, at most
 RECENT_SAMPLE_WEIGHT = 0.1  # weight of a new sample in a recent mean
 SERVER_SAMPLE_WEIGHT = 0.3  # the same for one server, which gives fewer samples
-WAIT_BUDGET_SHARE = (
-    0.9  # share of the wait budget, between usual latency and aim, that a request may be expected to wait
-)
+WAIT_SHARE = 0.9  # share of the budget, between usual latency and aim, that a request may be expected to wait
 LATE_TOLERANCE = 0.05  # share of late answers tolerated before refusing; `late_worth` is added to it
 PROBE_PROBABILITY = 0.01  # share of infeasible requests sent all the same, to see when a fault ends
 # One is also sent if nothing was sent for a mean aim, at most this long: an agent with little traffic does
@@ -145,21 +142,8 @@
 class Server:
     """State of one backend: a peak estimate for picking and a mean for forecasting."""
 
-    __slots__ = (
-        "ahead",
-        "breaker",
-        "cap",
-        "cap_until",
-        "decay_us",
-        "estimate",
-        "info",
-        "kind",
-        "last_answer_at",
-        "mean",
-        "pending",
-        "updated_at",
-        "warm_at",
-    )  # fmt: skip
+    __slots__ = ("ahead", "breaker", "cap", "cap_until", "decay_us", "estimate", "info", "kind",
+                 "last_answer_at", "mean", "pending", "updated_at", "warm_at")  # fmt: skip
 
     def __init__(self, info: api.Backend, kind: KindStats, warm_at: int, decay_us: float) -> None:
         self.decay_us = decay_us
@@ -179,15 +163,14 @@
         self.warm_at = warm_at
 
     def is_available(self, now: int) -> bool:
-        """Whether it is warm and may be sent to; `accepts_attempts` inlined, since this runs for each
-        draw."""
+        """Whether it is warm and accepts attempts; `accepts` is inlined, since this runs for each draw."""
         return (
             self.warm_at <= now
             and self.breaker.open_until <= now
             and (self.cap_until <= now or len(self.pending) < self.cap)
         )
 
-    def accepts_attempts(self, now: int) -> bool:
+    def accepts(self, now: int) -> bool:
         """Whether attempts may be sent to it, even while it is cold."""
         return self.breaker.open_until <= now and (self.cap_until <= now or len(self.pending) < self.cap)
 
@@ -294,17 +277,8 @@
 class HeldRequest:
     """A request without its final answer yet."""
 
-    __slots__ = (
-        "arrived_at",
-        "arriving",
-        "attempts",
-        "cls",
-        "cost",
-        "in_flight",
-        "may_have_run",
-        "request",
-        "tried",
-    )
+    __slots__ = ("arrived_at", "arriving", "attempts", "cls", "cost", "in_flight", "may_have_run", "request",
+                 "tried")  # fmt: skip
 
     def __init__(self, request: api.Request, cls: api.RequestClass, cost: float, now: int) -> None:
         self.request = request
@@ -643,12 +617,8 @@
             warmth = 1.0 - (1.0 - self.settings.cold_from) * remaining
             # All agents send it their load x this probability; it can take the multiple x its warmth.
             warmth *= min(1.0, self.settings.cold_multiple / MAX_LOAD_FACTOR)
-            if (
-                not first.accepts_attempts(now)
-                or first.is_unresponsive(now)
-                or held.attempts
-                or self.random() >= warmth
-            ):
+            if (not first.accepts(now) or first.is_unresponsive(now) or held.attempts
+                    or self.random() >= warmth):  # fmt: skip
                 first = self._draw(pool, None, now)
         elif first is not None and first.is_unresponsive(now):
             first = self._draw(pool, None, now)
@@ -690,10 +660,7 @@
         # A client retry has spent at least the wait that it was told.
         spent_us = now - held.arrived_at + (cls.aim_us * RETRY_AFTER_SHARE if held.request.is_retry else 0.0)
         wait_us = (server.forecast(now) - 1.0) * self.usual_us
-        return (
-            wait_us > WAIT_BUDGET_SHARE * budget_us * tolerance - spent_us
-            and self.random() >= PROBE_PROBABILITY
-        )
+        return wait_us > WAIT_SHARE * budget_us * tolerance - spent_us and self.random() >= PROBE_PROBABILITY
 
     def _wait_budget_us(self, cls: api.RequestClass) -> float:
         """Return how long a request of this class may wait beyond its usual latency.
--- a/sorrelfront/decisions/discovery_timing.py
+++ b/sorrelfront/decisions/discovery_timing.py
@@ -2,10 +2,10 @@
 
 A list comes from a watch, from a call that is repeated, or is pushed to this machine. The same timing serves
 all three. A call without a line for SILENCE_US is broken, whatever its connection looks like. The changes
-that it missed count as known COUNTS_US after the silence began, and MOVED_US after a change to another
-address. Until then `WatchTimer` has calls repeated soon. A call that received something may end in place of
-reporting a change, and is repeated at once. After that `BackOff` sets the wait. No wait without an open call
-is longer than a part of the drain grace.
+that it missed count as known KNOWN_AFTER_SILENCE_US after the silence began, and KNOWN_AFTER_MOVE_US after a
+change to another address. Until then `WatchTimer` has calls repeated soon. A call that received something may
+end in place of reporting a change, and is repeated at once. After that `BackOff` sets the wait. No wait
+without an open call is longer than a part of the drain grace.
 Times are integer microseconds on any monotonic clock.
 """
 
--- a/sorrelfront/decisions/fleet/replicas.py
+++ b/sorrelfront/decisions/fleet/replicas.py
@@ -48,9 +48,8 @@
 ENTRY_OVERHEAD = 24  # bytes of an entry in addition to its texts
 MAX_INCARNATIONS = 1_024  # superseded ones that a member's map records
 LIST_PREFIX = "list:"  # prefix of owners that are list services: any member that uses one writes its map
-SUPERSEDED_PREFIX = (
-    "\x00covers:"  # prefix of keys that record which versions of earlier incarnations are taken over
-)
+# Prefix of keys that record which versions of earlier incarnations are taken over
+SUPERSEDED_PREFIX = "\x00covers:"
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -386,9 +385,8 @@
     alone_us: int = 3_000_000
     keep_us: int = 3_600_000_000  # retention of owner tombstones
     send_bytes_s: int = 512 * 1024  # of entries, for all peers that catch up together
-    list_trust_us: int = (
-        30_000_000  # a list that no service confirmed for this long does not overrule the own one
-    )
+    # A list that no service confirmed for this long does not overrule the own one
+    list_trust_us: int = 30_000_000
 
 
 @dataclass(slots=True)
--- a/sorrelfront/decisions/fleet/view.py
+++ b/sorrelfront/decisions/fleet/view.py
@@ -67,9 +67,8 @@
     fanout: int = 3  # members that a gossip round sends to
     push_pull_interval_us: int = 30_000_000  # between two push-pull exchanges
     reconnect_interval_us: int = 2_000_000  # between two attempts to reach a dead member or join address
-    dead_retention_us: int = (
-        3_600_000_000  # for which dead members are remembered, and reconnects to them attempted
-    )
+    # For which dead members are remembered, and reconnects to them attempted
+    dead_retention_us: int = 3_600_000_000
     max_members: int = MAX_MEMBERS
     # Lifeguard's components; each can be switched off to measure its effect.
     health: bool = True
--- a/sorrelfront/decisions/seat_allocation.py
+++ b/sorrelfront/decisions/seat_allocation.py
@@ -30,7 +30,7 @@
     """Return the point on the ring at which the slice of this seat begins: its bit-reversed number.
 
     Raises:
-        ValueError: The seat is negative or not below POINTS.
+        ValueError: The seat is negative or not below RING_POINTS.
     """
     if not 0 <= seat < RING_POINTS:
         raise ValueError(f"seat {seat} is not from 0 to {RING_POINTS - 1}")
--- a/sorrelfront/fronts/http1.py
+++ b/sorrelfront/fronts/http1.py
@@ -52,7 +52,7 @@
 # From the start of the connection, or the first byte of a request, to its last byte. Clients that only open
 # connections may be closed after 2 s, and those that send no complete request must be closed within 3 s.
 REQUEST_TIMEOUT_S = 2.4
-# A body that arrives at UPLOAD_RATE_LEAST or faster may take longer if no pause in it exceeds this.
+# A body that arrives at MIN_UPLOAD_RATE or faster may take longer if no pause in it exceeds this.
 MAX_BODY_PAUSE_S = 1.0
 # Idle timeout between requests. Without it, clients that send one request and stay would hold a descriptor
 # each, here and on their hosts, where descriptors are limited too: a later request would find none. The cost:
@@ -258,8 +258,8 @@
         """Start or stop draining clients to other instances.
 
         While draining, readiness checks fail at once. Each connection is closed after its next answer, and
-        idle ones are closed after GOING_AWAY_S. Requests that still arrive are served, because clients that
-        check readiness notice only a moment later.
+        idle ones are closed after SHUTDOWN_GRACE_S. Requests that still arrive are served, because clients
+        that check readiness notice only a moment later.
         """
         if on and self._drained_at is None:
             self._drained_at = time.monotonic()
@@ -291,13 +291,13 @@
     async def close(self, queue_shared: bool = False) -> None:
         """Shut down: finish requests in flight, and serve those that still arrive for a while.
 
-        Idle connections are kept for GOING_AWAY_S, and the next answer on each announces the close. If all
-        were closed at once, their clients would reconnect together, to an agent that is shutting down. After
-        that only the connections already in the backlog are accepted, and idle connections with nothing
+        Idle connections are kept for SHUTDOWN_GRACE_S, and the next answer on each announces the close. If
+        all were closed at once, their clients would reconnect together, to an agent that is shutting down.
+        After that only the connections already in the backlog are accepted, and idle connections with nothing
         unread are closed.
 
         Args:
-            others: Other processes share the queue and go on, so this one accepts nothing further.
+            queue_shared: Other processes share the queue and go on, so this one accepts nothing further.
         """
         until = time.monotonic() + self.agent.longest_deadline_us / 1e6 + SHUTDOWN_MARGIN_S
         self.closing = True
@@ -999,7 +999,7 @@
     async def _read_body(
         self, parser: h11.Connection, body: bytearray, share: BodyShare, may_stream: bool
     ) -> bool:
-        """Read a body of up to BODY_MOST bytes, or the start of a longer one if `may_stream`.
+        """Read a body of up to MAX_BUFFERED_BODY bytes, or the start of a longer one if `may_stream`.
 
         Returns whether it is complete.
         """
--- a/sorrelfront/lab/fleet/policies.py
+++ b/sorrelfront/lab/fleet/policies.py
@@ -71,9 +71,8 @@
     sends_before_write: bool = False  # a promise is sent before it is durable
     lease_from_arrival: bool = False  # a lease counts from the arrival of the grant
     votes_without_disk: bool = False  # a voter that lost its disk votes as if it were new
-    applies_undecided: bool = (
-        False  # members apply a change that is still being voted on and may be abandoned
-    )
+    # Members apply a change that is still being voted on and may be abandoned
+    applies_undecided: bool = False
 
 
 @dataclass
--- a/sorrelfront/lab/storm/harness.py
+++ b/sorrelfront/lab/storm/harness.py
@@ -791,7 +791,7 @@
         """Play the whole storm; `show` receives lines about its progress.
 
         Raises:
-            CannotPlay: The storm could not be set up, or the harness failed.
+            StormSetupError: The storm could not be set up, or the harness failed.
         """
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if soft < DESCRIPTOR_LIMIT:
@@ -1442,7 +1442,7 @@
     Returns the block and the socket that holds the claim; the kernel releases it when the process ends.
 
     Raises:
-        CannotPlay: All blocks are in use.
+        StormSetupError: All blocks are in use.
     """
     first = (seed * 7 + os.getpid()) % len(BLOCKS)
     for step in range(len(BLOCKS)):
--- a/sorrelfront/lab/storm/run.py
+++ b/sorrelfront/lab/storm/run.py
@@ -41,7 +41,7 @@
     """Play a storm and return its verdict; `folder` keeps the file, the seed, the history and the verdict.
 
     Raises:
-        CannotPlay: The storm could not be set up, or the harness failed.
+        StormSetupError: The storm could not be set up, or the harness failed.
         Ended: A signal ended the storm; everything has been torn down.
     """
     if folder is not None:
--- a/sorrelfront/log_limits.py
+++ b/sorrelfront/log_limits.py
@@ -7,14 +7,13 @@
 from collections.abc import Callable
 
 WINDOW_S = 10.0
-MAX_RECORDS_PER_WINDOW = (
-    20  # records of one kind in SPAN_S; a peer that fails often could otherwise fill the disk
-)
+# Records of one kind in WINDOW_S; a peer that fails often could otherwise fill the disk
+MAX_RECORDS_PER_WINDOW = 20
 MAX_KINDS = 512  # kinds that are counted separately; all others share one count
 
 
 class RateLimit(logging.Filter):
-    """Passes at most BURST records of one kind (one place in the code) in SPAN_S seconds.
+    """Passes at most MAX_RECORDS_PER_WINDOW records of one kind (one place in the code) in WINDOW_S seconds.
 
     The next record that passes has the attribute `left_out`: the number of suppressed records of its kind.
     """
--- a/sorrelfront/net/bodies.py
+++ b/sorrelfront/net/bodies.py
@@ -1,8 +1,8 @@
 """Streaming of a request body from the front, which feeds it as it arrives, to the attempt that sends it.
 
-A body of up to BODY_MOST bytes is buffered whole before anything is decided, so that it can be sent again. A
-longer one is streamed: only its prefix is buffered. Until an attempt has read something past the prefix,
-another attempt can start over. After that no attempt can, whatever the decisions ask for.
+A body of up to MAX_BUFFERED_BODY bytes is buffered whole before anything is decided, so that it can be sent
+again. A longer one is streamed: only its prefix is buffered. Until an attempt has read something past the
+prefix, another attempt can start over. After that no attempt can, whatever the decisions ask for.
 
 Each body buffers at most one chunk beyond its prefix, and its client is not read meanwhile: backpressure from
 the server reaches the client (RFC 9293, 3.8.6).
--- a/sorrelfront/net/budget.py
+++ b/sorrelfront/net/budget.py
@@ -8,7 +8,7 @@
 CLIENT_SHARE = 0.6  # of the rest; clients must never use up the descriptors for backends
 
 MAX_BUFFERED_BODY = 65_536  # the longest body that is buffered whole, of a request or an answer
-MAX_STREAMED_BODY = 32 * 1024 * 1024  # the longest body accepted; above BODY_MOST it is streamed
+MAX_STREAMED_BODY = 32 * 1024 * 1024  # the longest body accepted; above MAX_BUFFERED_BODY it is streamed
 SMALL_BODY = 4_096  # bytes per request that need no wait, so that short bodies never wait behind long ones
 BASE_MEMORY = 28 * 1024 * 1024  # the interpreter, connections, small bodies and answers in flight
 BODY_MEMORY_SHARE = 0.4  # of the rest; the allocator rounds up, a growing body is copied, heads take some too
--- a/sorrelfront/net/http.py
+++ b/sorrelfront/net/http.py
@@ -24,9 +24,8 @@
 SEND_BYTES = 65_536  # per write, so that a stall within a long body is noticed
 # Chunks parsed before the event loop runs other tasks. One read may hold ten thousand chunks of one byte.
 MAX_CHUNKS_PER_TURN = 64
-SOCKET_BUFFER_BYTES = (
-    131_072  # bytes per socket buffer; autotuned ones would grow to megabytes per connection
-)
+# Bytes per socket buffer; autotuned ones would grow to megabytes per connection
+SOCKET_BUFFER_BYTES = 131_072
 
 # Headers of the connection, not of the message (RFC 9110, 7.6.1), and of the framing, which is redone.
 HOP_BY_HOP = frozenset(
--- a/sorrelfront/net/jute.py
+++ b/sorrelfront/net/jute.py
@@ -291,7 +291,7 @@
 
 
 def frame_length(head: bytes) -> int:
-    """Decode the length prefix of a frame. Raises Malformed if it is negative or above FRAME_MOST."""
+    """Decode the length prefix of a frame. Raises Malformed if it is negative or above MAX_FRAME_BYTES."""
     length = int(_INT.unpack(head)[0])
     if not 0 <= length <= MAX_FRAME_BYTES:
         raise Malformed(f"frame length {length}")
--- a/sorrelfront/net/zookeeper.py
+++ b/sorrelfront/net/zookeeper.py
@@ -201,7 +201,7 @@
 
         Raises:
             Lost: The connection was lost before the response; all requests raise these exceptions.
-            NotDone: The service refused the request.
+            ZooKeeperError: The service refused the request.
             TooManyRequests: Too many requests are waiting.
         """
         record = Writer().text(self._full_path(path)).buffer(data).acls(acls).int32(flags).record()
@@ -348,9 +348,8 @@
             if established:
                 log.warning("the connection to %s:%d ended: %s", *host, type(fault).__name__)
             elif isinstance(fault, asyncio.IncompleteReadError) and self._last_zxid:
-                self._stale_server_seen = (
-                    True  # servers close sessions that saw newer data, without a response
-                )
+                # Servers close sessions that saw newer data, without a response
+                self._stale_server_seen = True
         except Malformed as fault:
             log.warning("%s:%d sent malformed data: %s", *host, fault)
         finally:
--- a/sorrelfront/platform/overrides_file.py
+++ b/sorrelfront/platform/overrides_file.py
@@ -26,7 +26,7 @@
 LOCK_ATTEMPTS = 200
 LOCK_RETRY_S = 0.001
 POLL_INTERVAL_S = 0.1  # a drain must take effect within 500 ms of the override
-MAX_FILE_BYTES = 4 * 1024 * 1024  # enough for OUT_MOST ids of ID_MOST ASCII characters
+MAX_FILE_BYTES = 4 * 1024 * 1024  # enough for MAX_DISABLED_SERVERS ids of MAX_ID_LENGTH ASCII characters
 
 
 class TooManyDisabled(SorrelfrontError):
--- a/sorrelfront/sites/transport.py
+++ b/sorrelfront/sites/transport.py
@@ -340,7 +340,7 @@
             OSError: The connection failed.
             EOFError: The gateway closed the connection.
             TimeoutError: The gateway did not answer in time.
-            BadPartnerWord: The gateway sent an invalid message.
+            BadPartnerMessage: The gateway sent an invalid message.
         """
         host, _, port = name.rpartition(":")
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/sorrelfront/sites/wire.py
+++ b/sorrelfront/sites/wire.py
@@ -68,7 +68,7 @@
     """Verify and decode the message in a frame without its length.
 
     Raises:
-        BadPartnerWord: If it is malformed or badly signed. Nothing else is raised, whatever the bytes are.
+        BadPartnerMessage: If it is malformed or badly signed. Nothing else is raised, whatever the bytes are.
     """
     try:
         envelope = _envelope_decoder.decode(data)
@@ -90,7 +90,7 @@
     """Read the next frame, without its length; `on_received` is called with its size in bytes.
 
     Raises:
-        BadPartnerWord: If the frame is longer than `max_bytes`.
+        BadPartnerMessage: If the frame is longer than `max_bytes`.
         OSError: If the connection fails.
         EOFError: If the connection has ended.
     """
--- a/sorrelfront/upstreams/http1.py
+++ b/sorrelfront/upstreams/http1.py
@@ -45,7 +45,7 @@
 MAX_INFORMATIONAL = 16  # 1xx responses before the final one; more count as a flood
 SETTLED_S = 0.02  # idle time after which a close or stray bytes that follow an answer have arrived
 LAST_BYTE_DELAY_S = 0.005  # for a reset after all but the last byte to arrive: a round trip, and a busy peer
-MAX_FINAL_READS = 64  # reads, or runs of PIECES_IN_A_ROW, of the data already received at a timeout
+MAX_FINAL_READS = 64  # reads, or runs of MAX_CHUNKS_PER_TURN, of the data already received at a timeout
 IDLE_SCAN_INTERVAL_S = 0.5  # between scans of all idle connections
 IDLE_TIMEOUT_SHARE = 0.8  # of the backend's idle timeout: connections idle for longer are not reused
 # Upper bound of the idle time. Without it the connections opened in a burst would stay open, and since a
@@ -291,9 +291,8 @@
         self._deadline = time.monotonic() + timeout_us / 1e6
         self._may_send = may_send
         self.sent = False  # the last byte may have left, so the request may run
-        self.unread_result: AttemptResult | None = (
-            None  # the answer, if it was received but not read at the timeout
-        )
+        # The answer, if it was received but not read at the timeout
+        self.unread_result: AttemptResult | None = None
         self.time_limit: asyncio.Timeout | None = None  # of the whole attempt
 
     async def run(self) -> AttemptResult:
@@ -792,8 +791,8 @@
 class _AnswerReader:
     """Reads one answer.
 
-    An answer of up to BODY_MOST bytes is passed on only when complete, so the request can still be retried
-    after a truncated or malformed one. A longer answer is streamed from its first bytes.
+    An answer of up to MAX_BUFFERED_BODY bytes is passed on only when complete, so the request can still be
+    retried after a truncated or malformed one. A longer answer is streamed from its first bytes.
     """
 
     def __init__(
--- a/test.sh
+++ b/test.sh
@@ -13,6 +13,7 @@
 unset PYTHONDONTWRITEBYTECODE
 export PYTHONPYCACHEPREFIX=$PWD/.venv/pycache
 .venv/bin/ruff check .
+.venv/bin/ruff format --check --quiet sorrelfront tests benchmarks
 .venv/bin/mypy
 # Tests that fail for a known fault: a line each, the test first. These alone are passed over, and said so.
 known_red=()
--- a/tests/decisions/test_cold.py
+++ b/tests/decisions/test_cold.py
@@ -29,5 +29,5 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     limited = cold.run(AGENTS, SERVERS, 1, load=0.9, seconds=SECONDS).worst
-    monkeypatch.setattr(Server, "is_available", Server.accepts_attempts)
+    monkeypatch.setattr(Server, "is_available", Server.accepts)
     assert cold.run(AGENTS, SERVERS, 1, load=0.9, seconds=SECONDS).worst > 1.2 * limited
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -92,7 +92,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Poll until a condition holds that signals no event. Raises TimeoutError after PATIENCE_S."""
+    """Poll until a condition holds that signals no event. Raises TimeoutError after WAIT_TIMEOUT_S."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/platform/test_overrides_file.py
+++ b/tests/platform/test_overrides_file.py
@@ -34,8 +34,8 @@
     """Without the lock, one process would overwrite what another has added between its read and its write."""
     code = (
         "import sys; from pathlib import Path\n"
-        "from sorrelfront.platform.overrides_file import OrdersFile\n"
-        "made, number = OrdersFile(Path(sys.argv[1])), 0\n"
+        "from sorrelfront.platform.overrides_file import OverridesFile\n"
+        "made, number = OverridesFile(Path(sys.argv[1])), 0\n"
         "while number < 50:\n"
         "    try:\n"
         "        made.set_disabled(f'{sys.argv[2]}-{number}', True)\n"
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -70,5 +70,5 @@
     first, second = module.replay_record(path), module.replay_record(path)
     assert first["requests"] > 1_000 and len(first["minutes"]) == 2
     assert first["minutes"] == second["minutes"]
-    monkeypatch.setattr(balancer, "WAIT_BUDGET_SHARE", 0.5)
+    monkeypatch.setattr(balancer, "WAIT_SHARE", 0.5)
     assert module.replay_record(path)["minutes"] != first["minutes"]
