--- a/sorrelfront/agent.py
+++ b/sorrelfront/agent.py
@@ -172,7 +172,7 @@
         self.balancer = Balancer(config.settings, config.seed, self.now())
         self._classes = {cls.name: cls for cls in config.settings.classes}
         self._directory = Directory()
-        self._orders = Overrides()
+        self._overrides = Overrides()
         self.list_received = False  # the membership source has delivered a list
         self._subscribed_early = False  # subscribed before the decision module asked for it
         self._source = make_source(config, self._on_update, self._on_failure)
@@ -356,7 +356,7 @@
     def _apply_with_orders(self, update: Update, kind: api.ListKind) -> None:
         """Apply a list from the source with the operators' orders laid over it."""
         self._apply_update(
-            update._replace(backends=self._orders.apply_list(update.backends, update.complete)), kind
+            update._replace(backends=self._overrides.apply_list(update.backends, update.complete)), kind
         )
 
     def _apply_update(self, update: Update, kind: api.ListKind) -> None:
@@ -373,18 +373,18 @@
 
     def set_disabled(self, servers: Iterable[str]) -> None:
         """Replace the set of servers that operators have disabled; no new attempts go to these."""
-        changed = self._orders.disable_only(servers)
+        changed = self._overrides.disable_only(servers)
         if changed:
             self._apply_update(Update(0, False, changed, {}), api.ListKind.DELTA)
 
     def knows(self, server: str) -> bool:
         """Return whether this server is listed or disabled by operators."""
-        return self._orders.knows(server)
+        return self._overrides.knows(server)
 
     @property
     def targets(self) -> int:
         """Number of servers in the list."""
-        return self._orders.listed_count
+        return self._overrides.listed_count
 
     @property
     def targets_excluded(self) -> int:
@@ -393,7 +393,7 @@
         They are disabled by operators or closed by the decision module.
         """
         now = self.now()
-        return len(self._orders.listed_disabled()) + sum(
+        return len(self._overrides.listed_disabled()) + sum(
             not item.accepts(now) for item in self.balancer.ready
         )
 
--- a/sorrelfront/cli/policy.py
+++ b/sorrelfront/cli/policy.py
@@ -46,7 +46,7 @@
 
 
 def _request(daemon: Document, **command: Any) -> dict[str, Any]:
-    """Send a policy command to the daemon; raises Unreached without a valid answer."""
+    """Send a policy command to the daemon; raises DaemonUnreachable without a valid answer."""
     try:
         answer = asyncio.run(control.send_request(daemon.control, {"op": "policy", **command}))
     except control.DaemonUnavailable as fault:
--- a/sorrelfront/daemon/fleet_membership.py
+++ b/sorrelfront/daemon/fleet_membership.py
@@ -89,19 +89,19 @@
                 await asyncio.to_thread(ledger.snapshot, payloads)
 
         ports = Ports(
-            send=self._member.attach_replication(lambda sender, data: copier.on_message(sender, data)),
+            send=self._member.attach_replication(lambda sender, data: replicator.on_message(sender, data)),
             live_members=view.alive, known_members=lambda: set(view.members), write=write, snapshot=snapshot,
             needs_snapshot=lambda: ledger is not None and ledger.needs_snapshot, update_agent=update,
         )  # fmt: skip
-        copier = Replicator(
+        replicator = Replicator(
             table["member"],
             "registry" if list_is_numbered else "",
             replication_settings(table),
             ports,
             stored,
         )
-        self.replicator = copier
-        copier.start()
+        self.replicator = replicator
+        replicator.start()
 
     def join_policy(self, agent: GatedAgent, governed: PolicyOverlay) -> None:
         """Take part in the fleet's policy.
--- a/sorrelfront/daemon/gate.py
+++ b/sorrelfront/daemon/gate.py
@@ -56,15 +56,15 @@
     # Admission
 
     def _admit(self, cls: str) -> Admission | LeaseStatus:
-        council = self.policy_member
-        assert council is not None
-        standing = council.lease_status()
+        policy_member = self.policy_member
+        assert policy_member is not None
+        standing = policy_member.lease_status()
         if standing is LeaseStatus.LEASED:
-            return Admission(council.applied_version, True)
+            return Admission(policy_member.applied_version, True)
         if standing is LeaseStatus.FREE:
             return Admission(0, True)
         if standing is LeaseStatus.CUT_OFF and self.isolation.get(cls, "go-on") == "go-on":
-            return Admission(council.applied_version, False)
+            return Admission(policy_member.applied_version, False)
         return standing
 
     def submit(self, call: Call) -> PendingRequest:
@@ -155,18 +155,18 @@
         self._loop.call_soon(self._on_attempt_ended, held, key, AttemptResult(api.Outcome.CANCELLED), 0)
 
     def _may_attempt(self, held: PendingRequest) -> bool:
-        council, admission = self.policy_member, self._admissions.get(held.id)
-        if council is None or admission is None:
+        policy_member, admission = self.policy_member, self._admissions.get(held.id)
+        if policy_member is None or admission is None:
             return True
-        if council.free:
+        if policy_member.free:
             return admission.version == 0
-        if admission.leased and council.may_attempt(admission.version):
+        if admission.leased and policy_member.may_attempt(admission.version):
             return True
         serves_cut_off = self.isolation.get(held.call.class_name, "go-on") == "go-on"
         if (
             serves_cut_off
-            and admission.version == council.applied_version
-            and council.lease_status() is LeaseStatus.CUT_OFF
+            and admission.version == policy_member.applied_version
+            and policy_member.lease_status() is LeaseStatus.CUT_OFF
         ):
             self.admission_counts.outside += admission.leased
             self._admissions[held.id] = admission._replace(leased=False)
--- a/sorrelfront/daemon/instance.py
+++ b/sorrelfront/daemon/instance.py
@@ -409,8 +409,8 @@
                 self._adopt_estimates(learnt)
 
         def update(received: Update) -> None:
-            copier = self._fleet_member.replicator if self._fleet_member is not None else None
-            deliver(received if copier is None else copier.on_list(received))
+            replicator = self._fleet_member.replicator if self._fleet_member is not None else None
+            deliver(received if replicator is None else replicator.on_list(received))
 
         self._update_agent = deliver
 
--- a/sorrelfront/daemon/policies.py
+++ b/sorrelfront/daemon/policies.py
@@ -223,15 +223,15 @@
             log.info("version %d is not what the file here says: %s%s", version, shown, more)
 
 
-async def handle_command(council: PolicyMember, message: dict[str, Any]) -> dict[str, Any]:
+async def handle_command(policy_member: PolicyMember, message: dict[str, Any]) -> dict[str, Any]:
     """Handle a command of `sorrelfront policy` at an instance, and return its answer.
 
     Raises KeyError, TypeError or ValueError for a malformed or unknown command.
     """
-    reply: dict[str, Any] = {"self": council.name, "voters": [*council.voters], "policy_ok": True}
+    reply: dict[str, Any] = {"self": policy_member.name, "voters": [*policy_member.voters], "policy_ok": True}
     match message["what"]:
         case "look":
-            states = await council.query_voters(bool(message.get("history")))
+            states = await policy_member.query_voters(bool(message.get("history")))
             latest = max(states.values(), key=lambda item: item.slot, default=None)
             rows = _history_rows(latest) if latest is not None else []
             return reply | {"shown": [_state_table(item) for item in states.values()], "history": rows}
@@ -239,14 +239,14 @@
             value = Value(str(message["change"]), str(message["document"]).encode(), bool(message["void"]))
             if not 0 < len(value.change) <= MAX_CHANGE_ID_LENGTH or len(value.document) > MAX_POLICY_BYTES:
                 raise ValueError("a change that is too long")
-            begun = council.propose(value, None if message["onto"] is None else int(message["onto"]))
-            return reply | {"begun": begun, **_outcome_table(council)}
+            begun = policy_member.propose(value, None if message["onto"] is None else int(message["onto"]))
+            return reply | {"begun": begun, **_outcome_table(policy_member)}
         case "outcome":
-            return reply | _outcome_table(council)
+            return reply | _outcome_table(policy_member)
         case "found":
             forced = message.get("document")
             initial = None if forced is None else Value(str(message["change"]), str(forced).encode())
-            states, fault = await council.found_fleet(initial)
+            states, fault = await policy_member.found_fleet(initial)
             return reply | {"shown": [_state_table(item) for item in states.values()], "fault": fault}
     raise ValueError("a word that is not known here")
 
@@ -270,8 +270,8 @@
     ]
 
 
-def _outcome_table(council: PolicyMember) -> dict[str, Any]:
-    proposal = council.latest_proposal()
+def _outcome_table(policy_member: PolicyMember) -> dict[str, Any]:
+    proposal = policy_member.latest_proposal()
     if proposal is None:
         return {"outcome": None}
     change, outcome = proposal
--- a/sorrelfront/daemon/site_gateway.py
+++ b/sorrelfront/daemon/site_gateway.py
@@ -111,7 +111,7 @@
         self._agent: ForwardingAgent | None = None
         self._listener: Listener | None = None
         self._starting: asyncio.Task[None] | None = None
-        self._copier: Replicator | None = None
+        self._replicator: Replicator | None = None
         self._share_timer: asyncio.TimerHandle | None = None
         # (offer, its `until`) -> its end in monotonic time, as first computed
         self._end_times_us: dict[tuple[str, float], int] = {}
@@ -222,20 +222,20 @@
                 store_epoch(self._path, self._stored_epoch)
         self._schedule_share()
 
-    def replicate_offers(self, copier: Replicator) -> None:
+    def replicate_offers(self, replicator: Replicator) -> None:
         """Replicate the newest state of each offer among the members of this site.
 
         Then a replayed old advertisement is rejected by all members, whichever of them saw the newer one.
         """
-        self._copier = copier
-        copier.watch(OFFER_PREFIX, self._on_replicated)
+        self._replicator = replicator
+        replicator.watch(OFFER_PREFIX, self._on_replicated)
         self._on_change()
 
     def _on_replicated(self, key: str) -> None:
         id = _offer_id(key)
-        assert self._copier is not None
-        for book, value in self._copier.store.values(key) if id is not None else ():
-            if book.owner == self._copier.store.member_name and id in self.border.newest:
+        assert self._replicator is not None
+        for book, value in self._replicator.store.values(key) if id is not None else ():
+            if book.owner == self._replicator.store.member_name and id in self.border.newest:
                 continue
             try:
                 mark = _newest_decoder.decode(value)
@@ -258,15 +258,15 @@
     def _share_states(self) -> None:
         self._share_timer = None
         marks = self.border.take_states()
-        if self._copier is None:
+        if self._replicator is None:
             return
         for id, mark in marks.items():
-            self._copier.put(OFFER_PREFIX + KEY_SEPARATOR.join(id), _encode(mark))
-        own = self._copier.store.own_replica
+            self._replicator.put(OFFER_PREFIX + KEY_SEPARATOR.join(id), _encode(mark))
+        own = self._replicator.store.own_replica
         if own is not None and len(own.entries) > 2 * MAX_OFFER_IDS:
             for key in [key for key in own.entries if key.startswith(OFFER_PREFIX)]:
                 if _offer_id(key) not in self.border.newest:
-                    self._copier.put(key, None)
+                    self._replicator.put(key, None)
 
     def status(self) -> dict[str, Any]:
         """Return the status of the gateway, for `ctl status`."""
--- a/sorrelfront/decisions/fleet/replicas.py
+++ b/sorrelfront/decisions/fleet/replicas.py
@@ -189,7 +189,7 @@
 def decode(data: bytes) -> Message:
     """Decode a message.
 
-    Raises Unreadable, and nothing else whatever the bytes are.
+    Raises MalformedMessage, and nothing else whatever the bytes are.
     """
     try:
         return _decoder.decode(data)
--- a/sorrelfront/decisions/snapshots.py
+++ b/sorrelfront/decisions/snapshots.py
@@ -117,7 +117,7 @@
 
 
 def _numbers(value: Any, count: int) -> list[float]:
-    """Check that `value` is a list of `count` finite numbers. Raises Unusable."""
+    """Check that `value` is a list of `count` finite numbers. Raises UnusableSnapshot."""
     if not isinstance(value, list) or len(value) != count:
         raise UnusableSnapshot("a row has the wrong length")
     for item in value:
@@ -136,7 +136,7 @@
 
 
 def decode_snapshot(text: str, at_us: int, max_age_us: int = MAX_AGE_US) -> dict[str, Any]:
-    """Return the validated body of a snapshot. Raises Unusable."""
+    """Return the validated body of a snapshot. Raises UnusableSnapshot."""
     if len(text) > MAX_TEXT_LENGTH:
         raise UnusableSnapshot("it is too long")
     version, _, rest = text.partition(" ")
@@ -167,7 +167,7 @@
     """Restore a snapshot and return the number of servers whose estimates were restored.
 
     Servers that are not on the list or were restarted since are skipped: those are cold or without samples.
-    Raises Unusable before anything is changed.
+    Raises UnusableSnapshot before anything is changed.
 
     `max_aging_us`, if not 0, bounds the age added for the time while no process ran. An estimate that decays
     while nothing is sent would make a server that failed all day look as good as any.
--- a/sorrelfront/fleet/member.py
+++ b/sorrelfront/fleet/member.py
@@ -90,10 +90,10 @@
 
     # Policy
 
-    def attach_policy(self, council: PolicyMember) -> None:
+    def attach_policy(self, policy_member: PolicyMember) -> None:
         """Connect this member with the fleet's policy."""
-        self._terms_digest = terms_digest(council.voters, council.lease_us)
-        self._council = council
+        self._terms_digest = terms_digest(policy_member.voters, policy_member.lease_us)
+        self._policy_member = policy_member
         self.mismatches = 0
         self.transport.on_policy_message = self._on_policy_message
 
@@ -115,7 +115,7 @@
         except MalformedMessage:
             self.transport.counters["unreadable"] += 1
             return
-        self._council.receive(message.sender, decoded)
+        self._policy_member.receive(message.sender, decoded)
 
 
 def terms_digest(voters: tuple[str, ...], lease_us: int) -> int:
--- a/sorrelfront/lab/http1.py
+++ b/sorrelfront/lab/http1.py
@@ -21,7 +21,7 @@
     """Return a configuration; `changes` override the limits of its settings."""
     return {
         "name": "n0",
-        "listen": "127.0.0.1:1",  # taken from the environment, or any free port in World
+        "listen": "127.0.0.1:1",  # taken from the environment, or any free port in AgentHarness
         "discovery": discovery,
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
--- a/sorrelfront/net/bodies.py
+++ b/sorrelfront/net/bodies.py
@@ -79,7 +79,7 @@
         return not (self._consumed or self._discarded)
 
     async def read(self) -> bytes:
-        """Return the next chunk, empty at the end. Raises Broken if the rest will not arrive."""
+        """Return the next chunk, empty at the end. Raises BodyAborted if the rest will not arrive."""
         if not self._started:
             self._started = True
             return self._prefix
--- a/sorrelfront/platform/control.py
+++ b/sorrelfront/platform/control.py
@@ -49,7 +49,7 @@
 
 
 class AgentOperations(Protocol):
-    """The operations that the port offers. Overrides raise OSError or Full if they fail."""
+    """The operations that the port offers. Overrides raise OSError or TooManyDisabled if they fail."""
 
     def ready(self) -> bool:
         """Tell whether the process is ready to serve."""
--- a/sorrelfront/platform/overrides_file.py
+++ b/sorrelfront/platform/overrides_file.py
@@ -74,7 +74,7 @@
         """Disable a server, or enable it again. If this raises, nothing has changed.
 
         Raises:
-            Full: The limit on the number of servers is reached, or the id is too long.
+            TooManyDisabled: The limit on the number of servers is reached, or the id is too long.
             OSError: The file cannot be locked or written.
         """
         with self._locked():
--- a/sorrelfront/platform/service.py
+++ b/sorrelfront/platform/service.py
@@ -42,12 +42,12 @@
         self._folder = folder
         self._predecessor = predecessor
         self._predecessor_needs = config.sockets // 2 if predecessor is not None else 0
-        self._orders = OverridesFile(folder)
+        self._overrides = OverridesFile(folder)
         self._successor: Successor | None = None
         self.listener: Listener | None = None
         self.reloads = self.reload_failures = 0
         self._poll_timer: asyncio.TimerHandle | None = None
-        agent.set_disabled(self._orders.disabled)
+        agent.set_disabled(self._overrides.disabled)
         self.resize()
         self._poll_overrides()
 
@@ -131,9 +131,9 @@
         return self._agent.knows(server)
 
     def set_disabled(self, server: str, disabled: bool) -> None:
-        """Disable a server, or enable it again. After OSError or Full nothing has changed."""
-        self._orders.set_disabled(server, disabled)
-        self._agent.set_disabled(self._orders.disabled)
+        """Disable a server, or enable it again. After OSError or TooManyDisabled nothing has changed."""
+        self._overrides.set_disabled(server, disabled)
+        self._agent.set_disabled(self._overrides.disabled)
         log.warning("administrative override: %s is %s", server[:64], "disabled" if disabled else "enabled")
 
     def drain(self, on: bool) -> None:
@@ -187,5 +187,5 @@
         self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll_overrides)
 
     def _apply_overrides(self) -> None:
-        if self._orders.refresh():
-            self._agent.set_disabled(self._orders.disabled)
+        if self._overrides.refresh():
+            self._agent.set_disabled(self._overrides.disabled)
