--- a/tests/programs/test_stale_lists.py
+++ b/tests/programs/test_stale_lists.py
@@ -169,7 +169,7 @@
     """
     async with harness(tmp_path, wall_clock) as made:
         for number, step_s in enumerate((0.0, HOUR_S, -HOUR_S)):
-            while not made.discovery.open:
+            while not made.discovery.open_watches:
                 await made.send_requests(made.discovery.requests + 1)
             await made.send_requests(made.discovery.requests + WATCH_LENGTH)
             wall_clock.set(step_s)
